--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -37,7 +37,7 @@
       }
       for (const auto& order : planners[i].Next(now)) {
         drawn += order.peer_ ? 0 : 1;
-        planners[i].OnChunk(order.chunk_, now);
+        planners[i].OnChunkReceived(order.chunk_, now);
       }
     }
     now += 20ms;
--- a/packages/chalkwell/src/chalkwell/bundle/bundle.cpp
+++ b/packages/chalkwell/src/chalkwell/bundle/bundle.cpp
@@ -12,11 +12,11 @@
 namespace chalkwell::bundle {
 namespace {
 
-using core::internal::Fail;
 using core::internal::ParseObject;
 using core::internal::RequireArray;
 using core::internal::RequireString;
 using core::internal::RequireUnsigned;
+using core::internal::ThrowFieldError;
 using nlohmann::json;
 
 constexpr std::string_view kModelKind = "model";
@@ -25,7 +25,7 @@
 core::Digest RequireDigest(const json& object, const std::string& field) {
   const auto digest = core::Digest::FromHex(RequireString(object, field));
   if (!digest) {
-    Fail(field, "must be 64 hexadecimal digits");
+    ThrowFieldError(field, "must be 64 hexadecimal digits");
   }
   return *digest;
 }
@@ -54,14 +54,14 @@
   if (text == kAdapterKind) {
     return FileKind::kAdapter;
   }
-  Fail("files.kind", "must be \"model\" or \"adapter\"");
+  ThrowFieldError("files.kind", "must be \"model\" or \"adapter\"");
 }
 
 Chunk ParseChunk(const json& entry) {
   Chunk chunk{.digest_ = RequireDigest(entry, "digest"),
               .size_ = RequireUnsigned(entry, "size")};
   if (chunk.size_ == 0) {
-    Fail("chunks.size", "must be at least 1");
+    ThrowFieldError("chunks.size", "must be at least 1");
   }
   return chunk;
 }
@@ -70,7 +70,8 @@
   ManifestFile file;
   file.path_ = RequireString(entry, "path");
   if (!IsSafePath(file.path_)) {
-    Fail("files.path", "must be relative without '.' or '..': " + file.path_);
+    ThrowFieldError("files.path",
+                    "must be relative without '.' or '..': " + file.path_);
   }
   file.kind_ = ParseKind(RequireString(entry, "kind"));
   for (const auto& chunk : RequireArray(entry, "chunks")) {
@@ -84,13 +85,13 @@
   std::vector<std::string> names;
   for (const auto& name : RequireArray(object, field)) {
     if (!name.is_string() || name.get<std::string>().empty()) {
-      Fail(field, "must hold non-empty strings");
+      ThrowFieldError(field, "must hold non-empty strings");
     }
     names.push_back(name.get<std::string>());
   }
   if (std::set<std::string>(names.begin(), names.end()).size() !=
       names.size()) {
-    Fail(field, "names one entry twice; remove the duplicate");
+    ThrowFieldError(field, "names one entry twice; remove the duplicate");
   }
   return names;
 }
@@ -156,7 +157,7 @@
   Bundle bundle;
   bundle.version_ = RequireUnsigned(root, "version");
   if (bundle.version_ == 0) {
-    Fail("version", "must be at least 1");
+    ThrowFieldError("version", "must be at least 1");
   }
   bundle.model_ = RequireString(root, "model");
   bundle.adapters_ = ParseNames(root, "adapters");
@@ -164,7 +165,7 @@
     bundle.roles_.emplace_back(std::move(role));
   }
   if (bundle.roles_.empty()) {
-    Fail("roles", "must name at least one role");
+    ThrowFieldError("roles", "must name at least one role");
   }
   bundle.manifest_ = RequireDigest(root, "manifest");
   bundle.total_size_ = RequireUnsigned(root, "total_size");
@@ -179,11 +180,12 @@
     manifest.files_.push_back(ParseFile(entry));
     const auto& path = manifest.files_.back().path_;
     if (!paths.insert(path).second) {
-      Fail("files.path", "names " + path + " twice; remove the duplicate");
+      ThrowFieldError("files.path",
+                      "names " + path + " twice; remove the duplicate");
     }
   }
   if (manifest.total_size() == 0) {
-    Fail("files", "must hold at least one chunk");
+    ThrowFieldError("files", "must hold at least one chunk");
   }
   return manifest;
 }
--- a/packages/chalkwell/src/chalkwell/bundle/signature.cpp
+++ b/packages/chalkwell/src/chalkwell/bundle/signature.cpp
@@ -118,7 +118,8 @@
   if (!FromHexText(signature,
                    reinterpret_cast<std::uint8_t*>(envelope.signature_.data()),
                    envelope.signature_.size())) {
-    core::internal::Fail("signature", "must be 128 hexadecimal digits");
+    core::internal::ThrowFieldError("signature",
+                                    "must be 128 hexadecimal digits");
   }
   return envelope;
 }
@@ -129,8 +130,8 @@
   }
 }
 
-SignatureVerdict TrustedKeys::Check(const SignedEnvelope& envelope,
-                                    std::string_view context) const {
+SignatureVerdict TrustedKeys::Verify(const SignedEnvelope& envelope,
+                                     std::string_view context) const {
   const auto key = keys_.find(envelope.key_id_);
   if (key == keys_.end()) {
     return SignatureVerdict::kUnknownKey;
@@ -139,7 +140,7 @@
   const bool valid =
       crypto_sign_verify_detached(Bytes(envelope.signature_), Bytes(bytes),
                                   bytes.size(), key->second.bytes_.data()) == 0;
-  return valid ? SignatureVerdict::kValid : SignatureVerdict::kWrong;
+  return valid ? SignatureVerdict::kValid : SignatureVerdict::kInvalid;
 }
 
 }  // namespace chalkwell::bundle
--- a/packages/chalkwell/src/chalkwell/bundle/signature.hpp
+++ b/packages/chalkwell/src/chalkwell/bundle/signature.hpp
@@ -56,7 +56,7 @@
 [[nodiscard]] SignedEnvelope ParseEnvelope(std::string_view text);
 
 /// @brief Result of checking a signature.
-enum class SignatureVerdict : std::uint8_t { kValid, kUnknownKey, kWrong };
+enum class SignatureVerdict : std::uint8_t { kValid, kUnknownKey, kInvalid };
 
 /// @brief The set of keys whose signatures count.
 class TrustedKeys {
@@ -64,8 +64,8 @@
   TrustedKeys() = default;
   explicit TrustedKeys(const std::vector<PublicKey>& keys);
 
-  [[nodiscard]] SignatureVerdict Check(const SignedEnvelope& envelope,
-                                       std::string_view context) const;
+  [[nodiscard]] SignatureVerdict Verify(const SignedEnvelope& envelope,
+                                        std::string_view context) const;
   [[nodiscard]] std::size_t size() const noexcept { return keys_.size(); }
 
  private:
--- a/packages/chalkwell/src/chalkwell/config/accepted_documents.cpp
+++ b/packages/chalkwell/src/chalkwell/config/accepted_documents.cpp
@@ -51,12 +51,13 @@
                          ? bundle::PublicKey::FromHex(entry.get<std::string>())
                          : std::nullopt;
     if (!key) {
-      core::internal::Fail("keys", "must hold 64 hexadecimal digits each");
+      core::internal::ThrowFieldError("keys",
+                                      "must hold 64 hexadecimal digits each");
     }
     keys.push_back(*key);
   }
   if (keys.empty()) {
-    core::internal::Fail("keys", "must name at least one key");
+    core::internal::ThrowFieldError("keys", "must name at least one key");
   }
   return keys;
 }
@@ -78,7 +79,7 @@
   return documents;
 }
 
-const bundle::Bundle* AcceptedDocuments::InForce() const noexcept {
+const bundle::Bundle* AcceptedDocuments::ActiveBundle() const noexcept {
   return in_force_ ? &*in_force_ : nullptr;
 }
 
@@ -114,7 +115,7 @@
   return false;
 }
 
-Acceptance AcceptedDocuments::Offer(const Document& document) {
+Acceptance AcceptedDocuments::Apply(const Document& document) {
   Checked checked;
   try {
     checked = Check(document);
@@ -152,7 +153,8 @@
   } else if (document.key_ == kRoutesKey) {
     (void)ParseRoutes(document.body_);
   } else {
-    core::internal::Fail("key", "is not a known document: " + document.key_);
+    core::internal::ThrowFieldError(
+        "key", "is not a known document: " + document.key_);
   }
   return result;
 }
@@ -165,13 +167,13 @@
   const auto envelope = bundle::ParseEnvelope(document.body_);
   const auto verdict = faults_.skip_signature_
                            ? bundle::SignatureVerdict::kValid
-                           : trusted_.Check(envelope, context);
+                           : trusted_.Verify(envelope, context);
   if (verdict == bundle::SignatureVerdict::kUnknownKey) {
     result.acceptance_ = {Verdict::kUnknownKey,
                           "signed by untrusted key " + envelope.key_id_};
     return;
   }
-  if (verdict == bundle::SignatureVerdict::kWrong) {
+  if (verdict == bundle::SignatureVerdict::kInvalid) {
     result.acceptance_ = {Verdict::kWrongSignature,
                           "signature does not match the payload"};
     return;
@@ -179,10 +181,10 @@
   result.stamp_.content_ = core::Digest::Of(envelope.payload_);
   if (is_bundle) {
     result.bundle_ = bundle::ParseBundle(envelope.payload_);
-    result.stamp_.order_ = result.bundle_->version_;
+    result.stamp_.sequence_ = result.bundle_->version_;
     result.stamp_.manifest_ = result.bundle_->manifest_;
   } else {
-    result.keys_ = ParseTrust(envelope.payload_, result.stamp_.order_);
+    result.keys_ = ParseTrust(envelope.payload_, result.stamp_.sequence_);
   }
 }
 
@@ -196,16 +198,16 @@
   if (stamp == held) {
     return {Verdict::kUnchanged, ""};
   }
-  if (stamp.order_ < held.order_ && !faults_.accept_older_) {
-    return {Verdict::kOlder, "offers " + std::to_string(stamp.order_) +
+  if (stamp.sequence_ < held.sequence_ && !faults_.accept_older_) {
+    return {Verdict::kOlder, "offers " + std::to_string(stamp.sequence_) +
                                  ", in force is " +
-                                 std::to_string(held.order_)};
+                                 std::to_string(held.sequence_)};
   }
-  if (stamp.order_ != held.order_ || faults_.accept_conflicts_) {
+  if (stamp.sequence_ != held.sequence_ || faults_.accept_conflicts_) {
     return {Verdict::kAccepted, ""};
   }
   const std::string reason =
-      "two contents under number " + std::to_string(stamp.order_);
+      "two contents under number " + std::to_string(stamp.sequence_);
   return {stamp > held ? Verdict::kAcceptedOverConflict : Verdict::kConflict,
           reason};
 }
--- a/packages/chalkwell/src/chalkwell/config/accepted_documents.hpp
+++ b/packages/chalkwell/src/chalkwell/config/accepted_documents.hpp
@@ -38,7 +38,7 @@
 /// @brief Position of a document in the total order of its key.
 struct DocumentStamp {
   /// Signed version for signed documents, the service's revision for others.
-  std::uint64_t order_ = 0;
+  std::uint64_t sequence_ = 0;
   /// Bundles: the manifest. Breaks ties as the rollout of endpoints does.
   core::Digest manifest_;
   /// Breaks the ties left, so that all processes settle on the same content.
@@ -95,7 +95,7 @@
   /// @brief All documents in force, by key.
   [[nodiscard]] std::vector<const Document*> All() const;
   /// @brief The bundle in force, or null.
-  [[nodiscard]] const bundle::Bundle* InForce() const noexcept;
+  [[nodiscard]] const bundle::Bundle* ActiveBundle() const noexcept;
   /// @brief What this process holds, to send to a peer.
   [[nodiscard]] Stamps stamps() const;
   /// @brief Documents in force here that are newer than the peer's; the list of
@@ -105,7 +105,7 @@
   [[nodiscard]] bool IsBehind(const Stamps& theirs) const;
 
   /// @brief Takes the document if it is valid and newer.
-  [[nodiscard]] Acceptance Offer(const Document& document);
+  [[nodiscard]] Acceptance Apply(const Document& document);
 
  private:
   struct Entry {
--- a/packages/chalkwell/src/chalkwell/config/catch_up.cpp
+++ b/packages/chalkwell/src/chalkwell/config/catch_up.cpp
@@ -9,11 +9,13 @@
 
 namespace chalkwell::config {
 
-CatchUp::CatchUp(core::InstanceId self, CatchUpSettings settings)
+RulesPeerSelector::RulesPeerSelector(core::InstanceId self,
+                                     CatchUpSettings settings)
     : self_(std::move(self)), settings_(settings) {}
 
-void CatchUp::OnHeard(const RulesSource& source, std::uint64_t version,
-                      core::TimePoint now) {
+void RulesPeerSelector::OnAnnounced(const RulesSource& source,
+                                    std::uint64_t version,
+                                    core::TimePoint now) {
   if (version <= version_) {
     return;
   }
@@ -26,7 +28,7 @@
   }
 }
 
-void CatchUp::OnHave(std::uint64_t version, core::TimePoint now) {
+void RulesPeerSelector::OnHave(std::uint64_t version, core::TimePoint now) {
   version_ = std::max(version_, version);
   std::erase_if(sources_, [this](const auto& entry) {
     return entry.second.version_ <= version_;
@@ -39,8 +41,8 @@
   }
 }
 
-void CatchUp::OnAnswer(const core::InstanceId& id, bool helped,
-                       core::TimePoint now) {
+void RulesPeerSelector::OnFetchEnded(const core::InstanceId& id, bool helped,
+                                     core::TimePoint now) {
   if (asked_ && asked_->id_ == id) {
     asked_.reset();
   }
@@ -50,8 +52,8 @@
   }
 }
 
-bool CatchUp::Usable(const Source& source, bool watches,
-                     core::TimePoint now) const {
+bool RulesPeerSelector::Usable(const Source& source, bool watches,
+                               core::TimePoint now) const {
   const auto behind = now - *behind_since_;
   const auto least =
       watches ? settings_.watch_grace_
@@ -60,10 +62,10 @@
          behind >= least;
 }
 
-std::optional<core::InstanceId> CatchUp::Next(bool watches,
-                                              core::TimePoint now) {
+std::optional<core::InstanceId> RulesPeerSelector::Next(bool watches,
+                                                        core::TimePoint now) {
   if (asked_ && now - asked_->since_ >= settings_.answer_time_) {
-    OnAnswer(core::InstanceId(asked_->id_), false, now);
+    OnFetchEnded(core::InstanceId(asked_->id_), false, now);
   }
   if (!behind_since_ || asked_) {
     return std::nullopt;
@@ -85,7 +87,7 @@
   return *best;
 }
 
-bool CatchUp::Overdue(core::TimePoint now) const {
+bool RulesPeerSelector::IsOverdue(core::TimePoint now) const {
   return behind_since_ && now - *behind_since_ >= settings_.patience_;
 }
 
--- a/packages/chalkwell/src/chalkwell/config/catch_up.hpp
+++ b/packages/chalkwell/src/chalkwell/config/catch_up.hpp
@@ -36,26 +36,28 @@
 };
 
 /// @brief The choice of one process.
-class CatchUp {
+class RulesPeerSelector {
  public:
-  explicit CatchUp(core::InstanceId self, CatchUpSettings settings = {});
+  explicit RulesPeerSelector(core::InstanceId self,
+                             CatchUpSettings settings = {});
 
   /// @brief Someone told which rules it has.
-  void OnHeard(const RulesSource& source, std::uint64_t version,
-               core::TimePoint now);
-  void OnLost(const core::InstanceId& id) { sources_.erase(id); }
+  void OnAnnounced(const RulesSource& source, std::uint64_t version,
+                   core::TimePoint now);
+  void OnPeerLost(const core::InstanceId& id) { sources_.erase(id); }
   /// @brief These rules are in force here now.
   void OnHave(std::uint64_t version, core::TimePoint now);
   /// @brief The ask of a source ended.
   /// @param helped whether it brought newer rules.
-  void OnAnswer(const core::InstanceId& id, bool helped, core::TimePoint now);
+  void OnFetchEnded(const core::InstanceId& id, bool helped,
+                    core::TimePoint now);
 
   /// @brief Whom to ask now; it counts as asked from then on.
   /// @param watches whether this process takes the rules from the publisher.
   [[nodiscard]] std::optional<core::InstanceId> Next(bool watches,
                                                      core::TimePoint now);
   /// @brief Whether newer rules are known of for too long.
-  [[nodiscard]] bool Overdue(core::TimePoint now) const;
+  [[nodiscard]] bool IsOverdue(core::TimePoint now) const;
 
  private:
   struct Source {
--- a/packages/chalkwell/src/chalkwell/config/fleet.cpp
+++ b/packages/chalkwell/src/chalkwell/config/fleet.cpp
@@ -9,12 +9,12 @@
 namespace chalkwell::config {
 namespace {
 
-using core::internal::Fail;
 using core::internal::OptionalFlag;
 using core::internal::ParseObject;
 using core::internal::RequireArray;
 using core::internal::RequireString;
 using core::internal::RequireUnsigned;
+using core::internal::ThrowFieldError;
 using nlohmann::json;
 
 InstanceKind ParseKind(const std::string& text) {
@@ -24,7 +24,7 @@
   if (text == "endpoint") {
     return InstanceKind::kEndpoint;
   }
-  Fail("instances.kind", "must be \"entry\" or \"endpoint\"");
+  ThrowFieldError("instances.kind", "must be \"entry\" or \"endpoint\"");
 }
 
 BackendKind ParseBackend(const std::string& text) {
@@ -34,7 +34,7 @@
   if (text == "service") {
     return BackendKind::kService;
   }
-  Fail("instances.backend", "must be \"engine\" or \"service\"");
+  ThrowFieldError("instances.backend", "must be \"engine\" or \"service\"");
 }
 
 Instance ParseInstance(const json& entry) {
@@ -62,7 +62,7 @@
     instances.push_back(ParseInstance(entry));
     const auto& id = instances.back().id_;
     if (!ids.insert(id).second) {
-      Fail("instances.id", "names " + id.value() + " twice");
+      ThrowFieldError("instances.id", "names " + id.value() + " twice");
     }
   }
   return instances;
@@ -77,12 +77,12 @@
     const auto digest =
         core::Digest::FromHex(RequireString(entry, "key_digest"));
     if (!digest) {
-      Fail("accounts.key_digest", "must be 64 hexadecimal digits");
+      ThrowFieldError("accounts.key_digest", "must be 64 hexadecimal digits");
     }
     account.key_digest_ = *digest;
     account.weight_ = RequireUnsigned(entry, "weight");
     if (account.weight_ == 0) {
-      Fail("accounts.weight", "must be at least 1");
+      ThrowFieldError("accounts.weight", "must be at least 1");
     }
     accounts.push_back(std::move(account));
   }
@@ -96,7 +96,7 @@
     Route route;
     route.prefix_ = RequireString(entry, "prefix");
     if (route.prefix_.front() != '/') {
-      Fail("routes.prefix", "must begin with '/'");
+      ThrowFieldError("routes.prefix", "must begin with '/'");
     }
     route.role_ = core::Role(RequireString(entry, "role"));
     route.repeatable_ = OptionalFlag(entry, "repeatable", false);
--- a/packages/chalkwell/src/chalkwell/config/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/config/fwd.hpp
@@ -16,7 +16,7 @@
 struct TrafficService;
 struct TrafficRules;
 class TrafficTable;
-class CatchUp;
+class RulesPeerSelector;
 struct CatchUpSettings;
 struct RulesSource;
 struct DeltaPart;
--- a/packages/chalkwell/src/chalkwell/config/traffic_rules.hpp
+++ b/packages/chalkwell/src/chalkwell/config/traffic_rules.hpp
@@ -70,7 +70,7 @@
   /// Requests run at once.
   std::uint32_t slots_ = 1;
   /// One token for all requests that run.
-  core::Duration step_{};
+  core::Duration step_time_{};
   /// Added to a step for each request that runs.
   core::Duration step_per_request_{};
   /// Added to a step for each 1,000 tokens of context of all requests.
@@ -83,7 +83,7 @@
   double usual_prompt_ = 0;
   double usual_answer_ = 0;
   /// Pieces of its weights; 0 when not given.
-  std::uint32_t pieces_ = 0;
+  std::uint32_t weight_chunks_ = 0;
 };
 
 /// @brief A service that requests are routed to, or a source of weights.
@@ -143,7 +143,7 @@
   /// @brief Null when no account holds the key.
   [[nodiscard]] const AccountKeys* FindAccount(const std::string& key) const;
   /// @brief Whether the rules name a service, as such or in a route.
-  [[nodiscard]] bool Names(const std::string& service) const {
+  [[nodiscard]] bool HasService(const std::string& service) const {
     return named_.contains(service);
   }
   [[nodiscard]] const TrafficService* FindService(
--- a/packages/chalkwell/src/chalkwell/core/backoff.cpp
+++ b/packages/chalkwell/src/chalkwell/core/backoff.cpp
@@ -15,8 +15,8 @@
     : settings_(settings), random_(seed) {}
 
 Duration Backoff::OnFailure(TimePoint now) {
-  const auto whole =
-      std::min(settings_.first_ * (1U << failures_), settings_.longest_);
+  const auto whole = std::min(settings_.initial_delay_ * (1U << failures_),
+                              settings_.max_delay_);
   failures_ = std::min(failures_ + 1, kMaxDoublings);
   std::uniform_int_distribution<Duration::rep> jitter(0, whole.count() / 2);
   const auto wait = whole / 2 + Duration(jitter(random_));
--- a/packages/chalkwell/src/chalkwell/core/backoff.hpp
+++ b/packages/chalkwell/src/chalkwell/core/backoff.hpp
@@ -11,8 +11,8 @@
 /// @brief Settings of a backoff.
 struct BackoffSettings {
   /// After the first failure; doubled with each further one in a row.
-  Duration first_ = std::chrono::milliseconds(100);
-  Duration longest_ = std::chrono::milliseconds(1000);
+  Duration initial_delay_ = std::chrono::milliseconds(100);
+  Duration max_delay_ = std::chrono::milliseconds(1000);
 };
 
 /// @brief Exponential backoff with jitter. Many who fail together do not come
@@ -26,7 +26,7 @@
   /// @return how long to wait before the next try.
   Duration OnFailure(TimePoint now);
   /// @brief Whether the pause after the last failure is over.
-  [[nodiscard]] bool Ready(TimePoint now) const noexcept {
+  [[nodiscard]] bool IsReady(TimePoint now) const noexcept {
     return failures_ == 0 || now >= ready_at_;
   }
 
--- a/packages/chalkwell/src/chalkwell/core/json.cpp
+++ b/packages/chalkwell/src/chalkwell/core/json.cpp
@@ -5,17 +5,17 @@
 
 namespace chalkwell::core::internal {
 
-void Fail(const std::string& field, const std::string& fix) {
+void ThrowFieldError(const std::string& field, const std::string& fix) {
   throw Error(Step::kParse, "", "field '" + field + "' " + fix);
 }
 
 nlohmann::json ParseObject(std::string_view text, const std::string& what) {
   auto root = nlohmann::json::parse(text, nullptr, false);
   if (root.is_discarded()) {
-    Fail(what, "must be well-formed JSON");
+    ThrowFieldError(what, "must be well-formed JSON");
   }
   if (!root.is_object()) {
-    Fail(what, "must be a JSON object");
+    ThrowFieldError(what, "must be a JSON object");
   }
   return root;
 }
@@ -25,11 +25,11 @@
 const nlohmann::json& Require(const nlohmann::json& object,
                               const std::string& field) {
   if (!object.is_object()) {
-    Fail(field, "must stand in a JSON object");
+    ThrowFieldError(field, "must stand in a JSON object");
   }
   const auto found = object.find(field);
   if (found == object.end()) {
-    Fail(field, "is missing; add it");
+    ThrowFieldError(field, "is missing; add it");
   }
   return *found;
 }
@@ -40,10 +40,10 @@
                           const std::string& field) {
   const auto& value = Require(object, field);
   if (!value.is_string()) {
-    Fail(field, "must be a string");
+    ThrowFieldError(field, "must be a string");
   }
   if (value.get_ref<const std::string&>().empty()) {
-    Fail(field, "must not be empty");
+    ThrowFieldError(field, "must not be empty");
   }
   return value.get<std::string>();
 }
@@ -52,7 +52,7 @@
                               const std::string& field) {
   const auto& value = Require(object, field);
   if (!value.is_number_unsigned()) {
-    Fail(field, "must be a whole number of at least 0");
+    ThrowFieldError(field, "must be a whole number of at least 0");
   }
   return value.get<std::uint64_t>();
 }
@@ -61,7 +61,7 @@
                                    const std::string& field) {
   const auto& value = Require(object, field);
   if (!value.is_array()) {
-    Fail(field, "must be an array");
+    ThrowFieldError(field, "must be an array");
   }
   return value;
 }
@@ -73,7 +73,7 @@
     return fallback;
   }
   if (!found->is_boolean()) {
-    Fail(field, "must be true or false");
+    ThrowFieldError(field, "must be true or false");
   }
   return found->get<bool>();
 }
--- a/packages/chalkwell/src/chalkwell/core/json.hpp
+++ b/packages/chalkwell/src/chalkwell/core/json.hpp
@@ -9,7 +9,8 @@
 namespace chalkwell::core::internal {
 
 /// @throws core::Error always, with the field and what it must be.
-[[noreturn]] void Fail(const std::string& field, const std::string& fix);
+[[noreturn]] void ThrowFieldError(const std::string& field,
+                                  const std::string& fix);
 /// @throws core::Error unless the text is one JSON object.
 [[nodiscard]] nlohmann::json ParseObject(std::string_view text,
                                          const std::string& what);
--- a/packages/chalkwell/src/chalkwell/membership/duties.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/duties.hpp
@@ -18,7 +18,7 @@
 
 /// Members of each failure domain that have this duty: one may be lost
 /// unnoticed.
-inline constexpr std::size_t kWatchers = 2;
+inline constexpr std::size_t kWatchersPerDomain = 2;
 
 /// @brief Rank of a member for the duty of watching; the higher, the earlier.
 [[nodiscard]] std::uint64_t WatchRank(const core::InstanceId& member);
--- a/packages/chalkwell/src/chalkwell/membership/gossip_table.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/gossip_table.cpp
@@ -19,9 +19,9 @@
                          std::uint64_t seed)
     : self_(std::move(self)), settings_(settings), random_(seed) {}
 
-void GossipTable::Beat() {
-  ++self_.beat_;
-  self_.near_ = static_cast<std::uint32_t>(Near().size() + 1);
+void GossipTable::RaiseHeartbeat() {
+  ++self_.heartbeat_;
+  self_.local_members_ = static_cast<std::uint32_t>(LocalMembers().size() + 1);
 }
 
 bool GossipTable::MakePlace(const Member& member) {
@@ -52,24 +52,24 @@
 
 MergeEnd GossipTable::Merge(const Member& member, core::TimePoint now) {
   if (member.id_ == self_.id_) {
-    return MergeEnd::kKnown;
+    return MergeEnd::kUnchanged;
   }
   const Key key{member.id_, member.incarnation_};
   const auto found = rows_.find(key);
   if (found == rows_.end()) {
     if (member.leaving_ || !MakePlace(member)) {
-      return MergeEnd::kKnown;
+      return MergeEnd::kUnchanged;
     }
     rows_.emplace(key, Row{member, now});
     return MergeEnd::kJoined;
   }
   auto& row = found->second;
-  if (member.beat_ <= row.member_.beat_) {
-    return MergeEnd::kKnown;
+  if (member.heartbeat_ <= row.member_.heartbeat_) {
+    return MergeEnd::kUnchanged;
   }
   const bool back = row.lost_ && !member.leaving_;
   row = Row{member, now, member.leaving_, 0};
-  return back ? MergeEnd::kJoined : MergeEnd::kNews;
+  return back ? MergeEnd::kJoined : MergeEnd::kUpdated;
 }
 
 std::vector<Member> GossipTable::Expire(core::TimePoint now) {
@@ -86,8 +86,8 @@
   return lost;
 }
 
-std::vector<Member> GossipTable::Silent(std::size_t most,
-                                        core::TimePoint now) const {
+std::vector<Member> GossipTable::Unresponsive(std::size_t most,
+                                              core::TimePoint now) const {
   std::vector<const Row*> rows;
   for (const auto& [key, row] : rows_) {
     if (!row.lost_ && now - row.heard_ >= settings_.lease_ / 2) {
@@ -123,7 +123,7 @@
   return live;
 }
 
-std::vector<Member> GossipTable::Near() const {
+std::vector<Member> GossipTable::LocalMembers() const {
   auto members = Live();
   std::erase_if(members, [this](const Member& member) {
     return member.domain_ != self_.domain_;
@@ -131,7 +131,7 @@
   return members;
 }
 
-std::size_t GossipTable::Count() const {
+std::size_t GossipTable::DeploymentSize() const {
   std::map<core::FailureDomainId, std::size_t> told;
   std::map<core::FailureDomainId, std::size_t> known;
   std::size_t count = 1;
@@ -141,7 +141,7 @@
       continue;
     }
     auto& most = told[member.domain_];
-    most = std::max<std::size_t>(most, member.near_);
+    most = std::max<std::size_t>(most, member.local_members_);
     ++known[member.domain_];
   }
   for (const auto& [domain, most] : told) {
@@ -150,11 +150,11 @@
   return count;
 }
 
-bool GossipTable::Delegate() const {
+bool GossipTable::IsDelegate() const {
   const auto own = Rank(self_);
   const auto ahead = std::ranges::count_if(
-      Near(), [&](const Member& member) { return Rank(member) > own; });
-  return static_cast<std::size_t>(ahead) < kWatchers;
+      LocalMembers(), [&](const Member& member) { return Rank(member) > own; });
+  return static_cast<std::size_t>(ahead) < kWatchersPerDomain;
 }
 
 void GossipTable::Shuffle(std::vector<Member>& members) {
@@ -171,7 +171,7 @@
   };
   // Whoever is of another domain keeps few rows of this one.
   std::vector<std::uint64_t> ranks;
-  for (const auto& member : Near()) {
+  for (const auto& member : LocalMembers()) {
     ranks.push_back(Rank(member));
   }
   std::ranges::sort(ranks, std::ranges::greater{});
@@ -199,7 +199,7 @@
   return members;
 }
 
-std::vector<Member> GossipTable::Targets(std::size_t most) {
+std::vector<Member> GossipTable::GossipTargets(std::size_t most) {
   auto live = Live();
   Shuffle(live);
   std::vector<Member> targets;
@@ -209,7 +209,7 @@
     }
   }
   // Alone in its domain, a member is its delegate.
-  if (!Delegate()) {
+  if (!IsDelegate()) {
     return targets;
   }
   std::set<core::FailureDomainId> told{self_.domain_};
--- a/packages/chalkwell/src/chalkwell/membership/gossip_table.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/gossip_table.hpp
@@ -30,12 +30,12 @@
   /// Where it hears others, "ip:port".
   std::string address_;
   /// Raised by the member itself; orders its rows.
-  std::uint64_t beat_ = 0;
+  std::uint64_t heartbeat_ = 0;
   /// It is about to end and should be forgotten.
   bool leaving_ = false;
   /// Live members that it knows in its own failure domain, itself included; 0
   /// when it does not say.
-  std::uint32_t near_ = 0;
+  std::uint32_t local_members_ = 0;
 };
 
 /// @brief Settings of the table.
@@ -54,7 +54,7 @@
 };
 
 /// @brief What a merge changed.
-enum class MergeEnd : std::uint8_t { kKnown, kNews, kJoined };
+enum class MergeEnd : std::uint8_t { kUnchanged, kUpdated, kJoined };
 
 /// @brief Members known to one process.
 class GossipTable {
@@ -63,8 +63,8 @@
 
   [[nodiscard]] const Member& self() const noexcept { return self_; }
   /// @brief Raises the own beat.
-  void Beat();
-  void Leave() noexcept { self_.leaving_ = true; }
+  void RaiseHeartbeat();
+  void SetLeaving() noexcept { self_.leaving_ = true; }
   /// @brief Takes a row heard from anyone.
   MergeEnd Merge(const Member& member, core::TimePoint now);
   /// @brief Forgets members past their lease.
@@ -74,18 +74,18 @@
   /// @brief Members of whom nothing was heard for half their lease, the longest
   /// silent first.
   /// @param most each is asked directly, which is to cost little.
-  [[nodiscard]] std::vector<Member> Silent(std::size_t most,
-                                           core::TimePoint now) const;
+  [[nodiscard]] std::vector<Member> Unresponsive(std::size_t most,
+                                                 core::TimePoint now) const;
   /// @brief Live members, this one left out; one row an address.
   [[nodiscard]] std::vector<Member> Live() const;
   /// @brief Live members of the own failure domain, this one left out.
-  [[nodiscard]] std::vector<Member> Near() const;
+  [[nodiscard]] std::vector<Member> LocalMembers() const;
   /// @brief Live members of the whole deployment, this one included: those of
   /// other failure domains as these tell it.
-  [[nodiscard]] std::size_t Count() const;
+  [[nodiscard]] std::size_t DeploymentSize() const;
   /// @brief Whether this member is one of those who pass news on between
   /// failure domains.
-  [[nodiscard]] bool Delegate() const;
+  [[nodiscard]] bool IsDelegate() const;
   /// @brief The own row and some others, those told least first; for a member
   /// of another failure domain those of its domain before all others, and of
   /// the own domain only the first in rank.
@@ -93,7 +93,7 @@
                                            const core::FailureDomainId& domain);
   /// @brief Members to tell next: some of the own failure domain by chance, and
   /// by delegates one of each other domain.
-  [[nodiscard]] std::vector<Member> Targets(std::size_t most);
+  [[nodiscard]] std::vector<Member> GossipTargets(std::size_t most);
 
  private:
   struct Key {
--- a/packages/chalkwell/src/chalkwell/membership/message_order.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/message_order.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-bool MessageOrder::Late(std::chrono::milliseconds sent) {
+bool MessageOrder::CheckLate(std::chrono::milliseconds sent) {
   const bool late = newest_ && sent < *newest_ && *newest_ - sent < kLongestWay;
   if (!late) {
     newest_ = sent;
--- a/packages/chalkwell/src/chalkwell/membership/message_order.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/message_order.hpp
@@ -14,7 +14,7 @@
   /// @param sent by the sender's steady clock, which begins anew with its
   /// machine.
   /// @return whether a later one arrived before.
-  bool Late(std::chrono::milliseconds sent);
+  bool CheckLate(std::chrono::milliseconds sent);
 
  private:
   std::optional<std::chrono::milliseconds> newest_;
--- a/packages/chalkwell/src/chalkwell/membership/planned_stop.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/planned_stop.hpp
@@ -24,12 +24,12 @@
   explicit PlannedStop(core::Duration limit, StopFaults faults = {}) noexcept
       : limit_(limit), faults_(faults) {}
 
-  [[nodiscard]] bool leaving() const noexcept { return began_.has_value(); }
+  [[nodiscard]] bool draining() const noexcept { return began_.has_value(); }
   /// @brief Whether new work may be taken.
   [[nodiscard]] bool accepting() const noexcept {
-    return !leaving() || faults_.accept_while_leaving_;
+    return !draining() || faults_.accept_while_leaving_;
   }
-  [[nodiscard]] std::size_t work() const noexcept { return work_; }
+  [[nodiscard]] std::size_t pending() const noexcept { return work_; }
   /// @brief Whether the process may exit.
   [[nodiscard]] bool MayExit(core::TimePoint now) const noexcept;
 
--- a/packages/chalkwell/src/chalkwell/membership/read_duty.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/read_duty.cpp
@@ -28,7 +28,7 @@
   if (!told_at_) {
     // All members start with a read: the first in rank tells the next ones.
     told_at_ = now;
-    alone_until_ = now + settings_.patience_;
+    alone_until_ = now + settings_.takeover_timeout_;
   }
 }
 
@@ -39,36 +39,36 @@
   }
 }
 
-bool ReadDuty::Reads(core::TimePoint now) const noexcept {
+bool ReadDuty::IsReader(core::TimePoint now) const noexcept {
   if (rank_ == 0 || !told_at_) {
     return !alone_ || now >= alone_until_.value_or(now);
   }
   const auto behind = static_cast<int>(rank_ - 1);
   const auto heard_at = std::max(*told_at_, tried_at_.value_or(*told_at_));
-  const bool silent =
-      now - heard_at >= settings_.patience_ + settings_.step_ * behind;
-  const bool in_vain =
-      now - *told_at_ >= settings_.patience_ + settings_.tried_step_ * behind;
-  return silent || in_vain || Stale(*told_at_, now);
+  const bool silent = now - heard_at >= settings_.takeover_timeout_ +
+                                            settings_.rank_delay_ * behind;
+  const bool in_vain = now - *told_at_ >= settings_.takeover_timeout_ +
+                                              settings_.tried_step_ * behind;
+  return silent || in_vain || IsStale(*told_at_, now);
 }
 
-bool ReadDuty::Stale(core::TimePoint as_of,
-                     core::TimePoint now) const noexcept {
+bool ReadDuty::IsStale(core::TimePoint as_of,
+                       core::TimePoint now) const noexcept {
   const auto tried_at = std::max(tried_at_, failed_at_);
   const bool away = tried_at && *tried_at > as_of;
-  return !away && now - as_of >= settings_.oldest_;
+  return !away && now - as_of >= settings_.max_age_;
 }
 
 core::Duration ReadDuty::Interval(core::TimePoint now) const noexcept {
-  if (!Reads(now)) {
+  if (!IsReader(now)) {
     return settings_.seldom_;
   }
   if (!told_at_ || !asked_at_ || *told_at_ <= *asked_at_) {
-    return settings_.often_;
+    return settings_.reader_interval_;
   }
   // Told by another domain's reader: that read counts as well.
-  const auto wait =
-      settings_.often_ + settings_.step_ * static_cast<int>(domains_ahead_);
+  const auto wait = settings_.reader_interval_ +
+                    settings_.rank_delay_ * static_cast<int>(domains_ahead_);
   return std::min(*told_at_ - *asked_at_ + wait, settings_.seldom_);
 }
 
--- a/packages/chalkwell/src/chalkwell/membership/read_duty.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/read_duty.hpp
@@ -16,17 +16,17 @@
 /// @brief Settings of a duty.
 struct ReadDutySettings {
   /// Between two reads of the member whose duty it is.
-  core::Duration often_ = std::chrono::milliseconds(600);
+  core::Duration reader_interval_ = std::chrono::milliseconds(600);
   /// Between two reads of the others while they are told: a gap in what they
   /// are told shows at the next telling, so this only guards against errors.
   /// With 20 s, 149 members make 7.5 calls a second of it; now 1.2.
   core::Duration seldom_ = std::chrono::seconds(120);
   /// Told of no read for this long, the next member reads itself: one and a
   /// half intervals, since a datagram is lost now and then.
-  core::Duration patience_ = std::chrono::milliseconds(900);
+  core::Duration takeover_timeout_ = std::chrono::milliseconds(900);
   /// What each rank within a failure domain waits beyond the one before it, and
   /// what the first of each domain waits beyond that of the domain before.
-  core::Duration step_ = std::chrono::milliseconds(150);
+  core::Duration rank_delay_ = std::chrono::milliseconds(150);
   /// What each rank waits beyond the one before it while others try and fail.
   /// The publisher may turn those away and serve this one, but when it is away
   /// for all, each further reader only asks in vain: some 7 of a failure domain
@@ -34,7 +34,7 @@
   core::Duration tried_step_ = std::chrono::milliseconds(1200);
   /// Whoever believes an older list reads itself, whatever its rank, unless the
   /// publisher is known to be away: endpoints that leave are told by the list.
-  core::Duration oldest_ = std::chrono::milliseconds(1200);
+  core::Duration max_age_ = std::chrono::milliseconds(1200);
 };
 
 /// @brief The duty of one member.
@@ -50,14 +50,14 @@
   /// @brief This member read the list itself.
   void OnRead(core::TimePoint now) noexcept;
   /// @brief This member tried to read the list, in vain.
-  void OnFailed(core::TimePoint now) noexcept {
+  void OnReadFailed(core::TimePoint now) noexcept {
     asked_at_ = now;
     failed_at_ = now;
   }
   /// @brief Another member told of a read.
   /// @param as_of when the publisher was asked: an old telling keeps nobody
   /// from reading.
-  void OnTold(core::TimePoint as_of) noexcept {
+  void OnPeerRead(core::TimePoint as_of) noexcept {
     told_at_ = std::max(told_at_.value_or(as_of), as_of);
   }
   /// @brief Another member of the own failure domain told that it tried to
@@ -65,12 +65,12 @@
   void OnTried(core::TimePoint now) noexcept;
   /// @brief Whether this member reads for the others: the first in rank, or
   /// whoever is told of no read any more.
-  [[nodiscard]] bool Reads(core::TimePoint now) const noexcept;
+  [[nodiscard]] bool IsReader(core::TimePoint now) const noexcept;
   /// @brief Whether a list is older than may be believed, and the publisher is
   /// not known to be away.
   /// @param as_of when the publisher was asked for it.
-  [[nodiscard]] bool Stale(core::TimePoint as_of,
-                           core::TimePoint now) const noexcept;
+  [[nodiscard]] bool IsStale(core::TimePoint as_of,
+                             core::TimePoint now) const noexcept;
   /// @brief Time from the last own try to the next, as of now.
   [[nodiscard]] core::Duration Interval(core::TimePoint now) const noexcept;
 
--- a/packages/chalkwell/src/chalkwell/membership/report_audience.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/report_audience.cpp
@@ -13,8 +13,8 @@
 ReportAudience::ReportAudience(ReportAudienceSettings settings)
     : settings_(settings) {}
 
-bool ReportAudience::OnSubscribe(const std::string& address, bool near,
-                                 core::TimePoint now) {
+bool ReportAudience::Subscribe(const std::string& address, bool near,
+                               core::TimePoint now) {
   const auto [found, fresh] = subscribers_.try_emplace(address);
   found->second.near_ = near;
   found->second.renewed_ = now;
@@ -43,8 +43,8 @@
   }
 }
 
-std::vector<ReportTarget> ReportAudience::Due(bool changed, bool urgent,
-                                              core::TimePoint now) {
+std::vector<ReportTarget> ReportAudience::CollectDue(bool changed, bool urgent,
+                                                     core::TimePoint now) {
   std::erase_if(subscribers_, [&](const auto& subscriber) {
     return now - subscriber.second.renewed_ >= settings_.lease_;
   });
--- a/packages/chalkwell/src/chalkwell/membership/report_audience.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/report_audience.hpp
@@ -39,7 +39,7 @@
 /// @brief A subscriber that is due.
 struct ReportTarget {
   std::string address_;
-  bool near_ = true;
+  bool local_ = true;
   /// What seldom changes is told as well: the subscriber may not know it.
   bool full_ = false;
 };
@@ -53,7 +53,7 @@
   /// @param address where it takes reports.
   /// @param near whether it is of the own failure domain.
   /// @return whether it was none before: it has no report yet.
-  bool OnSubscribe(const std::string& address, bool near, core::TimePoint now);
+  bool Subscribe(const std::string& address, bool near, core::TimePoint now);
   /// @brief What seldom changes did: the next report to each is a full one.
   void TellFull();
 
@@ -61,13 +61,13 @@
   /// @param changed whether it differs from the last one.
   /// @param urgent it cannot wait for anyone's interval: the endpoint takes
   /// nothing any more, or serves other weights.
-  [[nodiscard]] std::vector<ReportTarget> Due(bool changed, bool urgent,
-                                              core::TimePoint now);
+  [[nodiscard]] std::vector<ReportTarget> CollectDue(bool changed, bool urgent,
+                                                     core::TimePoint now);
   [[nodiscard]] std::size_t size() const noexcept {
     return subscribers_.size();
   }
   /// @brief When an entry was last heard; the epoch for never.
-  [[nodiscard]] core::TimePoint last_heard() const noexcept {
+  [[nodiscard]] core::TimePoint last_renewed() const noexcept {
     return last_heard_;
   }
 
--- a/packages/chalkwell/src/chalkwell/membership/roster.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/roster.cpp
@@ -24,7 +24,7 @@
 
 bool Roster::MayTakeWork(const EndpointView& view, core::TimePoint now) const {
   const bool heard = view.connected_ && view.report_ &&
-                     now - view.last_heard_ <= settings_.lease_;
+                     now - view.last_received_ <= settings_.lease_;
   const bool leaving =
       view.report_ && (view.report_->leaving_ || view.instance_.leaving_);
   if (leaving && !faults_.ignore_leaving_) {
@@ -71,7 +71,7 @@
   }
 }
 
-void Roster::OnHeard(const core::InstanceId& id) {
+void Roster::OnReceived(const core::InstanceId& id) {
   const auto found = endpoints_.find(id);
   if (found != endpoints_.end()) {
     found->second.probed_at_.reset();
@@ -88,8 +88,8 @@
   return std::max<std::uint64_t>(1, (slots + whole - 1) / whole);
 }
 
-std::optional<std::uint64_t> Roster::Room(const core::Role& role,
-                                          core::TimePoint now) const {
+std::optional<std::uint64_t> Roster::FreeSlots(const core::Role& role,
+                                               core::TimePoint now) const {
   const auto available = Available(role, now);
   if (available.empty()) {
     return std::nullopt;
@@ -131,7 +131,7 @@
   const auto found = endpoints_.find(id);
   if (found != endpoints_.end()) {
     found->second.connected_ = true;
-    found->second.last_heard_ = now;
+    found->second.last_received_ = now;
     found->second.probed_at_.reset();
   }
 }
@@ -160,7 +160,7 @@
     view.ready_since_ = now;
   }
   view.report_ = report;
-  view.last_heard_ = now;
+  view.last_received_ = now;
   return true;
 }
 
--- a/packages/chalkwell/src/chalkwell/membership/roster.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/roster.hpp
@@ -36,7 +36,7 @@
   /// Absent until the agent was heard on an open stream.
   std::optional<EndpointReport> report_;
   bool connected_ = false;
-  core::TimePoint last_heard_;
+  core::TimePoint last_received_;
   /// When a probe went out after which nothing was heard.
   std::optional<core::TimePoint> probed_at_;
   /// When it last became ready; for slow start.
@@ -98,8 +98,8 @@
   [[nodiscard]] static std::uint64_t WindowOf(const EndpointView& view);
   /// @brief Requests that available endpoints of a role can still take from
   /// this entry; nothing when no endpoint is available.
-  [[nodiscard]] std::optional<std::uint64_t> Room(const core::Role& role,
-                                                  core::TimePoint now) const;
+  [[nodiscard]] std::optional<std::uint64_t> FreeSlots(
+      const core::Role& role, core::TimePoint now) const;
 
   /// @brief The published list changed.
   void SetInstances(const std::vector<config::Instance>& instances);
@@ -108,7 +108,7 @@
   /// @brief The endpoint was asked for a sign of life.
   void OnProbed(const core::InstanceId& id, core::TimePoint now);
   /// @brief Something came from it after a probe.
-  void OnHeard(const core::InstanceId& id);
+  void OnReceived(const core::InstanceId& id);
   /// @return false when the report is of a process that was replaced.
   [[nodiscard]] bool OnReport(const core::InstanceId& id,
                               const EndpointReport& report,
--- a/packages/chalkwell/src/chalkwell/membership/spread_plan.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/spread_plan.cpp
@@ -23,7 +23,7 @@
   }
 }
 
-std::vector<Member> SpreadPlan::Delegates(std::size_t of_each) const {
+std::vector<Member> SpreadPlan::RemoteDelegates(std::size_t of_each) const {
   auto order = far_;
   std::ranges::sort(order, std::ranges::greater{}, Rank);
   std::map<core::FailureDomainId, std::size_t> taken;
@@ -33,13 +33,14 @@
   return order;
 }
 
-std::vector<Member> SpreadPlan::Tell(Reach reach) const {
-  auto targets = Delegates(reach == Reach::kSure ? kWatchers : 1);
+std::vector<Member> SpreadPlan::AnnounceTargets(DelegateFanout reach) const {
+  auto targets =
+      RemoteDelegates(reach == DelegateFanout::kSure ? kWatchersPerDomain : 1);
   targets.insert(targets.end(), near_.begin(), near_.end());
   return targets;
 }
 
-std::vector<Member> SpreadPlan::PassOn(
+std::vector<Member> SpreadPlan::ForwardTargets(
     const core::FailureDomainId& from) const {
   if (from == self_.domain_) {
     return {};
@@ -47,8 +48,9 @@
   const auto own = Rank(self_);
   const auto ahead = std::ranges::count_if(
       near_, [&](const Member& member) { return Rank(member) > own; });
-  return static_cast<std::size_t>(ahead) < kWatchers ? near_
-                                                     : std::vector<Member>{};
+  return static_cast<std::size_t>(ahead) < kWatchersPerDomain
+             ? near_
+             : std::vector<Member>{};
 }
 
 }  // namespace chalkwell::membership
--- a/packages/chalkwell/src/chalkwell/membership/spread_plan.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/spread_plan.hpp
@@ -14,7 +14,7 @@
 namespace chalkwell::membership {
 
 /// @brief How far a piece of news goes.
-enum class Reach : std::uint8_t {
+enum class DelegateFanout : std::uint8_t {
   /// Two delegates of each other domain: for what must arrive although one of
   /// them was lost a moment ago.
   kSure,
@@ -29,17 +29,17 @@
   SpreadPlan(Member self, std::vector<Member> live);
 
   /// @brief Whom to tell what this process heard first.
-  [[nodiscard]] std::vector<Member> Tell(Reach reach) const;
+  [[nodiscard]] std::vector<Member> AnnounceTargets(DelegateFanout reach) const;
   /// @brief Whom to tell what came from a member of a failure domain: a
   /// delegate passes on what comes from another one, nobody else does.
-  [[nodiscard]] std::vector<Member> PassOn(
+  [[nodiscard]] std::vector<Member> ForwardTargets(
       const core::FailureDomainId& from) const;
   /// @brief Live members of the own failure domain.
-  [[nodiscard]] const std::vector<Member>& near() const noexcept {
+  [[nodiscard]] const std::vector<Member>& local_members() const noexcept {
     return near_;
   }
   /// @brief The first in rank of each other failure domain.
-  [[nodiscard]] std::vector<Member> Delegates(std::size_t of_each) const;
+  [[nodiscard]] std::vector<Member> RemoteDelegates(std::size_t of_each) const;
 
  private:
   Member self_;
--- a/packages/chalkwell/src/chalkwell/membership/store_outage.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/store_outage.cpp
@@ -4,11 +4,13 @@
 
 namespace chalkwell::membership {
 
-void StoreOutage::OnList(core::TimePoint as_of, core::TimePoint now) noexcept {
+void StoreOutage::OnListReceived(core::TimePoint as_of,
+                                 core::TimePoint now) noexcept {
   if (as_of_ && as_of <= *as_of_) {
     return;
   }
-  const bool long_away = !as_of_ || as_of - *as_of_ >= settings_.renewal_;
+  const bool long_away =
+      !as_of_ || as_of - *as_of_ >= settings_.renewal_interval_;
   if (failed_ && long_away) {
     ended_at_ = now;
   }
@@ -17,7 +19,8 @@
 }
 
 bool StoreOutage::MayHaveLapsed(core::TimePoint now) const noexcept {
-  const bool away = failed_ && (!as_of_ || now - *as_of_ >= settings_.renewal_);
+  const bool away =
+      failed_ && (!as_of_ || now - *as_of_ >= settings_.renewal_interval_);
   return away || (ended_at_ && now - *ended_at_ < settings_.return_time_);
 }
 
--- a/packages/chalkwell/src/chalkwell/membership/store_outage.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/store_outage.hpp
@@ -13,7 +13,7 @@
 struct StoreOutageSettings {
   /// Whoever keeps a lease renews it this often, three times within it: no
   /// shorter outage ends one.
-  core::Duration renewal_ = std::chrono::milliseconds(1200);
+  core::Duration renewal_interval_ = std::chrono::milliseconds(1200);
   /// What lapsed is listed again within so long of the outage's end.
   core::Duration return_time_ = std::chrono::milliseconds(2500);
 };
@@ -24,10 +24,10 @@
   explicit StoreOutage(StoreOutageSettings settings) : settings_(settings) {}
 
   /// @brief A read of the list failed, here or at a process that told so.
-  void OnFailed() noexcept { failed_ = true; }
+  void OnReadFailed() noexcept { failed_ = true; }
   /// @brief A list was read or told.
   /// @param as_of when the store was asked for it.
-  void OnList(core::TimePoint as_of, core::TimePoint now) noexcept;
+  void OnListReceived(core::TimePoint as_of, core::TimePoint now) noexcept;
   /// @brief Whether what a list lacks now may live all the same.
   [[nodiscard]] bool MayHaveLapsed(core::TimePoint now) const noexcept;
 
--- a/packages/chalkwell/src/chalkwell/membership/watch_duty.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/watch_duty.cpp
@@ -24,7 +24,8 @@
   rank_ = static_cast<std::size_t>(self - members_.begin());
 }
 
-void WatchDuty::OnTold(const core::InstanceId& member, core::TimePoint now) {
+void WatchDuty::OnWatcherAnnounced(const core::InstanceId& member,
+                                   core::TimePoint now) {
   const auto found = std::ranges::find(members_, member);
   const auto rank = static_cast<std::size_t>(found - members_.begin());
   if (rank < rank_) {
@@ -32,7 +33,7 @@
   }
 }
 
-std::size_t WatchDuty::Watchers(core::TimePoint now) const {
+std::size_t WatchDuty::WatcherCount(core::TimePoint now) const {
   if (bytes_ > 0) {
     return std::clamp<std::size_t>(settings_.budget_ / bytes_, 1,
                                    settings_.most_);
@@ -42,8 +43,8 @@
   return long_read ? 1 : settings_.most_;
 }
 
-bool WatchDuty::Watches(core::TimePoint now) const {
-  const auto watchers = Watchers(now);
+bool WatchDuty::IsWatcher(core::TimePoint now) const {
+  const auto watchers = WatcherCount(now);
   const auto heard_at = told_at_ || bytes_ == 0 ? told_at_ : reading_since_;
   if (rank_ < watchers || !heard_at) {
     return true;
@@ -52,8 +53,8 @@
   return now - *heard_at >= settings_.patience_ + settings_.step_ * behind;
 }
 
-bool WatchDuty::Tells(core::TimePoint now) const {
-  return Watchers(now) < members_.size() && Watches(now);
+bool WatchDuty::MustAnnounce(core::TimePoint now) const {
+  return WatcherCount(now) < members_.size() && IsWatcher(now);
 }
 
 }  // namespace chalkwell::membership
--- a/packages/chalkwell/src/chalkwell/membership/watch_duty.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/watch_duty.hpp
@@ -22,12 +22,12 @@
   std::size_t budget_ = std::size_t{256} << 10;
   /// Members of a failure domain that watch: one may die, freeze or be turned
   /// away unnoticed for the time of the patience below.
-  std::size_t most_ = kWatchers;
+  std::size_t most_ = kWatchersPerDomain;
   /// A first read that lasts this long is one of a large document: a small one
   /// is over after a round trip.
   core::Duration small_read_ = std::chrono::milliseconds(150);
   /// Between two tellings of one who watches a large document.
-  core::Duration tell_interval_ = std::chrono::milliseconds(700);
+  core::Duration announce_interval_ = std::chrono::milliseconds(700);
   /// Without a word of one ahead in rank for this long a member watches too:
   /// two intervals, since a datagram is lost now and then.
   core::Duration patience_ = std::chrono::milliseconds(1500);
@@ -48,22 +48,22 @@
   /// @brief The first read of the document begins.
   void OnFirstRead(core::TimePoint now) noexcept { reading_since_ = now; }
   /// @brief Another member of the domain said that it watches.
-  void OnTold(const core::InstanceId& member, core::TimePoint now);
+  void OnWatcherAnnounced(const core::InstanceId& member, core::TimePoint now);
 
-  [[nodiscard]] core::Duration tell_interval() const noexcept {
-    return settings_.tell_interval_;
+  [[nodiscard]] core::Duration announce_interval() const noexcept {
+    return settings_.announce_interval_;
   }
   /// @brief The members to whom the duty falls first.
   [[nodiscard]] static std::vector<core::InstanceId> FirstInRank(
       std::span<const core::InstanceId> members, std::size_t count);
 
   /// @brief Whether this member watches, as of now.
-  [[nodiscard]] bool Watches(core::TimePoint now) const;
+  [[nodiscard]] bool IsWatcher(core::TimePoint now) const;
   /// @brief Members that watch unless one of them falls silent.
-  [[nodiscard]] std::size_t Watchers(core::TimePoint now) const;
+  [[nodiscard]] std::size_t WatcherCount(core::TimePoint now) const;
   /// @brief Whether others stay away because this member watches: it has to
   /// tell them.
-  [[nodiscard]] bool Tells(core::TimePoint now) const;
+  [[nodiscard]] bool MustAnnounce(core::TimePoint now) const;
 
  private:
   core::InstanceId self_;
--- a/packages/chalkwell/src/chalkwell/rollout/activation.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/activation.cpp
@@ -42,7 +42,7 @@
 
 std::uint64_t Activation::NextFence(std::uint64_t step) const noexcept {
   const auto count = (fence_ >> kTieBits) + step;
-  return (count << kTieBits) | (settings_.tie_ & kTieMask);
+  return (count << kTieBits) | (settings_.tie_breaker_ & kTieMask);
 }
 
 bool Activation::OthersAreGone(core::TimePoint now) const noexcept {
@@ -165,7 +165,7 @@
                                   core::TimePoint now) {
   Actions actions;
   const bool out_of_date = asked_at < not_before_ || asked_at < asked_at_;
-  if (out_of_date || phase_ == Phase::kOrdering) {
+  if (out_of_date || phase_ == Phase::kAwaitingReply) {
     return actions;
   }
   fence_ = std::max(fence_, state.fence_);
@@ -187,7 +187,8 @@
   if (held_back) {
     return actions;
   }
-  const bool expected = phase_ == Phase::kAsking || phase_ == Phase::kHolding ||
+  const bool expected = phase_ == Phase::kQuerying ||
+                        phase_ == Phase::kHolding ||
                         phase_ == Phase::kConfirming;
   if (expected || changed) {
     Settle(actions);
@@ -197,11 +198,11 @@
 
 Actions Activation::OnEngineLost() {
   Actions actions;
-  if (phase_ == Phase::kAsking || phase_ == Phase::kReplaced) {
+  if (phase_ == Phase::kQuerying || phase_ == Phase::kReplaced) {
     return actions;
   }
   DropFetch(actions);
-  phase_ = Phase::kAsking;
+  phase_ = Phase::kQuerying;
   engine_.reset();
   Announcement(false, actions);
   return actions;
@@ -252,7 +253,7 @@
 }
 
 void Activation::Order(Actions& actions) {
-  phase_ = Phase::kOrdering;
+  phase_ = Phase::kAwaitingReply;
   fence_ = NextFence(kOrderStep);
   own_fence_ = fence_;
   actions.emplace_back(SendOrder{target_, faults_.drop_fence_ ? 0 : fence_});
@@ -264,7 +265,7 @@
 
 Actions Activation::OnOrderAnswered(core::TimePoint now) {
   Actions actions;
-  if (phase_ == Phase::kOrdering) {
+  if (phase_ == Phase::kAwaitingReply) {
     phase_ = Phase::kConfirming;
     ordered_ = true;
   } else if (phase_ != Phase::kClaiming) {
@@ -278,13 +279,13 @@
 Actions Activation::OnPause(core::TimePoint now) {
   Actions actions;
   const bool ordering =
-      phase_ == Phase::kOrdering || phase_ == Phase::kClaiming;
+      phase_ == Phase::kAwaitingReply || phase_ == Phase::kClaiming;
   if (faults_.trust_state_after_pause_ || ordering ||
       phase_ == Phase::kReplaced) {
     return actions;
   }
   DropFetch(actions);
-  phase_ = Phase::kAsking;
+  phase_ = Phase::kQuerying;
   not_before_ = now;
   engine_.reset();
   Announcement(false, actions);
--- a/packages/chalkwell/src/chalkwell/rollout/activation.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/activation.hpp
@@ -40,7 +40,7 @@
 /// @brief Where the endpoint stands.
 enum class Phase : std::uint8_t {
   /// The engine's state is not known; nothing is ordered or handed on.
-  kAsking,
+  kQuerying,
   /// A claim was sent; only the engine's own report ends this.
   kClaiming,
   /// The claim stands; processes before this one run out of their leases.
@@ -50,7 +50,7 @@
   kFetching,
   kWaitingTurn,
   kDraining,
-  kOrdering,
+  kAwaitingReply,
   /// An order was answered; only the engine's own report ends this.
   kConfirming,
   /// A higher number took the engine. This process does no more, unless the
@@ -108,7 +108,7 @@
   /// How long what the engine said may be relied on.
   core::Duration lease_ = std::chrono::seconds(1);
   /// Distinguishes the fencing numbers of processes; random, 24 bits.
-  std::uint64_t tie_ = 0;
+  std::uint64_t tie_breaker_ = 0;
 };
 
 /// @brief State machine of one endpoint's weights.
@@ -183,7 +183,7 @@
   ActivationFaults faults_;
   bool checks_fencing_ = true;
   bool listed_ = false;
-  Phase phase_ = Phase::kAsking;
+  Phase phase_ = Phase::kQuerying;
   /// Only rises.
   Target target_;
   /// Empty in kAsking.
--- a/packages/chalkwell/src/chalkwell/rollout/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/fwd.hpp
@@ -8,7 +8,7 @@
 struct Target;
 struct EngineState;
 class Activation;
-class Turns;
+class RolloutSlots;
 enum class Phase : std::uint8_t;
 class VersionBound;
 struct StartForecast;
--- a/packages/chalkwell/src/chalkwell/rollout/turns.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/turns.cpp
@@ -9,32 +9,33 @@
 
 namespace chalkwell::rollout {
 
-Turns::Turns(core::InstanceId self, double share, core::Duration lease)
+RolloutSlots::RolloutSlots(core::InstanceId self, double share,
+                           core::Duration lease)
     : self_(std::move(self)), share_(share), lease_(lease) {}
 
-void Turns::SetMembers(std::set<core::InstanceId> members) {
+void RolloutSlots::SetMembers(std::set<core::InstanceId> members) {
   members_ = std::move(members);
 }
 
-void Turns::Start(std::uint64_t version, core::TimePoint now) {
+void RolloutSlots::StartRollout(std::uint64_t version, core::TimePoint now) {
   version_ = version;
   done_.clear();
   last_progress_ = now;
 }
 
-void Turns::OnServing(const core::InstanceId& member, std::uint64_t version,
-                      core::TimePoint now) {
+void RolloutSlots::OnServing(const core::InstanceId& member,
+                             std::uint64_t version, core::TimePoint now) {
   if (version >= version_ && done_.insert(member).second) {
     last_progress_ = now;
   }
 }
 
-std::size_t Turns::allowed_out() const noexcept {
+std::size_t RolloutSlots::allowed_out() const noexcept {
   const auto allowed = share_ * static_cast<double>(members_.size());
   return std::max<std::size_t>(1, static_cast<std::size_t>(allowed));
 }
 
-std::size_t Turns::PendingAhead() const {
+std::size_t RolloutSlots::PendingAhead() const {
   const auto item = std::to_string(version_);
   const auto own = core::RendezvousScore(item, self_.value());
   return static_cast<std::size_t>(
@@ -44,7 +45,7 @@
       }));
 }
 
-bool Turns::MayGo(core::TimePoint now) const {
+bool RolloutSlots::MayGo(core::TimePoint now) const {
   const auto expired_leases =
       static_cast<std::size_t>((now - last_progress_) / lease_);
   return PendingAhead() < allowed_out() * (1 + expired_leases);
--- a/packages/chalkwell/src/chalkwell/rollout/turns.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/turns.hpp
@@ -14,17 +14,17 @@
 /// @brief Ranks the endpoints of one role and failure domain for one version.
 ///
 /// Turns protect capacity only; correctness never rests on them.
-class Turns {
+class RolloutSlots {
  public:
   /// @param share part of the members that may be out at once, 0 to 1.
   /// @param lease how long those ahead may go without progress before the
   /// next ones pass them.
-  Turns(core::InstanceId self, double share, core::Duration lease);
+  RolloutSlots(core::InstanceId self, double share, core::Duration lease);
 
   /// @brief Members of the same role and domain, this one included.
   void SetMembers(std::set<core::InstanceId> members);
   /// @brief A new version is being rolled; forgets all progress.
-  void Start(std::uint64_t version, core::TimePoint now);
+  void StartRollout(std::uint64_t version, core::TimePoint now);
   /// @brief A member serves `version`.
   void OnServing(const core::InstanceId& member, std::uint64_t version,
                  core::TimePoint now);
--- a/packages/chalkwell/src/chalkwell/rollout/version_bound.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/version_bound.cpp
@@ -9,7 +9,8 @@
 
 }  // namespace
 
-bool VersionBound::OnNamed(std::uint64_t version, core::TimePoint now) {
+bool VersionBound::OnVersionPublished(std::uint64_t version,
+                                      core::TimePoint now) {
   if (version <= newest()) {
     return false;
   }
@@ -20,8 +21,8 @@
   return true;
 }
 
-std::uint64_t VersionBound::Least(core::Duration bound,
-                                  core::TimePoint now) const noexcept {
+std::uint64_t VersionBound::MinVersion(core::Duration bound,
+                                       core::TimePoint now) const noexcept {
   std::uint64_t least = 0;
   for (const auto& named : named_) {
     if (now - named.heard_at_ >= bound) {
@@ -31,7 +32,7 @@
   return least;
 }
 
-std::optional<core::TimePoint> VersionBound::EndOf(
+std::optional<core::TimePoint> VersionBound::ExpiryOf(
     std::uint64_t version, core::Duration bound) const noexcept {
   for (const auto& named : named_) {
     if (named.version_ > version) {
@@ -48,11 +49,11 @@
   for (const auto& named : named_) {
     const auto until = named.heard_at_ + bound - margin;
     if (now >= until) {
-      rule.least_ = named.version_;
+      rule.min_version_ = named.version_;
       continue;
     }
-    rule.next_ = named.version_;
-    rule.until_ = until;
+    rule.next_min_version_ = named.version_;
+    rule.next_min_at_ = until;
     break;
   }
   return rule;
--- a/packages/chalkwell/src/chalkwell/rollout/version_bound.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/version_bound.hpp
@@ -15,17 +15,17 @@
 class VersionBound {
  public:
   /// @return false when the version is no newer than the newest known.
-  bool OnNamed(std::uint64_t version, core::TimePoint now);
+  bool OnVersionPublished(std::uint64_t version, core::TimePoint now);
   /// @brief Newest version heard of; 0 for none.
   [[nodiscard]] std::uint64_t newest() const noexcept {
     return named_.empty() ? 0 : named_.back().version_;
   }
   /// @brief Least version that a request may begin on now; 0 for any.
   /// @param bound time after its naming from which a version is the least.
-  [[nodiscard]] std::uint64_t Least(core::Duration bound,
-                                    core::TimePoint now) const noexcept;
+  [[nodiscard]] std::uint64_t MinVersion(core::Duration bound,
+                                         core::TimePoint now) const noexcept;
   /// @brief When a version may no longer be used; none while it is the newest.
-  [[nodiscard]] std::optional<core::TimePoint> EndOf(
+  [[nodiscard]] std::optional<core::TimePoint> ExpiryOf(
       std::uint64_t version, core::Duration bound) const noexcept;
   /// @brief The least version and the bound that comes next.
   /// @param margin time before the bound from which an older version is used
--- a/packages/chalkwell/src/chalkwell/routing/attempt_patience.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/attempt_patience.cpp
@@ -28,18 +28,21 @@
 }  // namespace
 
 core::TimePoint GiveUpAt(const AwaitedAttempt& attempt) {
-  core::Duration wait = std::max<core::Duration>(
-      {attempt.target_ * kTargets, kLeast, attempt.predicted_ * kPredictions});
+  core::Duration wait =
+      std::max<core::Duration>({attempt.target_latency_ * kTargets, kLeast,
+                                attempt.predicted_first_byte_ * kPredictions});
   if (!attempt.on_time_) {
     wait = std::max<core::Duration>(wait, kLate);
   }
-  if (attempt.silent_) {
+  if (attempt.unresponsive_) {
     wait = std::min<core::Duration>(wait, kSilent);
   }
   const auto overdue = attempt.sent_at_ + wait;
-  const bool ends = attempt.weights_version_ &&
-                    *attempt.weights_version_ < attempt.versions_.next_;
-  return ends ? std::min(overdue, attempt.versions_.until_ + kOldWeights)
+  const bool ends =
+      attempt.weights_version_ &&
+      *attempt.weights_version_ < attempt.version_constraint_.next_min_version_;
+  return ends ? std::min(overdue,
+                         attempt.version_constraint_.next_min_at_ + kOldWeights)
               : overdue;
 }
 
--- a/packages/chalkwell/src/chalkwell/routing/attempt_patience.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/attempt_patience.hpp
@@ -13,17 +13,17 @@
 /// @brief An attempt whose first byte is awaited.
 struct AwaitedAttempt {
   /// Within which the answer is worth most.
-  core::Duration target_{};
+  core::Duration target_latency_{};
   /// First byte as the choice expected it.
-  core::Duration predicted_{};
+  core::Duration predicted_first_byte_{};
   /// Late ones wait for those on time.
   bool on_time_ = true;
   /// Weights that it is to begin on; none for plain services.
   std::optional<std::uint64_t> weights_version_;
   /// In force as it was sent.
-  VersionRule versions_;
+  VersionRule version_constraint_;
   /// Nothing is heard of its endpoint any more, while others are heard.
-  bool silent_ = false;
+  bool unresponsive_ = false;
   core::TimePoint sent_at_;
 };
 
--- a/packages/chalkwell/src/chalkwell/routing/crash_evidence.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/crash_evidence.cpp
@@ -24,7 +24,7 @@
 
 void CrashEvidence::Expire(core::TimePoint now) {
   std::erase_if(losses_, [&](const Loss& loss) {
-    return now - loss.crash_.at_ >= settings_.patience_;
+    return now - loss.crash_.first_loss_at_ >= settings_.confirmation_timeout_;
   });
 }
 
@@ -62,7 +62,10 @@
 SuspectedCrash CrashEvidence::OnCrashed(const EndpointLife& endpoint) {
   auto* loss = Find(endpoint);
   if (loss == nullptr || loss->state_ == State::kCrashed) {
-    return {.endpoint_ = endpoint, .address_ = "", .at_ = {}, .attempts_ = {}};
+    return {.endpoint_ = endpoint,
+            .address_ = "",
+            .first_loss_at_ = {},
+            .attempts_ = {}};
   }
   loss->state_ = State::kCrashed;
   return loss->crash_;
@@ -75,7 +78,7 @@
   }
 }
 
-std::vector<SuspectedCrash> CrashEvidence::Waiting(core::TimePoint now) {
+std::vector<SuspectedCrash> CrashEvidence::Unconfirmed(core::TimePoint now) {
   Expire(now);
   std::vector<SuspectedCrash> waiting;
   for (const auto& loss : losses_) {
@@ -86,7 +89,7 @@
   return waiting;
 }
 
-bool CrashEvidence::Probing(const RequestDigest& request) const {
+bool CrashEvidence::ProbePending(const RequestDigest& request) const {
   return std::ranges::any_of(losses_, [&](const Loss& loss) {
     return loss.state_ == State::kProbing &&
            Holds(loss.crash_.attempts_, request);
--- a/packages/chalkwell/src/chalkwell/routing/crash_evidence.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/crash_evidence.hpp
@@ -28,7 +28,7 @@
 struct LostAttempt {
   RequestDigest request_;
   /// How long it had been under way.
-  core::Duration under_way_{};
+  core::Duration elapsed_{};
 };
 
 /// @brief An endpoint life at which attempts were lost.
@@ -37,7 +37,7 @@
   /// "ip:port".
   std::string address_;
   /// When the first attempt was lost.
-  core::TimePoint at_;
+  core::TimePoint first_loss_at_;
   /// One for each request, in order of loss.
   std::vector<LostAttempt> attempts_;
 };
@@ -46,7 +46,7 @@
 struct CrashEvidenceSettings {
   /// How long a loss waits for evidence: an endpoint is back under a new
   /// incarnation, and in the published list, within some seconds.
-  core::Duration patience_ = std::chrono::seconds(10);
+  core::Duration confirmation_timeout_ = std::chrono::seconds(10);
   /// Endpoint lives remembered, lost or crashed; the oldest give way.
   std::size_t max_endpoints_ = 256;
   /// Requests remembered of one endpoint life.
@@ -70,9 +70,9 @@
   /// @brief The endpoint answered, or did not: nothing follows yet.
   void OnInconclusive(const EndpointLife& endpoint);
   /// @brief Losses that wait for evidence beyond that of a probe.
-  [[nodiscard]] std::vector<SuspectedCrash> Waiting(core::TimePoint now);
+  [[nodiscard]] std::vector<SuspectedCrash> Unconfirmed(core::TimePoint now);
   /// @brief Whether a probe is to show if a request's last endpoint crashed.
-  [[nodiscard]] bool Probing(const RequestDigest& request) const;
+  [[nodiscard]] bool ProbePending(const RequestDigest& request) const;
 
  private:
   enum class State : std::uint8_t { kProbing, kInconclusive, kCrashed };
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_choice.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_choice.cpp
@@ -73,7 +73,7 @@
   return silence > settings_.silent_after_ ? silence : core::Duration{};
 }
 
-bool EndpointTable::IsSilent(const core::InstanceId& id) const {
+bool EndpointTable::IsUnresponsive(const core::InstanceId& id) const {
   const auto found = endpoints_.find(id);
   return found != endpoints_.end() && Silence(found->second) > core::Duration{};
 }
@@ -89,7 +89,7 @@
                            core::Duration first_byte,
                            core::TimePoint now) const {
   if (request.engine_ == nullptr ||
-      endpoint.version() >= request.versions_.next_) {
+      endpoint.version() >= request.version_constraint_.next_min_version_) {
     return false;
   }
   const bool link_known = endpoint.report_ && now - endpoint.reported_at_ <
@@ -98,7 +98,7 @@
   const bool known = link_known && request.on_time_;
   const auto begins =
       known ? first_byte : std::max(first_byte, settings_.unreported_delay_);
-  return now + begins >= request.versions_.until_;
+  return now + begins >= request.version_constraint_.next_min_at_;
 }
 
 bool EndpointTable::TakesWork(const EndpointLife& life,
@@ -108,7 +108,8 @@
     return false;
   }
   const auto& endpoint = found->second;
-  return SameLife(endpoint.row_.life(), life) && !endpoint.row_.leaving_ &&
+  return SameLife(endpoint.row_.incarnation(), life) &&
+         !endpoint.row_.leaving_ &&
          !IsGone(endpoint, settings_.lapse_grace_, now) &&
          incarnations_.Lives(endpoint.row_.address_, life);
 }
@@ -120,7 +121,7 @@
   const auto& row = endpoint.row_;
   if (row.service_ != request.service_ || row.leaving_ ||
       IsGone(endpoint, settings_.lapse_grace_, now) ||
-      !incarnations_.Lives(row.address_, row.life()) ||
+      !incarnations_.Lives(row.address_, row.incarnation()) ||
       std::ranges::find(request.tried_, row.id_) != request.tried_.end()) {
     return false;
   }
@@ -136,7 +137,7 @@
     return false;
   }
   const auto version = endpoint.version();
-  return version && *version >= request.versions_.least_ &&
+  return version && *version >= request.version_constraint_.min_version_ &&
          (!request.weights_version_ || version == request.weights_version_);
 }
 
@@ -189,7 +190,7 @@
   load.running_ = std::min(ahead, slots);
   load.queued_ = ahead - load.running_;
   load.unread_tokens_ = endpoint.reading_;
-  load.pace_ = endpoint.report_ ? endpoint.report_->pace_ : 1;
+  load.pace_ = endpoint.report_ ? endpoint.report_->slowdown_ : 1;
   return FirstEventAfter(*request.engine_, load, request.prompt_tokens_);
 }
 
@@ -202,7 +203,7 @@
   if (request.engine_ != nullptr) {
     // Each request that runs slows all others: even when places are free, the
     // emptier endpoint is the better one.
-    cost += expected.occupied_ * core::ToMs(request.engine_->step_) / 2;
+    cost += expected.occupied_ * core::ToMs(request.engine_->step_time_) / 2;
     if (!Reported(endpoint, now)) {
       cost += core::ToMs(settings_.unreported_cost_);
     }
@@ -257,8 +258,8 @@
   EndpointChoice choice;
   choice.row_ = contest.best_->row_;
   choice.row_.weights_version_ = contest.best_->version();
-  choice.first_byte_ = contest.expected_.first_byte_;
-  choice.occupied_ = contest.expected_.occupied_;
+  choice.time_to_first_byte_ = contest.expected_.first_byte_;
+  choice.requests_ahead_ = contest.expected_.occupied_;
   choice.reported_ = contest.best_->report_.has_value();
   if (choice.reported_) {
     choice.report_age_ = now - contest.best_->reported_at_;
@@ -301,7 +302,7 @@
   for (auto& [id, endpoint] : endpoints_) {
     const auto& row = endpoint.row_;
     if (row.service_ != service || row.leaving_ ||
-        !incarnations_.Lives(row.address_, row.life())) {
+        !incarnations_.Lives(row.address_, row.incarnation())) {
       continue;
     }
     if (endpoint.rank_ == 0) {
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_life.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_life.hpp
@@ -18,7 +18,7 @@
 
 /// @brief Whether two start times tell lives of one id apart. One that is not
 /// told tells nothing.
-[[nodiscard]] inline bool Differ(
+[[nodiscard]] inline bool StartTimesDiffer(
     const std::optional<core::StartTime>& left,
     const std::optional<core::StartTime>& right) noexcept {
   return left && right && *left != *right;
@@ -27,7 +27,8 @@
 /// @brief Whether both may be the same life, as far as is told.
 [[nodiscard]] inline bool SameLife(const EndpointLife& left,
                                    const EndpointLife& right) {
-  return left.id_ == right.id_ && !Differ(left.started_, right.started_);
+  return left.id_ == right.id_ &&
+         !StartTimesDiffer(left.started_, right.started_);
 }
 
 }  // namespace chalkwell::routing
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_table.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_table.cpp
@@ -74,7 +74,8 @@
     std::erase(next.dead_starts_, *row.started_);
   }
   next.row_ = std::move(row);
-  next.row_.leaving_ = next.row_.leaving_ || SaidLeaving(next.row_.life());
+  next.row_.leaving_ =
+      next.row_.leaving_ || SaidLeaving(next.row_.incarnation());
   endpoint = std::move(next);
 }
 
@@ -94,7 +95,7 @@
   });
 }
 
-bool EndpointTable::Departs(const EndpointLife& life) const {
+bool EndpointTable::IsLeavingOrRemoved(const EndpointLife& life) const {
   const auto same = [&](const EndpointLife& other) {
     return SameLife(other, life);
   };
@@ -102,9 +103,9 @@
          std::ranges::any_of(departed_, same);
 }
 
-bool EndpointTable::Replaced(const std::string& address,
-                             const EndpointLife& life) const {
-  return !Departs(life) && !incarnations_.Lives(address, life);
+bool EndpointTable::IsReplaced(const std::string& address,
+                               const EndpointLife& life) const {
+  return !IsLeavingOrRemoved(life) && !incarnations_.Lives(address, life);
 }
 
 void EndpointTable::TakeRow(EndpointRow row) {
@@ -113,17 +114,17 @@
   endpoint.listed_ = true;
   endpoint.missing_since_.reset();
   std::erase_if(departed_, [&](const EndpointLife& departed) {
-    return SameLife(departed, row.life());
+    return SameLife(departed, row.incarnation());
   });
   if (row.leaving_) {
-    RememberLeaving(row.life());
+    RememberLeaving(row.incarnation());
   }
   if (endpoint.WasDead(row.started_)) {
     // Its next life was told of before its row was written.
     return;
   }
-  incarnations_.OnRow(row.address_, row.life(), row.created_);
-  if (Differ(endpoint.row_.started_, row.started_)) {
+  incarnations_.OnRow(row.address_, row.incarnation(), row.created_);
+  if (StartTimesDiffer(endpoint.row_.started_, row.started_)) {
     BeginLife(endpoint, std::move(row));
     return;
   }
@@ -138,7 +139,7 @@
 bool EndpointTable::TakeChange(const EndpointListChange& change,
                                core::TimePoint now) {
   // What was incomplete may be told complete without another revision.
-  if (change.whole_ && change.to_ >= revision_) {
+  if (change.full_ && change.to_ >= revision_) {
     TakeList(change.rows_, change.to_, change.complete_, now, change.as_of_);
     return true;
   }
@@ -153,7 +154,7 @@
     for (const auto& row : change.rows_) {
       TakeRow(row);
     }
-    for (const auto& id : change.gone_) {
+    for (const auto& id : change.removed_) {
       Erase(id);
     }
   }
@@ -202,7 +203,7 @@
   if (found == endpoints_.end()) {
     departed_.push_back({id, std::nullopt});
   } else {
-    departed_.push_back(found->second.row_.life());
+    departed_.push_back(found->second.row_.incarnation());
     endpoints_.erase(found);
   }
   if (departed_.size() > kMaxDeparted) {
@@ -212,11 +213,11 @@
 
 void EndpointTable::TakeTold(EndpointRow row, core::TimePoint now) {
   subset_due_ = true;
-  const auto life = row.life();
+  const auto life = row.incarnation();
   auto* known = Find(row.id_);
   incarnations_.OnTold(row.address_, life);
   if (known != nullptr) {
-    if (Differ(known->row_.started_, row.started_)) {
+    if (StartTimesDiffer(known->row_.started_, row.started_)) {
       BeginLife(*known, std::move(row));
       known->told_at_ = now;
       known->told_until_ = now + settings_.told_grace_;
@@ -258,19 +259,19 @@
                                core::TimePoint taken_at) {
   for (auto& [id, endpoint] : endpoints_) {
     if (endpoint.row_.address_ != address ||
-        !incarnations_.Lives(address, endpoint.row_.life())) {
+        !incarnations_.Lives(address, endpoint.row_.incarnation())) {
       continue;
     }
     if (endpoint.report_ && taken_at < endpoint.reported_at_) {
       return;
     }
-    if (Differ(endpoint.row_.started_, report.started_)) {
+    if (StartTimesDiffer(endpoint.row_.started_, report.started_)) {
       // Told of before its row was read, or after the row of a life between.
       auto row = endpoint.row_;
       row.started_ = report.started_;
       row.leaving_ = false;
       row.weights_version_.reset();
-      incarnations_.OnTold(address, row.life());
+      incarnations_.OnTold(address, row.incarnation());
       BeginLife(endpoint, std::move(row));
       subset_due_ = true;
       endpoint.told_at_ = taken_at;
@@ -293,8 +294,8 @@
 void EndpointTable::MarkLeaving(const EndpointLife& life) {
   RememberLeaving(life);
   auto* endpoint = Find(life.id_);
-  if (endpoint != nullptr && SameLife(endpoint->row_.life(), life)) {
-    RememberLeaving(endpoint->row_.life());
+  if (endpoint != nullptr && SameLife(endpoint->row_.incarnation(), life)) {
+    RememberLeaving(endpoint->row_.incarnation());
     endpoint->row_.leaving_ = true;
     subset_due_ = true;
   }
@@ -302,7 +303,7 @@
 
 void EndpointTable::MarkGone(const EndpointLife& life) {
   const auto* endpoint = Find(life.id_);
-  if (endpoint == nullptr || SameLife(endpoint->row_.life(), life)) {
+  if (endpoint == nullptr || SameLife(endpoint->row_.incarnation(), life)) {
     Erase(life.id_);
   }
 }
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_table.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_table.hpp
@@ -39,7 +39,7 @@
   /// Revision of the list at which the row came to be; 0 when not known.
   std::uint64_t created_ = 0;
 
-  [[nodiscard]] EndpointLife life() const { return {id_, started_}; }
+  [[nodiscard]] EndpointLife incarnation() const { return {id_, started_}; }
   friend bool operator==(const EndpointRow&, const EndpointRow&) = default;
 };
 
@@ -49,10 +49,10 @@
   std::uint64_t to_ = 0;
   /// Rows that are new or differ.
   std::vector<EndpointRow> rows_;
-  std::vector<core::InstanceId> gone_;
+  std::vector<core::InstanceId> removed_;
   /// The rows are the whole list: what it lacks is gone, also what the teller
   /// never knew of.
-  bool whole_ = false;
+  bool full_ = false;
   /// Whole lists only: false when leases may have lapsed while the store was
   /// away.
   bool complete_ = true;
@@ -69,7 +69,7 @@
   bool accepting_ = true;
   std::optional<std::uint64_t> weights_version_;
   /// Over 1: slower than its profile says.
-  double pace_ = 1;
+  double slowdown_ = 1;
   /// How long its link holds messages back, both ways together.
   core::Duration path_delay_{};
   /// The incarnation that reports; empty when that is not told.
@@ -124,9 +124,9 @@
 struct EndpointChoice {
   EndpointRow row_;
   /// Time until the first byte of the answer.
-  core::Duration first_byte_{};
+  core::Duration time_to_first_byte_{};
   /// Inputs of the choice, for the log.
-  std::uint32_t occupied_ = 0;
+  std::uint32_t requests_ahead_ = 0;
   core::Duration report_age_{};
   bool reported_ = false;
 };
@@ -134,10 +134,10 @@
 /// @brief Weights that a request may begin on.
 struct VersionRule {
   /// Older ones are passed over; 0 for none.
-  std::uint64_t least_ = 0;
+  std::uint64_t min_version_ = 0;
   /// Versions below this one may be used until `until_` only.
-  std::uint64_t next_ = 0;
-  core::TimePoint until_;
+  std::uint64_t next_min_version_ = 0;
+  core::TimePoint next_min_at_;
 };
 
 /// @brief Which endpoints a request may go to.
@@ -149,7 +149,7 @@
   bool on_time_ = true;
   /// Weights the answer must come from; none for any.
   std::optional<std::uint64_t> weights_version_;
-  VersionRule versions_;
+  VersionRule version_constraint_;
   /// Own requests that one endpoint may have under way: each has a connection,
   /// and all entries share what the endpoint accepts. 0 for any number.
   std::uint32_t max_in_flight_ = 0;
@@ -236,11 +236,11 @@
 
   /// @brief Whether another life is known to answer at the address of one that
   /// was listed and did not leave.
-  [[nodiscard]] bool Replaced(const std::string& address,
-                              const EndpointLife& life) const;
+  [[nodiscard]] bool IsReplaced(const std::string& address,
+                                const EndpointLife& life) const;
   /// @brief Whether a life said that it leaves, or its row was withdrawn: its
   /// end is planned.
-  [[nodiscard]] bool Departs(const EndpointLife& life) const;
+  [[nodiscard]] bool IsLeavingOrRemoved(const EndpointLife& life) const;
 
   /// @brief Endpoints of the subset that this entry uses: their agents are
   /// asked for reports.
@@ -248,11 +248,11 @@
 
   /// @brief Whether nothing is heard of an endpoint any more, while others are
   /// heard.
-  [[nodiscard]] bool IsSilent(const core::InstanceId& id) const;
+  [[nodiscard]] bool IsUnresponsive(const core::InstanceId& id) const;
 
   [[nodiscard]] std::size_t size() const noexcept { return endpoints_.size(); }
   [[nodiscard]] std::uint64_t revision() const noexcept { return revision_; }
-  [[nodiscard]] bool heard() const noexcept { return revision_ > 0; }
+  [[nodiscard]] bool has_list() const noexcept { return revision_ > 0; }
   /// @brief The list believed in lacks nothing that was published before; the
   /// clock's epoch until one was heard.
   [[nodiscard]] core::TimePoint as_of() const noexcept { return as_of_; }
--- a/packages/chalkwell/src/chalkwell/routing/engine_model.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/engine_model.cpp
@@ -12,7 +12,7 @@
   const double context = (engine.usual_prompt_ + engine.usual_answer_) / 1000;
   const double added = core::ToMs(engine.step_per_request_) +
                        core::ToMs(engine.step_per_kilotoken_) * context;
-  return core::FromMs(core::ToMs(engine.step_) + added * running);
+  return core::FromMs(core::ToMs(engine.step_time_) + added * running);
 }
 
 core::Duration FirstEventAfter(const config::EngineProfile& engine,
--- a/packages/chalkwell/src/chalkwell/routing/event_splitter.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/event_splitter.cpp
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-WholeEvents EventSplitter::Take(std::string_view bytes) {
+WholeEvents EventSplitter::Append(std::string_view bytes) {
   rest_.append(bytes);
   WholeEvents whole;
   std::size_t begin = 0;
--- a/packages/chalkwell/src/chalkwell/routing/event_splitter.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/event_splitter.hpp
@@ -22,9 +22,11 @@
   /// @brief Takes bytes and returns the events they complete. Events numbered
   /// no higher than the last one taken are left out: a resumed stream may
   /// repeat them.
-  [[nodiscard]] WholeEvents Take(std::string_view bytes);
+  [[nodiscard]] WholeEvents Append(std::string_view bytes);
   /// @brief Bytes of an event that is not complete yet.
-  [[nodiscard]] const std::string& rest() const noexcept { return rest_; }
+  [[nodiscard]] const std::string& partial_event() const noexcept {
+    return rest_;
+  }
   /// @brief Forgets an incomplete event: its attempt has ended.
   void DropRest() noexcept { rest_.clear(); }
   /// @brief Number of the last whole event; none before the first.
--- a/packages/chalkwell/src/chalkwell/routing/execution_guard.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/execution_guard.cpp
@@ -14,7 +14,7 @@
       limits_(limits),
       faults_(faults) {}
 
-std::uint64_t ExecutionGuard::OpenMinter() {
+std::uint64_t ExecutionGuard::RegisterIssuer() {
   if (windows_.size() >= limits_.max_minters_) {
     windows_.erase(windows_.begin());
   }
@@ -35,9 +35,9 @@
   if (!own && !faults_.ignore_incarnation_) {
     return TicketVerdict::kOtherIncarnation;
   }
-  auto window = windows_.find(ticket.minter_);
+  auto window = windows_.find(ticket.issuer_);
   if (window == windows_.end() && faults_.reopen_minters_) {
-    window = windows_.emplace(ticket.minter_, Window{}).first;
+    window = windows_.emplace(ticket.issuer_, Window{}).first;
   }
   if (window == windows_.end()) {
     return TicketVerdict::kForgotten;
@@ -53,7 +53,7 @@
         shift >= kWindow ? std::bitset<kWindow>{} : window.used_ << shift;
     window.used_.set(0);
     window.highest_ = ticket.sequence_;
-    return TicketVerdict::kRun;
+    return TicketVerdict::kAccepted;
   }
   const auto age = window.highest_ - ticket.sequence_;
   if (age >= kWindow) {
@@ -61,7 +61,7 @@
   }
   if (!window.used_.test(age) || faults_.forget_window_) {
     window.used_.set(age);
-    return TicketVerdict::kRun;
+    return TicketVerdict::kAccepted;
   }
   return FindAnswer(ticket) != nullptr ? TicketVerdict::kAnswerHeld
                                        : TicketVerdict::kUsed;
--- a/packages/chalkwell/src/chalkwell/routing/execution_guard.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/execution_guard.hpp
@@ -18,7 +18,7 @@
 /// @brief What the guard says to a ticket.
 enum class TicketVerdict : std::uint8_t {
   /// First use: run it.
-  kRun,
+  kAccepted,
   /// Used before, and the answer is not (or no longer) held.
   kUsed,
   /// Used before, and the answer is held: give it again.
@@ -67,7 +67,7 @@
   }
 
   /// @brief Gives an entry a minter number; the oldest may be forgotten.
-  [[nodiscard]] std::uint64_t OpenMinter();
+  [[nodiscard]] std::uint64_t RegisterIssuer();
   /// @brief Uses the ticket up; only kRun permits to run.
   [[nodiscard]] TicketVerdict Use(const ExecutionTicket& ticket);
   /// @brief Keeps the answer for the caller's own retries, within bounds.
--- a/packages/chalkwell/src/chalkwell/routing/execution_ticket.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/execution_ticket.cpp
@@ -29,7 +29,7 @@
 
 std::string ToString(const ExecutionTicket& ticket) {
   return std::string(kPrefix) + std::to_string(ticket.incarnation_) + "." +
-         std::to_string(ticket.minter_) + "." +
+         std::to_string(ticket.issuer_) + "." +
          std::to_string(ticket.sequence_) + "." + ticket.endpoint_.value();
 }
 
@@ -46,7 +46,7 @@
   }
   return ExecutionTicket{.endpoint_ = core::InstanceId(std::string(text)),
                          .incarnation_ = *incarnation,
-                         .minter_ = *minter,
+                         .issuer_ = *minter,
                          .sequence_ = *sequence};
 }
 
@@ -54,10 +54,10 @@
                            std::uint64_t minter)
     : last_{.endpoint_ = std::move(endpoint),
             .incarnation_ = incarnation,
-            .minter_ = minter,
+            .issuer_ = minter,
             .sequence_ = 0} {}
 
-ExecutionTicket TicketMinter::Mint() {
+ExecutionTicket TicketMinter::Issue() {
   ++last_.sequence_;
   return last_;
 }
--- a/packages/chalkwell/src/chalkwell/routing/execution_ticket.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/execution_ticket.hpp
@@ -18,7 +18,7 @@
   /// Of the agent; a replaced agent refuses all tickets of the one before.
   std::uint64_t incarnation_ = 0;
   /// Number that the agent gave to the stream of the entry that minted it.
-  std::uint64_t minter_ = 0;
+  std::uint64_t issuer_ = 0;
   /// Rises by one with each ticket of a minter; begins at 1.
   std::uint64_t sequence_ = 0;
 
@@ -39,7 +39,7 @@
   TicketMinter(core::InstanceId endpoint, std::uint64_t incarnation,
                std::uint64_t minter);
 
-  [[nodiscard]] ExecutionTicket Mint();
+  [[nodiscard]] ExecutionTicket Issue();
 
  private:
   /// Sequence of the last ticket.
--- a/packages/chalkwell/src/chalkwell/routing/list_history.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/list_history.cpp
@@ -62,7 +62,7 @@
   EndpointListChange change;
   change.from_ = reads_.front().revision_;
   change.to_ = now.revision_;
-  change.whole_ = change.from_ == 0;
+  change.full_ = change.from_ == 0;
   change.complete_ = complete;
   for (const auto& row : now.rows_) {
     if (unchanged[row.id_] < reads_.size()) {
@@ -70,7 +70,7 @@
     }
   }
   if (complete) {
-    change.gone_.assign(gone.begin(), gone.end());
+    change.removed_.assign(gone.begin(), gone.end());
   }
   return change;
 }
--- a/packages/chalkwell/src/chalkwell/routing/request_age.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_age.hpp
@@ -24,7 +24,8 @@
 class RequestAge {
  public:
   /// @brief Adds a request and returns its age; zero when it is not known.
-  core::Duration OnRequest(const std::string& route, core::Duration time_left);
+  core::Duration AddAndEstimate(const std::string& route,
+                                core::Duration time_left);
 
  private:
   struct Seen {
--- a/packages/chalkwell/src/chalkwell/routing/request_quarantine.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_quarantine.cpp
@@ -10,7 +10,7 @@
 
 core::TimePoint LastCrash(const CrashRecord& record) {
   return record.crashes_.empty() ? core::TimePoint{}
-                                 : record.crashes_.back().at_;
+                                 : record.crashes_.back().crashed_at_;
 }
 
 }  // namespace
@@ -60,8 +60,8 @@
     known->cleared_ = known->cleared_ || crash.cleared_;
     return cleared;
   }
-  const auto later =
-      std::ranges::upper_bound(crashes, crash.at_, {}, &EndpointCrash::at_);
+  const auto later = std::ranges::upper_bound(crashes, crash.crashed_at_, {},
+                                              &EndpointCrash::crashed_at_);
   if (crashes.size() >= settings_.max_crashes_ && later == crashes.begin()) {
     return false;
   }
@@ -75,7 +75,7 @@
 bool RequestQuarantine::CompletedAfter(const RequestDigest& request,
                                        const EndpointCrash& crash) const {
   const auto found = completions_.find(request);
-  return found != completions_.end() && found->second >= crash.at_;
+  return found != completions_.end() && found->second >= crash.crashed_at_;
 }
 
 void RequestQuarantine::ForgetCompletions(core::TimePoint now) {
@@ -146,7 +146,7 @@
 
 void RequestQuarantine::Expire(core::TimePoint now) {
   std::erase_if(entries_, [&](const auto& row) {
-    return now - LastCrash(row.second.record_) >= settings_.memory_;
+    return now - LastCrash(row.second.record_) >= settings_.record_retention_;
   });
   ForgetCompletions(now);
 }
@@ -159,8 +159,8 @@
   }
 }
 
-bool RequestQuarantine::OnTrial(const RequestDigest& request,
-                                core::TimePoint now) const {
+bool RequestQuarantine::TrialActive(const RequestDigest& request,
+                                    core::TimePoint now) const {
   const auto found = entries_.find(request);
   return found != entries_.end() && now < found->second.trial_until_;
 }
@@ -169,17 +169,17 @@
   if (crash.cleared_) {
     return;
   }
-  const bool apart = crash.at_ - causes.last_ >= settings_.same_cause_;
-  const auto sent_at = crash.at_ - crash.under_way_;
-  const bool sent_after = crash.under_way_ >= settings_.least_run_ &&
+  const bool apart = crash.crashed_at_ - causes.last_ >= settings_.same_cause_;
+  const auto sent_at = crash.crashed_at_ - crash.elapsed_;
+  const bool sent_after = crash.elapsed_ >= settings_.least_run_ &&
                           sent_at >= causes.last_ - settings_.clock_error_;
   if (causes.count_ == 0) {
-    causes.first_ = crash.at_;
+    causes.first_ = crash.crashed_at_;
   } else if (!apart && !sent_after) {
     return;
   }
   ++causes.count_;
-  causes.last_ = crash.at_;
+  causes.last_ = crash.crashed_at_;
 }
 
 RequestQuarantine::Causes RequestQuarantine::CausesOf(
@@ -193,7 +193,8 @@
   return causes;
 }
 
-std::size_t RequestQuarantine::Blames(const RequestDigest& request) const {
+std::size_t RequestQuarantine::AttributedCrashes(
+    const RequestDigest& request) const {
   return CausesOf(request).count_;
 }
 
@@ -227,7 +228,7 @@
   if (entries_.empty()) {
     return Standing::kClear;
   }
-  const auto blames = Blames(request);
+  const auto blames = AttributedCrashes(request);
   if (blames < settings_.suspected_after_) {
     return Standing::kClear;
   }
@@ -257,7 +258,7 @@
   std::vector<Candidate> order;
   order.reserve(entries_.size());
   for (auto& [request, entry] : entries_) {
-    const bool clear = Blames(request) < settings_.suspected_after_;
+    const bool clear = AttributedCrashes(request) < settings_.suspected_after_;
     if (!clear || entry.sampled_ < settings_.clear_samples_) {
       order.push_back({&entry, clear});
     }
--- a/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
@@ -26,9 +26,9 @@
   /// Entry that saw it.
   core::InstanceId reporter_;
   /// By the clock of who holds the record.
-  core::TimePoint at_;
+  core::TimePoint crashed_at_;
   /// How long the request had been under way there.
-  core::Duration under_way_{};
+  core::Duration elapsed_{};
   /// The request is known not to be the cause: one like it ran to its end
   /// afterwards, or an operator said so. Never taken back.
   bool cleared_ = false;
@@ -72,7 +72,7 @@
   core::Duration first_term_ = std::chrono::seconds(60);
   core::Duration longest_term_ = std::chrono::minutes(30);
   /// From the last crash until the request is forgotten.
-  core::Duration memory_ = std::chrono::hours(1);
+  core::Duration record_retention_ = std::chrono::hours(1);
   /// Records kept; those whose last crash is oldest give way.
   std::size_t max_records_ = 1024;
   /// Crashes kept of one request, the newest.
@@ -117,8 +117,8 @@
   /// @brief Another attempt of a suspected request is under way somewhere, for
   /// this long at the most; zero when it has ended.
   void SetTrial(const RequestDigest& request, core::TimePoint until);
-  [[nodiscard]] bool OnTrial(const RequestDigest& request,
-                             core::TimePoint now) const;
+  [[nodiscard]] bool TrialActive(const RequestDigest& request,
+                                 core::TimePoint now) const;
 
   [[nodiscard]] Standing StandingOf(const RequestDigest& request,
                                     core::TimePoint now) const;
@@ -127,7 +127,8 @@
   [[nodiscard]] core::TimePoint QuarantinedUntil(
       const RequestDigest& request) const;
   /// @brief Crashes with causes of their own that the request is blamed for.
-  [[nodiscard]] std::size_t Blames(const RequestDigest& request) const;
+  [[nodiscard]] std::size_t AttributedCrashes(
+      const RequestDigest& request) const;
   /// @brief The same after one more crash.
   [[nodiscard]] std::size_t BlamesAfter(const RequestDigest& request,
                                         const EndpointCrash& crash) const;
--- a/packages/chalkwell/src/chalkwell/routing/request_tracker.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_tracker.cpp
@@ -66,9 +66,9 @@
   return {SendAttempt{attempt_, *endpoint, resume_from}};
 }
 
-RequestActions RequestTracker::OnBegin(AttemptNumber attempt,
-                                       bool right_weights,
-                                       core::TimePoint now) {
+RequestActions RequestTracker::OnResponseStarted(AttemptNumber attempt,
+                                                 bool right_weights,
+                                                 core::TimePoint now) {
   const bool current = !finished_ && outstanding_ && attempt == attempt_;
   if (!current || right_weights || faults_.ignore_other_weights_) {
     return {};
@@ -124,7 +124,7 @@
   return Finish(OutcomeWithoutAnswer());
 }
 
-RequestActions RequestTracker::GiveUp() {
+RequestActions RequestTracker::Abort() {
   if (finished_) {
     return {};
   }
--- a/packages/chalkwell/src/chalkwell/routing/request_tracker.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_tracker.hpp
@@ -120,8 +120,9 @@
   /// @brief The back end has begun to answer.
   /// @param right_weights whether it answers from the weights pinned for the
   /// attempt; if not, not one byte may reach the caller.
-  [[nodiscard]] RequestActions OnBegin(AttemptNumber attempt,
-                                       bool right_weights, core::TimePoint now);
+  [[nodiscard]] RequestActions OnResponseStarted(AttemptNumber attempt,
+                                                 bool right_weights,
+                                                 core::TimePoint now);
   /// @brief Whether bytes of this attempt may go to the caller now; if so they
   /// count as forwarded.
   /// @param pieces whole pieces among them, from which an answer can go on.
@@ -130,7 +131,7 @@
   [[nodiscard]] RequestActions OnEnded(AttemptNumber attempt, AttemptEnd end,
                                        core::TimePoint now);
   /// @brief The deadline passed or the caller went away.
-  [[nodiscard]] RequestActions GiveUp();
+  [[nodiscard]] RequestActions Abort();
 
  private:
   [[nodiscard]] RequestActions Finish(Outcome outcome);
--- a/packages/chalkwell/src/chalkwell/routing/retry_budget.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/retry_budget.cpp
@@ -19,7 +19,8 @@
   return slice;
 }
 
-double RetryBudget::Left(RetryKind kind, core::TimePoint now) const noexcept {
+double RetryBudget::Available(RetryKind kind,
+                              core::TimePoint now) const noexcept {
   const auto oldest =
       NumberAt(now) - static_cast<std::int64_t>(kSlices) + std::int64_t{1};
   double requests = 0;
@@ -41,8 +42,8 @@
   ++SliceAt(now).requests_;
 }
 
-bool RetryBudget::Take(RetryKind kind, core::TimePoint now) noexcept {
-  if (Left(kind, now) < 1.0) {
+bool RetryBudget::TryConsume(RetryKind kind, core::TimePoint now) noexcept {
+  if (Available(kind, now) < 1.0) {
     return false;
   }
   ++SliceAt(now).retries_;
--- a/packages/chalkwell/src/chalkwell/routing/retry_budget.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/retry_budget.hpp
@@ -39,13 +39,14 @@
       : settings_(settings) {}
 
   /// @brief Retries that the window still allows; not below 0.
-  [[nodiscard]] double Left(RetryKind kind, core::TimePoint now) const noexcept;
+  [[nodiscard]] double Available(RetryKind kind,
+                                 core::TimePoint now) const noexcept;
 
   void OnRequest(core::TimePoint now) noexcept;
   /// @brief Changes the reserve, as when the entries that share it do.
   void SetReserve(double reserve) noexcept { settings_.reserve_ = reserve; }
   /// @brief Takes one retry if there is one.
-  [[nodiscard]] bool Take(RetryKind kind, core::TimePoint now) noexcept;
+  [[nodiscard]] bool TryConsume(RetryKind kind, core::TimePoint now) noexcept;
 
  private:
   static constexpr std::size_t kSlices = 10;
--- a/packages/chalkwell/src/chalkwell/routing/slot_queue.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/slot_queue.hpp
@@ -45,7 +45,7 @@
   [[nodiscard]] std::size_t in_use() const noexcept { return in_use_; }
   [[nodiscard]] std::size_t waiting() const noexcept { return waiting_; }
   /// @brief Senders active of late; at least 1.
-  [[nodiscard]] std::size_t sharers(core::TimePoint now) const;
+  [[nodiscard]] std::size_t active_senders(core::TimePoint now) const;
 
   [[nodiscard]] SlotVerdict Offer(std::uint64_t run,
                                   const core::InstanceId& sender,
--- a/packages/chalkwell/src/chalkwell/routing/stream_admission.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/stream_admission.cpp
@@ -58,7 +58,7 @@
   }
   const auto& engine = *wanted.engine_;
   if (decision.on_time_ &&
-      AdmitsOnTime(request, decision.choice_->first_byte_,
+      AdmitsOnTime(request, decision.choice_->time_to_first_byte_,
                    LongReading(engine, wanted.prompt_tokens_))) {
     return decision;
   }
@@ -68,7 +68,8 @@
     wanted.on_time_ = false;
     decision.choice_ = endpoints.Choose(wanted, now);
   }
-  if (!decision.choice_ || !AdmitsLate(engine, decision.choice_->occupied_)) {
+  if (!decision.choice_ ||
+      !AdmitsLate(engine, decision.choice_->requests_ahead_)) {
     decision.retry_after_ = kLatePause;
   }
   return decision;
--- a/packages/chalkwell/src/chalkwell/swarm/assembly.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/assembly.cpp
@@ -13,14 +13,14 @@
 Assembly::Assembly(std::vector<bundle::Chunk> chunks, AssemblyFaults faults)
     : chunks_(std::move(chunks)), faults_(faults), held_(chunks_.size()) {}
 
-bool Assembly::whole() const noexcept {
+bool Assembly::complete() const noexcept {
   if (faults_.whole_too_early_) {
     return held_.count() + 1 >= held_.size();
   }
   return held_.full();
 }
 
-bool Assembly::Offer(std::size_t index, std::string_view bytes) {
+bool Assembly::VerifyAndAdd(std::size_t index, std::string_view bytes) {
   if (index >= chunks_.size()) {
     return false;
   }
--- a/packages/chalkwell/src/chalkwell/swarm/assembly.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/assembly.hpp
@@ -33,11 +33,11 @@
   }
   [[nodiscard]] const ChunkSet& held() const noexcept { return held_; }
   /// @brief Whether every chunk is there.
-  [[nodiscard]] bool whole() const noexcept;
+  [[nodiscard]] bool complete() const noexcept;
 
   /// @brief Takes the bytes of a chunk.
   /// @return false when they are not that chunk; they must be dropped.
-  [[nodiscard]] bool Offer(std::size_t index, std::string_view bytes);
+  [[nodiscard]] bool VerifyAndAdd(std::size_t index, std::string_view bytes);
   /// @brief The engine itself says that it holds the chunk.
   void MarkHeld(std::size_t index);
 
--- a/packages/chalkwell/src/chalkwell/swarm/fetch_window.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/fetch_window.cpp
@@ -21,8 +21,8 @@
   arrived_ = 0;
 }
 
-void FetchWindow::OnChunk(core::Duration transfer, std::size_t bytes,
-                          core::TimePoint now) {
+void FetchWindow::OnChunkReceived(core::Duration transfer, std::size_t bytes,
+                                  core::TimePoint now) {
   core::Duration alone{};
   if (settings_.bytes_per_second_ > 0) {
     alone = std::chrono::duration_cast<core::Duration>(
@@ -40,7 +40,7 @@
     samples_.pop_front();
   }
   ++arrived_;
-  const auto delay = Delay(now);
+  const auto delay = QueueingDelay(now);
   if (delay > settings_.shrink_above_) {
     if (now - cut_at_ >= settings_.cut_interval_) {
       size_ = std::max(settings_.least_, size_ / 2);
@@ -57,7 +57,7 @@
   return !samples_.empty() && now - samples_.back().at_ <= kMemory;
 }
 
-bool FetchWindow::Narrowed(core::TimePoint now) const {
+bool FetchWindow::LinkDegraded(core::TimePoint now) const {
   if (!Remembered(now) || settings_.bytes_per_second_ == 0) {
     return false;
   }
@@ -67,7 +67,7 @@
              static_cast<double>(settings_.bytes_per_second_);
 }
 
-core::Duration FetchWindow::Delay(core::TimePoint now) const {
+core::Duration FetchWindow::QueueingDelay(core::TimePoint now) const {
   if (!Remembered(now)) {
     return {};
   }
--- a/packages/chalkwell/src/chalkwell/swarm/fetch_window.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/fetch_window.hpp
@@ -44,16 +44,17 @@
   /// @brief A chunk arrived.
   /// @param transfer from its request to its last byte, less what its sender
   /// says that it waited there.
-  void OnChunk(core::Duration transfer, std::size_t bytes, core::TimePoint now);
+  void OnChunkReceived(core::Duration transfer, std::size_t bytes,
+                       core::TimePoint now);
   /// @brief Chunks that may be asked for at once; from least to most.
   [[nodiscard]] std::size_t size() const noexcept { return size_; }
   /// @brief How long the own link holds back what comes in, as the quickest of
   /// the last chunks shows: one sender's slow link does not count. Zero when
   /// no chunk came of late.
-  [[nodiscard]] core::Duration Delay(core::TimePoint now) const;
+  [[nodiscard]] core::Duration QueueingDelay(core::TimePoint now) const;
   /// @brief Whether the link carries far less than it is set to. False when the
   /// rate is not set or no chunk came of late.
-  [[nodiscard]] bool Narrowed(core::TimePoint now) const;
+  [[nodiscard]] bool LinkDegraded(core::TimePoint now) const;
 
  private:
   struct Sample {
--- a/packages/chalkwell/src/chalkwell/swarm/manifest_search.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/manifest_search.hpp
@@ -49,7 +49,7 @@
       std::span<const SwarmMember> holders,
       std::optional<std::size_t> origin_rank, core::TimePoint now);
   /// @brief An ask brought nothing: the next source need not wait.
-  void OnFailed() noexcept { asked_at_.reset(); }
+  void OnRequestFailed() noexcept { asked_at_.reset(); }
 
  private:
   [[nodiscard]] const SwarmMember* Best(
--- a/packages/chalkwell/src/chalkwell/swarm/older_pieces.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/older_pieces.cpp
@@ -22,19 +22,19 @@
   return available_.Has(piece) && !copies_.contains(piece);
 }
 
-void OlderPieces::Keep(std::size_t piece, std::string bytes) {
+void OlderPieces::SaveCopy(std::size_t piece, std::string bytes) {
   if (!NeedsCopy(piece)) {
     return;
   }
   if (bytes_ + bytes.size() > most_bytes_) {
-    Lose(piece);
+    Remove(piece);
     return;
   }
   bytes_ += bytes.size();
   copies_.emplace(piece, std::move(bytes));
 }
 
-void OlderPieces::Lose(std::size_t piece) {
+void OlderPieces::Remove(std::size_t piece) {
   available_.Remove(piece);
   const auto copy = copies_.find(piece);
   if (copy != copies_.end()) {
@@ -43,7 +43,7 @@
   }
 }
 
-const std::string* OlderPieces::Copy(std::size_t piece) const {
+const std::string* OlderPieces::FindCopy(std::size_t piece) const {
   const auto copy = copies_.find(piece);
   return copy == copies_.end() ? nullptr : &copy->second;
 }
--- a/packages/chalkwell/src/chalkwell/swarm/older_pieces.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/older_pieces.hpp
@@ -32,11 +32,11 @@
   [[nodiscard]] bool NeedsCopy(std::size_t piece) const;
   /// @brief Keeps a copy of a staged piece. It is lost once it is overwritten
   /// when there is no room for it.
-  void Keep(std::size_t piece, std::string bytes);
+  void SaveCopy(std::size_t piece, std::string bytes);
   /// @brief A piece can no longer be read.
-  void Lose(std::size_t piece);
+  void Remove(std::size_t piece);
   /// @return null when there is no copy of the piece.
-  [[nodiscard]] const std::string* Copy(std::size_t piece) const;
+  [[nodiscard]] const std::string* FindCopy(std::size_t piece) const;
 
  private:
   std::size_t most_bytes_;
--- a/packages/chalkwell/src/chalkwell/swarm/pacer.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/pacer.cpp
@@ -22,12 +22,12 @@
 }
 
 core::Duration Pacer::Reserve(std::uint64_t bytes, core::TimePoint now) {
-  const auto wait = Backlog(now);
+  const auto wait = BacklogDelay(now);
   free_at_ = std::max(free_at_, now - burst_) + TimeFor(bytes);
   return wait;
 }
 
-core::Duration Pacer::Backlog(core::TimePoint now) const {
+core::Duration Pacer::BacklogDelay(core::TimePoint now) const {
   return std::max(core::Duration{}, free_at_ - now);
 }
 
--- a/packages/chalkwell/src/chalkwell/swarm/pacer.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/pacer.hpp
@@ -22,7 +22,7 @@
   [[nodiscard]] core::Duration Reserve(std::uint64_t bytes,
                                        core::TimePoint now);
   /// @brief How long a reservation made now would wait.
-  [[nodiscard]] core::Duration Backlog(core::TimePoint now) const;
+  [[nodiscard]] core::Duration BacklogDelay(core::TimePoint now) const;
 
  private:
   [[nodiscard]] core::Duration TimeFor(std::uint64_t bytes) const noexcept;
--- a/packages/chalkwell/src/chalkwell/swarm/planner.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/planner.cpp
@@ -11,8 +11,8 @@
 Planner::Planner(SwarmMember self, PlannerSettings settings, std::uint64_t seed)
     : self_(std::move(self)), settings_(settings), random_(seed) {}
 
-std::uint64_t Planner::draws(DrawCause cause) const noexcept {
-  return cause == DrawCause::kElected ? elected_draws_ : silence_draws_;
+std::uint64_t Planner::origin_fetches(DrawCause cause) const noexcept {
+  return cause == DrawCause::kAssigned ? elected_draws_ : silence_draws_;
 }
 
 void Planner::Start(std::vector<bundle::Chunk> chunks, const ChunkSet& held,
@@ -101,7 +101,7 @@
   outstanding_.erase(request);
 }
 
-void Planner::OnChunk(std::size_t chunk, core::TimePoint now) {
+void Planner::OnChunkReceived(std::size_t chunk, core::TimePoint now) {
   TakeOutstanding(chunk, true, now);
   held_.Add(chunk);
   MarkSeen(chunk, true, now);
@@ -140,9 +140,9 @@
   }
 }
 
-void Planner::OnDropped(std::size_t chunk) { held_.Remove(chunk); }
+void Planner::OnChunkLost(std::size_t chunk) { held_.Remove(chunk); }
 
-void Planner::OnFailed(std::size_t chunk, core::TimePoint now) {
+void Planner::OnRequestFailed(std::size_t chunk, core::TimePoint now) {
   TakeOutstanding(chunk, false, now);
 }
 
@@ -154,7 +154,7 @@
     }
   }
   for (const auto& order : late) {
-    OnFailed(order.chunk_, now);
+    OnRequestFailed(order.chunk_, now);
   }
   return late;
 }
@@ -290,16 +290,16 @@
                                           core::TimePoint now) const {
   const auto rank = DrawRank(chunk);
   if (rank < settings_.origin_copies_) {
-    return DrawCause::kElected;
+    return DrawCause::kAssigned;
   }
   const auto behind = rank - settings_.origin_copies_ + 1;
   if (Overtaken(chunk, behind) && Holders(chunk).quick_ == 0) {
-    return DrawCause::kSilence;
+    return DrawCause::kTakeover;
   }
   const auto silence = now - last_progress_;
   if (Holders(chunk).quick_ == 0 &&
       silence >= settings_.draw_silence_ * static_cast<int>(behind)) {
-    return DrawCause::kSilence;
+    return DrawCause::kTakeover;
   }
   return std::nullopt;
 }
@@ -323,7 +323,7 @@
       settings_.draw_window_ == 0 ? chunks_.size() : WindowEnd();
   for (const auto chunk : MissingRarestFirst()) {
     const auto from_peers = outstanding_.size() - origin_outstanding_;
-    if (from_peers < settings_.in_flight_) {
+    if (from_peers < settings_.max_peer_requests_) {
       if (auto* peer = BestPeerFor(chunk, false, now); peer != nullptr) {
         Ask(chunk, peer, now, orders);
         continue;
@@ -341,7 +341,7 @@
     }
     const auto cause = MayDraw(chunk, now);
     if (cause && Holders(chunk).quick_ == 0) {
-      ++(*cause == DrawCause::kElected ? elected_draws_ : silence_draws_);
+      ++(*cause == DrawCause::kAssigned ? elected_draws_ : silence_draws_);
       Ask(chunk, nullptr, now, orders);
     }
   }
--- a/packages/chalkwell/src/chalkwell/swarm/planner.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/planner.hpp
@@ -24,7 +24,7 @@
   /// Requests outstanding at one peer.
   std::size_t per_peer_ = 2;
   /// Requests outstanding at all peers.
-  std::size_t in_flight_ = 8;
+  std::size_t max_peer_requests_ = 8;
   /// Requests outstanding at the origin.
   std::size_t origin_in_flight_ = 2;
   /// Chunks in order that nobody is known to hold and that may be drawn at
@@ -70,9 +70,9 @@
 /// @brief Why a chunk was drawn from the origin.
 enum class DrawCause : std::uint8_t {
   /// This member is among the first in rank.
-  kElected,
+  kAssigned,
   /// Those ahead in rank were silent.
-  kSilence,
+  kTakeover,
 };
 
 /// @brief Plans the fetch of one manifest's chunks by one member.
@@ -86,9 +86,11 @@
     return outstanding_.size();
   }
   /// @brief Chunks that some member is known to hold.
-  [[nodiscard]] std::size_t seen() const noexcept { return seen_.count(); }
+  [[nodiscard]] std::size_t available_count() const noexcept {
+    return seen_.count();
+  }
   /// @brief Draws from the origin so far, by cause.
-  [[nodiscard]] std::uint64_t draws(DrawCause cause) const noexcept;
+  [[nodiscard]] std::uint64_t origin_fetches(DrawCause cause) const noexcept;
 
   /// @brief Begins a fetch; chunks already held are not asked again.
   void Start(std::vector<bundle::Chunk> chunks, const ChunkSet& held,
@@ -97,7 +99,9 @@
   /// which links are narrowed.
   void SetMembers(std::vector<SwarmMember> members);
   /// @brief Changes how many requests may be outstanding at all peers.
-  void SetInFlight(std::size_t most) noexcept { settings_.in_flight_ = most; }
+  void SetInFlight(std::size_t most) noexcept {
+    settings_.max_peer_requests_ = most;
+  }
   /// @brief Whether the origin may be asked: not while it refuses.
   void SetOriginOpen(bool open) noexcept { origin_open_ = open; }
   /// @brief A peer with an open stream announces what it holds.
@@ -105,12 +109,12 @@
                    core::TimePoint now);
   void OnPeerLost(const core::InstanceId& peer);
   /// @brief A verified chunk arrived.
-  void OnChunk(std::size_t chunk, core::TimePoint now);
+  void OnChunkReceived(std::size_t chunk, core::TimePoint now);
   /// @brief A chunk that was held is gone; it is asked for again.
-  void OnDropped(std::size_t chunk);
+  void OnChunkLost(std::size_t chunk);
   /// @brief A request failed, timed out or gave a corrupt chunk. The peer does
   /// not count as its holder until it announces the chunk again.
-  void OnFailed(std::size_t chunk, core::TimePoint now);
+  void OnRequestFailed(std::size_t chunk, core::TimePoint now);
   /// @brief Requests whose time is up; they count as failed.
   [[nodiscard]] std::vector<FetchOrder> TakeTimedOut(core::TimePoint now);
   /// @brief What to ask for now.
--- a/packages/chalkwell/src/chalkwell/swarm/source_progress.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/source_progress.cpp
@@ -27,7 +27,7 @@
   }
 }
 
-bool SourceProgress::Observed(core::TimePoint now) const {
+bool SourceProgress::HasRate(core::TimePoint now) const {
   return now - started_ >= kSpan;
 }
 
@@ -41,7 +41,7 @@
     return core::Duration{};
   }
   const auto appeared = seen - samples_.front().seen_;
-  if (!Observed(now) || appeared == 0 || now - samples_.back().at_ >= kSpan) {
+  if (!HasRate(now) || appeared == 0 || now - samples_.back().at_ >= kSpan) {
     return std::nullopt;
   }
   const auto span = now - samples_.front().at_;
--- a/packages/chalkwell/src/chalkwell/swarm/source_progress.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/source_progress.hpp
@@ -23,7 +23,7 @@
   [[nodiscard]] std::optional<core::Duration> TimeLeft(
       core::TimePoint now) const;
   /// @brief Whether it was observed for long enough to have a rate.
-  [[nodiscard]] bool Observed(core::TimePoint now) const;
+  [[nodiscard]] bool HasRate(core::TimePoint now) const;
 
  private:
   struct Sample {
--- a/packages/cli/src/cli/bundle_commands.cpp
+++ b/packages/cli/src/cli/bundle_commands.cpp
@@ -261,7 +261,7 @@
     trusted.push_back(ReadPublicKey(key));
   }
   const auto verdict =
-      bundle::TrustedKeys(trusted).Check(envelope, bundle::kBundleContext);
+      bundle::TrustedKeys(trusted).Verify(envelope, bundle::kBundleContext);
   int faults = 0;
   if (verdict != bundle::SignatureVerdict::kValid) {
     ++faults;
--- a/packages/cli/src/cli/inspect_commands.cpp
+++ b/packages/cli/src/cli/inspect_commands.cpp
@@ -140,7 +140,7 @@
     trusted.push_back(*parsed);
   }
   config::AcceptedDocuments documents(trusted);
-  const auto acceptance = documents.Offer({key, 1, ReadFile(path)});
+  const auto acceptance = documents.Apply({key, 1, ReadFile(path)});
   if (!config::IsAccepted(acceptance.verdict_)) {
     throw core::Error(core::Step::kVerify, path,
                       std::string(config::ToString(acceptance.verdict_)) +
--- a/packages/daemon/src/daemon/agent.cpp
+++ b/packages/daemon/src/daemon/agent.cpp
@@ -48,7 +48,7 @@
               ParseAddress(process.settings().Text("endpoint", "backend"))),
       activation_({.lease_ = process.settings().Milliseconds("rollout",
                                                              "pause_lease_ms"),
-                   .tie_ = std::random_device{}() & kTieMask}),
+                   .tie_breaker_ = std::random_device{}() & kTieMask}),
       turns_(process.id(), process.settings().Real("rollout", "max_out_share"),
              process.settings().Milliseconds("rollout", "turn_lease_ms")),
       pause_(process.settings().Milliseconds("rollout", "pause_lease_ms")),
@@ -209,11 +209,11 @@
   }
   turns_.SetMembers(std::move(members));
   ReadOwnRow();
-  const auto* bundle = process_.config().documents().InForce();
+  const auto* bundle = process_.config().documents().ActiveBundle();
   if (is_engine_ && bundle != nullptr && bundle->AppliesTo(role_)) {
     const rollout::Target target{bundle->version_, bundle->manifest_};
     if (target > activation_.target()) {
-      turns_.Start(bundle->version_, process_.loop().Now());
+      turns_.StartRollout(bundle->version_, process_.loop().Now());
       Perform(activation_.OnTarget(target));
     }
   }
@@ -328,7 +328,7 @@
     Perform(activation_.OnEngineState(*state, asked_at, process_.loop().Now()));
     FinishDrain();
   } else {
-    if (before != rollout::Phase::kAsking) {
+    if (before != rollout::Phase::kQuerying) {
       process_.log().Write(core::EventNumber::kEngineUnreachable,
                            {{"peer", engine_.address().ToString()}});
     }
@@ -377,7 +377,7 @@
 
 std::string Agent::Status() const {
   const auto [staged, chunks] = weights_->progress();
-  const auto* bundle = process_.config().documents().InForce();
+  const auto* bundle = process_.config().documents().ActiveBundle();
   const nlohmann::json status{
       {"id", process_.id().value()},
       {"domain", process_.domain().value()},
--- a/packages/daemon/src/daemon/agent.hpp
+++ b/packages/daemon/src/daemon/agent.hpp
@@ -60,7 +60,7 @@
   core::Role role_;
   EngineClient engine_;
   rollout::Activation activation_;
-  rollout::Turns turns_;
+  rollout::RolloutSlots turns_;
   membership::PauseDetector pause_;
   std::unique_ptr<WeightFetcher> weights_;
   std::unique_ptr<RunHandler> runs_;
--- a/packages/daemon/src/daemon/agent_links.cpp
+++ b/packages/daemon/src/daemon/agent_links.cpp
@@ -51,7 +51,7 @@
   if (link == links_.end() || !link->second.minter_) {
     return std::nullopt;
   }
-  return link->second.minter_->Mint();
+  return link->second.minter_->Issue();
 }
 
 void AgentLinks::OnChange(std::function<void()> observer) {
@@ -101,7 +101,7 @@
         if (unanswered) {
           roster_.OnProbed(id, loop_.Now());
         } else {
-          roster_.OnHeard(id);
+          roster_.OnReceived(id);
         }
       });
       link.retry_ = std::make_shared<Timer>(loop_);
--- a/packages/daemon/src/daemon/chunk_upload.cpp
+++ b/packages/daemon/src/daemon/chunk_upload.cpp
@@ -19,7 +19,7 @@
 void ChunkUpload::Send(const PeerCallPtr& call,
                        const ChunkStore::Bytes& bytes) {
   const auto now = loop_.Now();
-  if (pacer_.Backlog(now) > kLongestBacklog) {
+  if (pacer_.BacklogDelay(now) > kLongestBacklog) {
     call->Respond(503, "link busy");
     return;
   }
--- a/packages/daemon/src/daemon/config_node.cpp
+++ b/packages/daemon/src/daemon/config_node.cpp
@@ -78,7 +78,7 @@
                        const std::string& source) {
   std::vector<std::string> changed;
   for (const auto& document : documents) {
-    const auto acceptance = documents_.Offer(document);
+    const auto acceptance = documents_.Apply(document);
     Report(document, acceptance, source);
     if (config::IsAccepted(acceptance.verdict_)) {
       changed.push_back(document.key_);
--- a/packages/daemon/src/daemon/direct/direct_agent.cpp
+++ b/packages/daemon/src/daemon/direct/direct_agent.cpp
@@ -156,7 +156,7 @@
     // machines they were heard 0.4 s later, and engines served as much later.
     reader_.ReadNow(Section::kRules, kSmallRead);
   }
-  if (waited >= kFactsPatience && rules_pause_.Ready(now)) {
+  if (waited >= kFactsPatience && rules_pause_.IsReady(now)) {
     rules_pause_.OnFailure(now);
     reader_.ReadNow(Section::kRules);
   }
@@ -164,8 +164,8 @@
 }
 
 void DirectAgent::ReadIfAlone(core::TimePoint now) {
-  const auto heard = std::max(audience_.last_heard(), started_at_);
-  if (now - heard < kEntryPatience || !alone_pause_.Ready(now)) {
+  const auto heard = std::max(audience_.last_renewed(), started_at_);
+  if (now - heard < kEntryPatience || !alone_pause_.IsReady(now)) {
     return;
   }
   alone_pause_.OnFailure(now);
@@ -178,7 +178,7 @@
 void DirectAgent::OnSubscribe(const membership::Member& entry) {
   const auto now = process_.loop().Now();
   const bool near = entry.domain_ == process_.domain();
-  if (audience_.OnSubscribe(entry.address_, near, now) && last_load_) {
+  if (audience_.Subscribe(entry.address_, near, now) && last_load_) {
     Tell(*last_load_, false, false, now);
   }
 }
@@ -187,7 +187,7 @@
                        core::TimePoint now) {
   load.sent_ms_ = static_cast<std::uint64_t>(
       std::chrono::duration_cast<milliseconds>(now.time_since_epoch()).count());
-  for (const auto& entry : audience_.Due(changed, urgent, now)) {
+  for (const auto& entry : audience_.CollectDue(changed, urgent, now)) {
     load.incarnation_ = entry.full_ ? incarnation_.value() : "";
     mesh_.SendReport(entry, load);
   }
@@ -255,7 +255,7 @@
   load.active_ = report->load_.active_;
   load.queued_ = report->load_.queued_;
   load.accepting_ = !weights_.switching() && !report->ordered_;
-  load.pace_ = static_cast<std::uint32_t>(report->load_.pace_ * kPaceUnit);
+  load.pace_ = static_cast<std::uint32_t>(report->load_.slowdown_ * kPaceUnit);
   const auto inbound = InboundDelay(now);
   load.inbound_ms_ = static_cast<std::uint32_t>(
       std::chrono::duration_cast<milliseconds>(inbound).count());
@@ -281,7 +281,7 @@
 bool DirectAgent::Restarted(const EngineReport& report) const {
   const auto held = report.models_.find(model_);
   const auto version = held == report.models_.end() ? 0 : held->second;
-  return routing::Differ(report.started_, started_) ||
+  return routing::StartTimesDiffer(report.started_, started_) ||
          report.orders_ < orders_ || version < version_;
 }
 
--- a/packages/daemon/src/daemon/direct/direct_entry.cpp
+++ b/packages/daemon/src/daemon/direct/direct_entry.cpp
@@ -148,7 +148,7 @@
             {.read_ = [this] { reader_.ReadNow(Section::kEndpoints); },
              .named_ =
                  [this](const std::string& service) {
-                   return rules_.empty() || rules_.Names(service);
+                   return rules_.empty() || rules_.HasService(service);
                  }}),
       keeper_(process.loop(), adapter_.store_, reader_, mesh_, process.log(),
               process.metrics(),
@@ -246,7 +246,7 @@
   if (rules_.empty()) {
     return "no rules were heard yet";
   }
-  return endpoints_.heard() ? "" : "no endpoints were heard yet";
+  return endpoints_.has_list() ? "" : "no endpoints were heard yet";
 }
 
 HttpLimits DirectEntry::Limits() const {
@@ -311,8 +311,8 @@
 }
 
 void DirectEntry::TakeWeights(const NamedWeights& weights, bool from_store) {
-  if (!weights_[weights.model_].OnNamed(weights.version_,
-                                        process_.loop().Now())) {
+  if (!weights_[weights.model_].OnVersionPublished(weights.version_,
+                                                   process_.loop().Now())) {
     return;
   }
   process_.log().Write(core::EventNumber::kWeightsNamed,
@@ -359,7 +359,7 @@
 
 void DirectEntry::OnLoad(const LoadMessage& message) {
   const auto now = process_.loop().Now();
-  if (reports_[message.endpoint_].Late(milliseconds(message.sent_ms_))) {
+  if (reports_[message.endpoint_].CheckLate(milliseconds(message.sent_ms_))) {
     process_.metrics().Count("reports_late_total", {});
     return;
   }
@@ -415,7 +415,7 @@
       received_at +
       std::min(route->timeout_, caller.time_left_.value_or(route->timeout_));
   if (caller.time_left_) {
-    request.age_ = ages_.OnRequest(route->name_, *caller.time_left_);
+    request.age_ = ages_.AddAndEstimate(route->name_, *caller.time_left_);
   }
   request.rules_version_ = rules_.rules().version_;
   request.digest_ = routing::RequestDigest::Of({.account_ = request.account_,
@@ -441,7 +441,7 @@
   wanted.max_in_flight_ = ConnectionShare(request.service_);
   if (request.engine_) {
     wanted.engine_ = &*request.engine_;
-    wanted.versions_ = RuleFor(request.engine_->model_);
+    wanted.version_constraint_ = RuleFor(request.engine_->model_);
   }
   if (!request.engine_) {
     if (endpoints_.Choose(wanted, now)) {
@@ -458,9 +458,9 @@
     reason = "no endpoint of service " + request.service_ + " can take work";
   } else if (decision.retry_after_) {
     reason = "its first event is expected after " +
-             Millis(decision.choice_->first_byte_) + " ms, target " +
+             Millis(decision.choice_->time_to_first_byte_) + " ms, target " +
              Millis(stream.target_) + " ms, age " + Millis(stream.age_) +
-             " ms, " + std::to_string(decision.choice_->occupied_) +
+             " ms, " + std::to_string(decision.choice_->requests_ahead_) +
              " places occupied";
   }
   return decision.retry_after_;
--- a/packages/daemon/src/daemon/direct/direct_request.cpp
+++ b/packages/daemon/src/daemon/direct/direct_request.cpp
@@ -110,7 +110,7 @@
   if (request_.engine_) {
     wanted.engine_ = &*request_.engine_;
     versions_ = context_.versions_(request_.engine_->model_);
-    wanted.versions_ = versions_;
+    wanted.version_constraint_ = versions_;
     if (choose.same_weights_) {
       wanted.weights_version_ = stream_version_;
     }
@@ -152,7 +152,8 @@
   options.silence_ = request_.deadline_ - now + milliseconds(1000);
   // While the connection opens the endpoint may leave, and the request may be
   // quarantined.
-  options.may_send_ = [this, self = shared_from_this(), life = row.life()] {
+  options.may_send_ = [this, self = shared_from_this(),
+                       life = row.incarnation()] {
     return context_.endpoints_.TakesWork(life, context_.loop_.Now()) &&
            context_.quarantine_.MayRepeat(request_.digest_, std::nullopt);
   };
@@ -191,12 +192,12 @@
        {"list", std::to_string(context_.endpoints_.revision())},
        {"list_age_ms", Millis(now - context_.endpoints_.as_of())},
        {"weights", std::to_string(row.weights_version_.value_or(0))},
-       {"occupied", std::to_string(attempt_.choice_.occupied_)},
+       {"occupied", std::to_string(attempt_.choice_.requests_ahead_)},
        {"report_age_ms", attempt_.choice_.reported_
                              ? Millis(attempt_.choice_.report_age_)
                              : std::string("none")},
        {"on_time", request_.on_time_ ? "yes" : "no"},
-       {"predicted_ms", Millis(attempt_.choice_.first_byte_)},
+       {"predicted_ms", Millis(attempt_.choice_.time_to_first_byte_)},
        {"left_ms", Millis(terms.time_left_)}});
   context_.metrics_.Observe("endpoint_list_age_seconds", {},
                             now - context_.endpoints_.as_of());
@@ -217,8 +218,8 @@
     return false;
   }
   attempt_.delivered_ = !attempt_.call_->undelivered();
-  return !attempt_.delivered_ &&
-         !context_.endpoints_.TakesWork(attempt_.choice_.row_.life(), now);
+  return !attempt_.delivered_ && !context_.endpoints_.TakesWork(
+                                     attempt_.choice_.row_.incarnation(), now);
 }
 
 void DirectRequest::ExpectFirstByte() {
@@ -238,14 +239,15 @@
     return;
   }
   routing::AwaitedAttempt awaited;
-  awaited.target_ = request_.route_.target_latency_;
-  awaited.predicted_ = attempt_.choice_.first_byte_;
+  awaited.target_latency_ = request_.route_.target_latency_;
+  awaited.predicted_first_byte_ = attempt_.choice_.time_to_first_byte_;
   awaited.on_time_ = request_.on_time_;
   awaited.sent_at_ = attempt_.sent_at_;
-  awaited.silent_ = context_.endpoints_.IsSilent(attempt_.choice_.row_.id_);
+  awaited.unresponsive_ =
+      context_.endpoints_.IsUnresponsive(attempt_.choice_.row_.id_);
   if (request_.engine_) {
     awaited.weights_version_ = attempt_.choice_.row_.weights_version_;
-    awaited.versions_ = attempt_.versions_;
+    awaited.version_constraint_ = attempt_.versions_;
   }
   const auto now = context_.loop_.Now();
   const auto left = routing::GiveUpAt(awaited) - now;
@@ -279,7 +281,7 @@
   attempt_.answering_ = true;
   context_.endpoints_.OnFirstByte(
       attempt_.choice_.row_.id_, request_.caller_.prompt_tokens_,
-      attempt_.sent_at_, attempt_.choice_.first_byte_, now);
+      attempt_.sent_at_, attempt_.choice_.time_to_first_byte_, now);
   const bool success = status >= 200 && status < 300;
   attempt_.streams_ =
       success && attempt_.facts_.signed_ && request_.route_.streaming_;
@@ -302,7 +304,7 @@
     OnPlainData(bytes);
     return;
   }
-  const auto whole = events_.Take(bytes);
+  const auto whole = events_.Append(bytes);
   if (whole.count_ > 0 && tracker_.TakeAnswerBytes(number, whole.count_)) {
     Forward(whole.bytes_);
   }
@@ -453,7 +455,7 @@
 
 bool DirectRequest::MayRepeat(routing::RetryKind kind, core::TimePoint now) {
   return context_.quarantine_.MayRepeat(request_.digest_, last_lost_) &&
-         context_.budget_.Take(kind, now);
+         context_.budget_.TryConsume(kind, now);
 }
 
 void DirectRequest::OnSilence() {
@@ -481,7 +483,7 @@
   if (attempt_.call_ != nullptr && !attempt_.answering_) {
     CountEnded(routing::EndpointOutcome::kFailed);
   }
-  Perform(tracker_.GiveUp());
+  Perform(tracker_.Abort());
 }
 
 void DirectRequest::OnCallerGone() {
@@ -491,7 +493,7 @@
   context_.log_.Write(core::EventNumber::kCallerGone,
                       {{"request", request_.caller_.id_},
                        {"attempt", std::to_string(attempt_.number_)}});
-  Perform(tracker_.GiveUp());
+  Perform(tracker_.Abort());
 }
 
 void DirectRequest::Finish(const routing::FinishRequest& finish) {
@@ -505,7 +507,8 @@
   const bool answered = finish.outcome_ == routing::Outcome::kAnswered;
   if (started_) {
     if (answered) {
-      exchange_->Write(attempt_.streams_ ? events_.rest() : attempt_.body_);
+      exchange_->Write(attempt_.streams_ ? events_.partial_event()
+                                         : attempt_.body_);
     }
     exchange_->End(answered);
   } else if (answered) {
--- a/packages/daemon/src/daemon/direct/endpoint_list.cpp
+++ b/packages/daemon/src/daemon/direct/endpoint_list.cpp
@@ -23,10 +23,11 @@
 membership::ReadDutySettings DutySettings(const EndpointListSettings& list) {
   const auto often = list.often_;
   membership::ReadDutySettings settings;
-  settings.often_ = often;
-  settings.oldest_ = core::FromMs(core::ToMs(list.leave_bound_) * kOldestShare);
-  settings.patience_ = often + often / 2;
-  settings.step_ = often / 4;
+  settings.reader_interval_ = often;
+  settings.max_age_ =
+      core::FromMs(core::ToMs(list.leave_bound_) * kOldestShare);
+  settings.takeover_timeout_ = often + often / 2;
+  settings.rank_delay_ = often / 4;
   settings.seldom_ = std::max(settings.seldom_, often);
   return settings;
 }
@@ -44,7 +45,7 @@
       hooks_(std::move(hooks)),
       settings_(settings),
       duty_(mesh.self().id_, DutySettings(settings)),
-      outage_({.renewal_ = settings.renewal_}) {}
+      outage_({.renewal_interval_ = settings.renewal_}) {}
 
 void EndpointList::LeaveOutUnnamed(std::vector<routing::EndpointRow>& rows) {
   std::set<core::InstanceId> unnamed;
@@ -66,7 +67,7 @@
   LeaveOutUnnamed(published.endpoints_);
   const auto now = loop_.Now();
   const auto before = endpoints_.Rows();
-  outage_.OnList(published.asked_at_, now);
+  outage_.OnListReceived(published.asked_at_, now);
   const bool complete = !outage_.MayHaveLapsed(now);
   endpoints_.TakeList(published.endpoints_, published.revision_, complete, now,
                       published.asked_at_);
@@ -84,7 +85,8 @@
 }
 
 bool EndpointList::Stale() const {
-  return endpoints_.heard() && duty_.Stale(endpoints_.as_of(), loop_.Now());
+  return endpoints_.has_list() &&
+         duty_.IsStale(endpoints_.as_of(), loop_.Now());
 }
 
 void EndpointList::WhenFresh(std::function<void()> task) {
@@ -115,15 +117,15 @@
   auto change = history_.OnRead(published.revision_, published.endpoints_,
                                 complete, loop_.Now());
   change.as_of_ = published.asked_at_;
-  if (duty_.Reads(loop_.Now()) && change.rows_.size() <= kMaxRows) {
+  if (duty_.IsReader(loop_.Now()) && change.rows_.size() <= kMaxRows) {
     mesh_.TellList(ToMessage(change, loop_.Now()));
   }
 }
 
 void EndpointList::OnReadFailed() {
   const auto now = loop_.Now();
-  duty_.OnFailed(now);
-  outage_.OnFailed();
+  duty_.OnReadFailed(now);
+  outage_.OnReadFailed();
   if (now - tried_told_at_ >= settings_.often_) {
     tried_told_at_ = now;
     mesh_.TellReadFailed();
@@ -136,13 +138,13 @@
                             core::TimePoint sent_at) {
   if (message.tried_) {
     duty_.OnTried(loop_.Now());
-    outage_.OnFailed();
+    outage_.OnReadFailed();
     return;
   }
   const auto before = endpoints_.Rows();
   auto change = ToChange(message, sent_at);
   // Whoever started during an outage does not know of it.
-  outage_.OnList(change.as_of_, loop_.Now());
+  outage_.OnListReceived(change.as_of_, loop_.Now());
   change.complete_ = change.complete_ && !outage_.MayHaveLapsed(loop_.Now());
   if (!endpoints_.TakeChange(change, loop_.Now())) {
     // What was told before was lost.
@@ -150,7 +152,7 @@
     return;
   }
   endpoints_.ConfirmAsOf(change.as_of_);
-  duty_.OnTold(change.as_of_);
+  duty_.OnPeerRead(change.as_of_);
   if (before != endpoints_.Rows()) {
     LogChange(teller.id_.value());
   }
@@ -179,9 +181,9 @@
     const auto now =
         std::ranges::find(after, row.id_, &routing::EndpointRow::id_);
     if (now == after.end()) {
-      departed.gone_.push_back(ToMessage(row.life()));
+      departed.gone_.push_back(ToMessage(row.incarnation()));
     } else if (now->leaving_ && !row.leaving_) {
-      departed.leaving_.push_back(ToMessage(now->life()));
+      departed.leaving_.push_back(ToMessage(now->incarnation()));
     }
   }
   if (!departed.leaving_.empty() || !departed.gone_.empty()) {
--- a/packages/daemon/src/daemon/direct/engine_facts.cpp
+++ b/packages/daemon/src/daemon/direct/engine_facts.cpp
@@ -39,7 +39,7 @@
   for (const auto& row : rules.services_) {
     if (row.name_ == service && row.engine_) {
       facts.model_ = row.engine_->model_;
-      facts.pieces_ = row.engine_->pieces_;
+      facts.pieces_ = row.engine_->weight_chunks_;
       facts.health_path_ = row.health_path_;
     }
     if (!row.origin_.empty()) {
--- a/packages/daemon/src/daemon/direct/mesh_messages.cpp
+++ b/packages/daemon/src/daemon/direct/mesh_messages.cpp
@@ -29,9 +29,9 @@
           .kind_ = static_cast<std::uint8_t>(member.kind_),
           .domain_ = member.domain_.value(),
           .address_ = member.address_,
-          .beat_ = member.beat_,
+          .beat_ = member.heartbeat_,
           .leaving_ = member.leaving_,
-          .near_ = member.near_};
+          .near_ = member.local_members_};
 }
 
 membership::Member ToMember(const MemberMessage& message) {
@@ -42,9 +42,9 @@
                                     : membership::MemberKind::kAgent;
   member.domain_ = core::FailureDomainId(message.domain_);
   member.address_ = message.address_;
-  member.beat_ = message.beat_;
+  member.heartbeat_ = message.beat_;
   member.leaving_ = message.leaving_;
-  member.near_ = message.near_;
+  member.local_members_ = message.near_;
   return member;
 }
 
@@ -72,7 +72,7 @@
   message.age_ms_ = ToAgeMs(now - change.as_of_);
   message.from_ = change.from_;
   message.to_ = change.to_;
-  message.whole_ = change.whole_;
+  message.whole_ = change.full_;
   message.complete_ = change.complete_;
   for (const auto& row : change.rows_) {
     message.rows_.push_back({.id_ = row.id_.value(),
@@ -85,7 +85,7 @@
                              .created_ = row.created_,
                              .started_ms_ = ToMs(row.started_)});
   }
-  for (const auto& id : change.gone_) {
+  for (const auto& id : change.removed_) {
     message.gone_.push_back(id.value());
   }
   return message;
@@ -97,7 +97,7 @@
   change.as_of_ = sent_at - ToAge(message.age_ms_);
   change.from_ = message.from_;
   change.to_ = message.to_;
-  change.whole_ = message.whole_;
+  change.full_ = message.whole_;
   change.complete_ = message.complete_;
   for (const auto& told : message.rows_) {
     routing::EndpointRow row;
@@ -115,7 +115,7 @@
     change.rows_.push_back(std::move(row));
   }
   for (const auto& id : message.gone_) {
-    change.gone_.emplace_back(id);
+    change.removed_.emplace_back(id);
   }
   return change;
 }
@@ -127,9 +127,9 @@
   for (const auto& crash : record.crashes_) {
     message.crashes_.push_back({.endpoint_ = ToMessage(crash.endpoint_),
                                 .reporter_ = crash.reporter_.value(),
-                                .age_ms_ = ToAgeMs(now - crash.at_),
+                                .age_ms_ = ToAgeMs(now - crash.crashed_at_),
                                 .cleared_ = crash.cleared_,
-                                .under_way_ms_ = ToAgeMs(crash.under_way_)});
+                                .under_way_ms_ = ToAgeMs(crash.elapsed_)});
   }
   return message;
 }
@@ -144,8 +144,8 @@
   for (const auto& crash : message.crashes_) {
     record.crashes_.push_back({.endpoint_ = ToLife(crash.endpoint_),
                                .reporter_ = core::InstanceId(crash.reporter_),
-                               .at_ = sent_at - ToAge(crash.age_ms_),
-                               .under_way_ = ToAge(crash.under_way_ms_),
+                               .crashed_at_ = sent_at - ToAge(crash.age_ms_),
+                               .elapsed_ = ToAge(crash.under_way_ms_),
                                .cleared_ = crash.cleared_});
   }
   return record;
@@ -157,7 +157,7 @@
   report.active_ = message.active_;
   report.queued_ = message.queued_;
   report.accepting_ = message.accepting_;
-  report.pace_ = message.pace_ / kPaceUnit;
+  report.slowdown_ = message.pace_ / kPaceUnit;
   if (message.version_ > 0) {
     report.weights_version_ = message.version_;
   }
--- a/packages/daemon/src/daemon/direct/mesh_node.cpp
+++ b/packages/daemon/src/daemon/direct/mesh_node.cpp
@@ -77,13 +77,13 @@
 }
 
 void MeshNode::Greet() {
-  table_.Beat();
+  table_.RaiseHeartbeat();
   GreetSeed();
   Tick();
 }
 
 void MeshNode::Tick() {
-  table_.Beat();
+  table_.RaiseHeartbeat();
   for (const auto& lost : table_.Expire(loop_.Now())) {
     LogMember(core::EventNumber::kMemberLost, lost);
     if (hooks_.on_lost_) {
@@ -91,19 +91,19 @@
     }
   }
   if (IsEntry()) {
-    for (const auto& silent : table_.Silent(kAsked, loop_.Now())) {
+    for (const auto& silent : table_.Unresponsive(kAsked, loop_.Now())) {
       auto message = Envelope();
       message.asks_ = true;
       SendTo(TrafficKind::kGossip, {silent}, message);
     }
-    for (const auto& target : table_.Targets(kTargets)) {
+    for (const auto& target : table_.GossipTargets(kTargets)) {
       auto message = GossipEnvelope(kCrashRecords);
       for (const auto& row : table_.Sample(kRows, target.domain_)) {
         message.rows_.push_back(ToMessage(row));
       }
       SendTo(TrafficKind::kGossip, {target}, message);
     }
-    if (++rounds_ % kSeedRounds == 0 && table_.Delegate()) {
+    if (++rounds_ % kSeedRounds == 0 && table_.IsDelegate()) {
       GreetSeed();
     }
   }
@@ -116,7 +116,7 @@
 }
 
 std::vector<membership::Member> MeshNode::Neighbours() const {
-  return Plan().near();
+  return Plan().local_members();
 }
 
 membership::SpreadPlan MeshNode::Plan() const {
@@ -124,8 +124,8 @@
 }
 
 void MeshNode::Leave() {
-  table_.Leave();
-  table_.Beat();
+  table_.SetLeaving();
+  table_.RaiseHeartbeat();
   SendTo(TrafficKind::kGossip, table_.Live(), Envelope());
 }
 
@@ -220,7 +220,7 @@
 }
 
 void MeshNode::Answer(const membership::Member& asker) {
-  table_.Beat();
+  table_.RaiseHeartbeat();
   const bool to_entry = asker.kind_ == membership::MemberKind::kEntry;
   auto answer = to_entry ? GossipEnvelope(kAnswerCrashRecords) : Envelope();
   if (IsEntry()) {
@@ -316,7 +316,7 @@
   onward.departed_ = departed;
   onward.list_ = message.list_;
   onward.list_.age_ms_ = ToAgeMs(ToAge(message.list_.age_ms_) + delay);
-  const auto targets = Plan().PassOn(sender.domain_);
+  const auto targets = Plan().ForwardTargets(sender.domain_);
   if (!targets.empty()) {
     told_domain_at_ = loop_.Now();
     SendTo(lists ? TrafficKind::kList : TrafficKind::kDeparted, targets,
@@ -336,36 +336,38 @@
   const auto bytes = static_cast<char>(DatagramKind::kReport) + Pack(load);
   if (socket_ != nullptr &&
       socket_->Send(ParseAddress(entry.address_), bytes)) {
-    traffic_.OnSent(TrafficKind::kReport, !entry.near_, bytes.size());
+    traffic_.OnSent(TrafficKind::kReport, !entry.local_, bytes.size());
   }
 }
 
 void MeshNode::TellDeparted(const DepartedMessage& departed) {
   auto message = Envelope();
   message.departed_ = departed;
-  SendTo(TrafficKind::kDeparted, Plan().Tell(membership::Reach::kSure),
-         message);
+  SendTo(TrafficKind::kDeparted,
+         Plan().AnnounceTargets(membership::DelegateFanout::kSure), message);
 }
 
 void MeshNode::TellList(const ListMessage& list) {
   auto message = Envelope();
   message.list_ = list;
   told_domain_at_ = loop_.Now();
-  SendTo(TrafficKind::kList, Plan().Tell(membership::Reach::kRepeated),
+  SendTo(TrafficKind::kList,
+         Plan().AnnounceTargets(membership::DelegateFanout::kRepeated),
          message);
 }
 
 void MeshNode::PublishCrashes(const std::vector<CrashRecordMessage>& records) {
   auto message = Envelope();
   message.crashes_ = records;
-  SendTo(TrafficKind::kCrashes, Plan().Tell(membership::Reach::kSure), message);
+  SendTo(TrafficKind::kCrashes,
+         Plan().AnnounceTargets(membership::DelegateFanout::kSure), message);
 }
 
 void MeshNode::ForwardCrashes(const core::FailureDomainId& from,
                               const std::vector<CrashRecordMessage>& records) {
   auto message = Envelope();
   message.crashes_ = records;
-  SendTo(TrafficKind::kCrashes, Plan().PassOn(from), message);
+  SendTo(TrafficKind::kCrashes, Plan().ForwardTargets(from), message);
 }
 
 void MeshNode::TellReadFailed() {
@@ -381,7 +383,7 @@
 
 void MeshNode::TellNews() {
   told_domain_at_ = loop_.Now();
-  TellNews(Plan().Tell(membership::Reach::kSure));
+  TellNews(Plan().AnnounceTargets(membership::DelegateFanout::kSure));
 }
 
 void MeshNode::SendHeld(const std::string& agent,
--- a/packages/daemon/src/daemon/direct/mesh_node.hpp
+++ b/packages/daemon/src/daemon/direct/mesh_node.hpp
@@ -89,7 +89,9 @@
   /// @brief Live entries of the own failure domain that do not leave.
   [[nodiscard]] std::vector<membership::Member> Neighbours() const;
   /// @brief Live entries of the whole deployment, this one included.
-  [[nodiscard]] std::size_t EntryCount() const { return table_.Count(); }
+  [[nodiscard]] std::size_t EntryCount() const {
+    return table_.DeploymentSize();
+  }
   [[nodiscard]] const membership::Member& self() const noexcept {
     return table_.self();
   }
--- a/packages/daemon/src/daemon/direct/older_weights.cpp
+++ b/packages/daemon/src/daemon/direct/older_weights.cpp
@@ -37,7 +37,7 @@
 }
 
 const std::string* OlderWeights::Copy(const PieceMessage& piece) const {
-  return Holds(piece) ? pieces_.Copy(piece.piece_) : nullptr;
+  return Holds(piece) ? pieces_.FindCopy(piece.piece_) : nullptr;
 }
 
 void OlderWeights::OnOverwritten(std::size_t piece,
@@ -46,10 +46,10 @@
       bytes && manifest_ && piece < manifest_->digests_.size() &&
       core::Digest::Sha256Of(*bytes) != manifest_->digests_[piece];
   if (!bytes || spoilt) {
-    pieces_.Lose(piece);
+    pieces_.Remove(piece);
     return;
   }
-  pieces_.Keep(piece, std::move(*bytes));
+  pieces_.SaveCopy(piece, std::move(*bytes));
 }
 
 void OlderWeights::AddTo(HeldMessage& held) const {
--- a/packages/daemon/src/daemon/direct/older_weights.hpp
+++ b/packages/daemon/src/daemon/direct/older_weights.hpp
@@ -39,7 +39,7 @@
   }
   /// @param bytes as staged; none when they could not be read.
   void OnOverwritten(std::size_t piece, std::optional<std::string> bytes);
-  void Lose(std::size_t piece) { pieces_.Lose(piece); }
+  void Lose(std::size_t piece) { pieces_.Remove(piece); }
   /// @brief Adds what can be given to what this agent announces.
   void AddTo(HeldMessage& held) const;
 
--- a/packages/daemon/src/daemon/direct/quarantine_keeper.cpp
+++ b/packages/daemon/src/daemon/direct/quarantine_keeper.cpp
@@ -46,7 +46,8 @@
       continue;
     }
     text += (text.empty() ? "" : ", ") + crash.endpoint_.id_.value() + " by " +
-            crash.reporter_.value() + " " + Millis(now - crash.at_) + "ms ago";
+            crash.reporter_.value() + " " + Millis(now - crash.crashed_at_) +
+            "ms ago";
   }
   return text;
 }
@@ -74,13 +75,13 @@
   if (standing == Standing::kClear) {
     return std::nullopt;
   }
-  const auto crashes = std::to_string(quarantine_.Blames(request)) +
+  const auto crashes = std::to_string(quarantine_.AttributedCrashes(request)) +
                        " endpoints crashed under it";
   if (standing == Standing::kQuarantined) {
     const auto left = quarantine_.QuarantinedUntil(request) - now;
     return QuarantineRefusal{"quarantined: " + crashes, left};
   }
-  if (quarantine_.OnTrial(request, now) || UnderWayUntil(request)) {
+  if (quarantine_.TrialActive(request, now) || UnderWayUntil(request)) {
     return QuarantineRefusal{
         "suspected: " + crashes + ", and one like it is under way",
         kTrialPause};
@@ -99,11 +100,12 @@
     return true;
   }
   // Until a probe shows otherwise the last endpoint may have crashed.
-  const routing::EndpointCrash crash{.endpoint_ = {},
-                                     .reporter_ = {},
-                                     .at_ = now,
-                                     .under_way_ = last->under_way_,
-                                     .cleared_ = !evidence_.Probing(request)};
+  const routing::EndpointCrash crash{
+      .endpoint_ = {},
+      .reporter_ = {},
+      .crashed_at_ = now,
+      .elapsed_ = last->elapsed_,
+      .cleared_ = !evidence_.ProbePending(request)};
   return quarantine_.BlamesAfter(request, crash) <
          quarantine_.suspected_after();
 }
@@ -134,8 +136,8 @@
 void QuarantineKeeper::OnLost(const routing::LostAttempt& attempt,
                               const routing::EndpointRow& endpoint) {
   const auto now = loop_.Now();
-  const auto life = endpoint.life();
-  if (endpoints_.Departs(life)) {
+  const auto life = endpoint.incarnation();
+  if (endpoints_.IsLeavingOrRemoved(life)) {
     return;
   }
   switch (evidence_.OnLost(attempt, life, endpoint.address_, now)) {
@@ -170,18 +172,18 @@
 void QuarantineKeeper::OnProbed(const routing::EndpointRow& endpoint,
                                 bool refused, unsigned tries) {
   if (refused) {
-    OnCrashed(endpoint.life(), "connection refused");
+    OnCrashed(endpoint.incarnation(), "connection refused");
   } else if (tries > 1) {
     loop_.After(kProbePause,
                 [this, endpoint, tries] { Probe(endpoint, tries - 1); });
   } else {
-    evidence_.OnInconclusive(endpoint.life());
+    evidence_.OnInconclusive(endpoint.incarnation());
   }
 }
 
 void QuarantineKeeper::CheckReplaced() {
-  for (const auto& loss : evidence_.Waiting(loop_.Now())) {
-    if (endpoints_.Replaced(loss.address_, loss.endpoint_)) {
+  for (const auto& loss : evidence_.Unconfirmed(loop_.Now())) {
+    if (endpoints_.IsReplaced(loss.address_, loss.endpoint_)) {
       OnCrashed(loss.endpoint_, "another incarnation");
     }
   }
@@ -198,10 +200,10 @@
              {{"endpoint", endpoint.id_.value()},
               {"address", crash.address_},
               {"evidence", evidence},
-              {"after_ms", Millis(loop_.Now() - crash.at_)},
+              {"after_ms", Millis(loop_.Now() - crash.first_loss_at_)},
               {"requests", std::to_string(crash.attempts_.size())}});
   for (const auto& attempt : crash.attempts_) {
-    AddCrash(attempt, endpoint, crash.at_);
+    AddCrash(attempt, endpoint, crash.first_loss_at_);
   }
 }
 
@@ -212,8 +214,8 @@
   const auto before = quarantine_.StandingOf(request, loop_.Now());
   const routing::EndpointCrash crash{.endpoint_ = endpoint,
                                      .reporter_ = mesh_.self().id_,
-                                     .at_ = at,
-                                     .under_way_ = attempt.under_way_,
+                                     .crashed_at_ = at,
+                                     .elapsed_ = attempt.elapsed_,
                                      .cleared_ = false};
   if (quarantine_.AddCrash(request, crash)) {
     Publish(request);
--- a/packages/daemon/src/daemon/direct/rules_keeper.cpp
+++ b/packages/daemon/src/daemon/direct/rules_keeper.cpp
@@ -78,10 +78,10 @@
   const auto now = loop_.Now();
   const bool near = member.domain_ == mesh_.self().domain_;
   if (watches && near) {
-    duty_.OnTold(member.id_, now);
+    duty_.OnWatcherAnnounced(member.id_, now);
   }
   if (version > version_) {
-    catch_up_.OnHeard({member.id_, near}, version, now);
+    catch_up_.OnAnnounced({member.id_, near}, version, now);
     CatchUp(now);
   }
 }
@@ -99,7 +99,7 @@
     members.push_back(neighbour.id_);
   }
   duty_.SetMembers(members);
-  const bool watches = duty_.Watches(now);
+  const bool watches = duty_.IsWatcher(now);
   if (std::exchange(watches_, watches) != watches) {
     log_.Write(core::EventNumber::kWatchDuty,
                {{"watches", watches ? "yes" : "no"},
@@ -110,15 +110,15 @@
     }
     told_at_ = {};
   }
-  const bool tells = duty_.Tells(now);
+  const bool tells = duty_.MustAnnounce(now);
   const core::Duration longest =
-      duty_.Watchers(now) == 1 ? kSoleWait : kSharedWait;
+      duty_.WatcherCount(now) == 1 ? kSoleWait : kSharedWait;
   for (const auto section : kWatched) {
     reader_.SetWait(section, tells ? std::min(longest, reader_.usual_wait())
                                    : reader_.usual_wait());
   }
   const auto told = std::max(told_at_, mesh_.told_domain_at());
-  if (tells && now - told >= duty_.tell_interval()) {
+  if (tells && now - told >= duty_.announce_interval()) {
     told_at_ = now;
     mesh_.TellNews(neighbours);
   }
@@ -129,12 +129,12 @@
     const auto live = mesh_.Live();
     const auto found = std::ranges::find(live, *peer, &membership::Member::id_);
     if (found == live.end()) {
-      catch_up_.OnLost(*peer);
+      catch_up_.OnPeerLost(*peer);
     } else {
       AskPeer(*found);
     }
   }
-  if (catch_up_.Overdue(now) && now - read_at_ >= kReadInterval) {
+  if (catch_up_.IsOverdue(now) && now - read_at_ >= kReadInterval) {
     read_at_ = now;
     reader_.ReadNow(Section::kRules);
   }
@@ -151,12 +151,12 @@
                            std::optional<RulesDocument> document) {
   const auto now = loop_.Now();
   if (!document) {
-    catch_up_.OnAnswer(peer, false, now);
+    catch_up_.OnFetchEnded(peer, false, now);
     return;
   }
   const auto published = store_.decode_rules_(document->text_);
   const bool helped = published.rules_ && published.rules_->version_ > version_;
-  catch_up_.OnAnswer(peer, helped, now);
+  catch_up_.OnFetchEnded(peer, helped, now);
   if (!helped) {
     return;
   }
--- a/packages/daemon/src/daemon/direct/rules_keeper.hpp
+++ b/packages/daemon/src/daemon/direct/rules_keeper.hpp
@@ -37,7 +37,7 @@
   void OnHeard(const membership::Member& member, std::uint64_t version,
                bool watches);
   void OnLost(const membership::Member& member) {
-    catch_up_.OnLost(member.id_);
+    catch_up_.OnPeerLost(member.id_);
   }
   /// @brief Answers a peer's call.
   /// @return false when the call is not for rules.
@@ -66,7 +66,7 @@
   EventLog& log_;
   Handler handler_;
   membership::WatchDuty duty_;
-  config::CatchUp catch_up_;
+  config::RulesPeerSelector catch_up_;
   RulesExchange exchange_;
   std::uint64_t version_ = 0;
   bool watches_ = true;
--- a/packages/daemon/src/daemon/direct/weights_keeper.cpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper.cpp
@@ -88,7 +88,7 @@
   }
   const auto before = wanted_.version_;
   wanted_ = weights;
-  named_.OnNamed(weights.version_, process_.loop().Now());
+  named_.OnVersionPublished(weights.version_, process_.loop().Now());
   process_.log().Write(core::EventNumber::kWeightsNamed,
                        {{"model", weights.model_},
                         {"version", std::to_string(weights.version_)}});
@@ -118,8 +118,9 @@
   }
   const auto held = report.models_.find(model_);
   const auto version = held == report.models_.end() ? 0 : held->second;
-  const bool restarted = routing::Differ(report.started_, started_seen_) ||
-                         report.orders_ < orders_seen_;
+  const bool restarted =
+      routing::StartTimesDiffer(report.started_, started_seen_) ||
+      report.orders_ < orders_seen_;
   orders_seen_ = report.orders_;
   started_seen_ = report.started_;
   heard_engine_ = true;
@@ -228,7 +229,7 @@
   held.bits_ = held_.ToBytes();
   held.serving_ = serving_;
   held.has_manifest_ = manifest_.has_value();
-  held.narrowed_ = window_.Narrowed(now) || older_first();
+  held.narrowed_ = window_.LinkDegraded(now) || older_first();
   older_.AddTo(held);
   return held;
 }
--- a/packages/daemon/src/daemon/direct/weights_keeper.hpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper.hpp
@@ -55,7 +55,7 @@
   [[nodiscard]] bool switching() const noexcept { return switching_; }
   /// @brief How long pieces that arrive wait on the own link.
   [[nodiscard]] core::Duration LinkDelay(core::TimePoint now) const {
-    return window_.Delay(now);
+    return window_.QueueingDelay(now);
   }
   [[nodiscard]] const swarm::ChunkSet& held() const noexcept { return held_; }
 
@@ -183,7 +183,7 @@
   /// Pauses between asks of the source while it fails.
   core::Backoff source_;
   swarm::FetchWindow window_;
-  rollout::Turns turns_;
+  rollout::RolloutSlots turns_;
   core::TimePoint announced_at_;
   bool announce_due_ = false;
   /// Whether the staging of a served version was looked at.
--- a/packages/daemon/src/daemon/direct/weights_keeper_fetch.cpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper_fetch.cpp
@@ -13,7 +13,7 @@
 
 std::vector<swarm::SwarmMember> WeightsKeeper::Lacking() const {
   return peers_.Lacking(goal_.version_,
-                        window_.Narrowed(process_.loop().Now()));
+                        window_.LinkDegraded(process_.loop().Now()));
 }
 
 std::size_t WeightsKeeper::ManifestRank() const {
@@ -45,7 +45,7 @@
 void WeightsKeeper::AskManifest() {
   const auto now = process_.loop().Now();
   std::optional<std::size_t> rank;
-  if (origin_ && peers_.knows_agents() && source_.Ready(now) &&
+  if (origin_ && peers_.knows_agents() && source_.IsReady(now) &&
       !older_first()) {
     rank = ManifestRank();
   }
@@ -84,8 +84,8 @@
           OnPiece(piece, std::nullopt, peer.value());
           return;
         }
-        window_.OnChunk(received->transfer_, received->bytes_.size(),
-                        process_.loop().Now());
+        window_.OnChunkReceived(received->transfer_, received->bytes_.size(),
+                                process_.loop().Now());
         OnPiece(piece, received->bytes_, peer.value());
       });
 }
@@ -104,11 +104,11 @@
                       (held.version_ == goal_.version_ ||
                        held.older_version_ == goal_.version_);
   if (wanted) {
-    const auto seen = planner_.seen();
+    const auto seen = planner_.available_count();
     planner_.OnAnnounced({id, sender.domain_},
                          OfferedPieces(held, goal_.version_, held_.size()),
                          process_.loop().Now());
-    if (planner_.seen() > seen) {
+    if (planner_.available_count() > seen) {
       // Someone drew what nobody had: the source answers again.
       source_.OnSuccess();
     }
@@ -152,7 +152,7 @@
   if (manifest) {
     TakeManifest(*manifest);
   } else {
-    search_.OnFailed();
+    search_.OnRequestFailed();
   }
 }
 
@@ -165,7 +165,7 @@
   if (goal_.version_ == 0) {
     wanted_ = {model_, manifest.version_};
     goal_ = wanted_;
-    named_.OnNamed(manifest.version_, process_.loop().Now());
+    named_.OnVersionPublished(manifest.version_, process_.loop().Now());
   }
   manifest_ = manifest;
   held_ = swarm::ChunkSet(manifest.digests_.size());
@@ -213,7 +213,7 @@
   planner_.SetMembers(Lacking());
   planner_.SetInFlight(window_.size());
   // Not knowing the others, each would draw everything.
-  planner_.SetOriginOpen(source_.Ready(now) && peers_.knows_agents() &&
+  planner_.SetOriginOpen(source_.IsReady(now) && peers_.knows_agents() &&
                          !older_first());
   for (const auto& order : planner_.Next(now)) {
     Fetch(order);
@@ -223,10 +223,10 @@
         core::EventNumber::kFetchFinished,
         {{"version", std::to_string(goal_.version_)},
          {"elected_draws",
-          std::to_string(planner_.draws(swarm::DrawCause::kElected))},
-         {"silence_draws",
-          std::to_string(planner_.draws(swarm::DrawCause::kSilence))}});
-    turns_.Start(goal_.version_, now);
+          std::to_string(planner_.origin_fetches(swarm::DrawCause::kAssigned))},
+         {"silence_draws", std::to_string(planner_.origin_fetches(
+                               swarm::DrawCause::kTakeover))}});
+    turns_.StartRollout(goal_.version_, now);
     SetPhase(Phase::kStaged);
   }
 }
@@ -241,7 +241,7 @@
 
 void WeightsKeeper::FetchFromOrigin(std::size_t piece) {
   if (!origin_) {
-    planner_.OnFailed(piece, process_.loop().Now());
+    planner_.OnRequestFailed(piece, process_.loop().Now());
     return;
   }
   process_.log().Write(core::EventNumber::kOriginDrawn,
@@ -265,7 +265,7 @@
   const bool good =
       bytes && core::Digest::Sha256Of(*bytes) == manifest_->digests_.at(piece);
   if (!good) {
-    planner_.OnFailed(piece, now);
+    planner_.OnRequestFailed(piece, now);
     process_.log().Write(
         bytes ? core::EventNumber::kChunkCorrupt
               : core::EventNumber::kChunkFailed,
--- a/packages/daemon/src/daemon/direct/weights_keeper_older.cpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper_older.cpp
@@ -47,7 +47,7 @@
 
 std::optional<core::TimePoint> WeightsKeeper::EndOf(
     std::uint64_t version) const {
-  return named_.EndOf(version, VersionBoundOf(process_.settings()));
+  return named_.ExpiryOf(version, VersionBoundOf(process_.settings()));
 }
 
 core::Duration WeightsKeeper::LinkTime(std::size_t pieces) const {
@@ -103,7 +103,7 @@
   const auto older =
       OfferedBelow(peers_.peers(), wanted_.version_, usual_pieces_);
   const auto end = older ? EndOf(*older) : std::nullopt;
-  if (!end || !progress_.Observed(now)) {
+  if (!end || !progress_.HasRate(now)) {
     return;
   }
   rollout::StartForecast forecast;
--- a/packages/daemon/src/daemon/direct/weights_keeper_switch.cpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper_switch.cpp
@@ -83,13 +83,13 @@
                    }
                    const auto now = process_.loop().Now();
                    if (!taken) {
-                     planner_.OnFailed(piece, now);
+                     planner_.OnRequestFailed(piece, now);
                      process_.log().Write(core::EventNumber::kStageFailed,
                                           {{"piece", std::to_string(piece)}});
                      return;
                    }
                    held_.Add(piece);
-                   planner_.OnChunk(piece, now);
+                   planner_.OnChunkReceived(piece, now);
                    announce_due_ = true;
                    Pump();
                  });
@@ -109,7 +109,7 @@
   process_.log().Write(core::EventNumber::kStagedSpoilt,
                        {{"piece", std::to_string(piece)}});
   if (phase_ == Phase::kFetching) {
-    planner_.OnDropped(piece);
+    planner_.OnChunkLost(piece);
   } else if (phase_ == Phase::kStaged) {
     SetPhase(Phase::kFetching);
     StartPlanner();
--- a/packages/daemon/src/daemon/messages.cpp
+++ b/packages/daemon/src/daemon/messages.cpp
@@ -45,7 +45,7 @@
     const config::AcceptedDocuments::Stamps& stamps) {
   std::map<std::string, StampMessage> message;
   for (const auto& [key, stamp] : stamps) {
-    message[key] = {stamp.order_, ToBytes(stamp.manifest_),
+    message[key] = {stamp.sequence_, ToBytes(stamp.manifest_),
                     ToBytes(stamp.content_)};
   }
   return message;
@@ -87,7 +87,7 @@
   std::uint64_t sum = 0;
   for (const auto& [key, stamp] : stamps) {
     sum += core::RendezvousScore(
-        key, std::to_string(stamp.order_) + stamp.content_.ToHex());
+        key, std::to_string(stamp.sequence_) + stamp.content_.ToHex());
   }
   return sum;
 }
--- a/packages/daemon/src/daemon/process_base.cpp
+++ b/packages/daemon/src/daemon/process_base.cpp
@@ -102,7 +102,7 @@
 }
 
 void ProcessBase::OnStopSignal() {
-  if (stop_.leaving()) {
+  if (stop_.draining()) {
     loop_.Stop();
     return;
   }
@@ -117,7 +117,7 @@
     return;
   }
   log_.Write(core::EventNumber::kStopped,
-             {{"unfinished", std::to_string(stop_.work())}});
+             {{"unfinished", std::to_string(stop_.pending())}});
   if (end_accepting_) {
     end_accepting_();
   }
--- a/packages/daemon/src/daemon/process_base.hpp
+++ b/packages/daemon/src/daemon/process_base.hpp
@@ -34,7 +34,7 @@
   [[nodiscard]] HttpClient& http() noexcept { return http_; }
   [[nodiscard]] Tracer& tracer() noexcept { return tracer_; }
   [[nodiscard]] membership::PlannedStop& stop() noexcept { return stop_; }
-  [[nodiscard]] bool stopping() const noexcept { return stop_.leaving(); }
+  [[nodiscard]] bool stopping() const noexcept { return stop_.draining(); }
 
   /// @brief Runs until a planned stop is finished or a second signal comes.
   /// @param begin_stop called once at the first SIGTERM or SIGINT.
--- a/packages/daemon/src/daemon/request_runner.cpp
+++ b/packages/daemon/src/daemon/request_runner.cpp
@@ -28,7 +28,7 @@
           .may_have_run_before_ = request.ticket_.has_value(),
           .may_retry_ =
               [&budget](routing::RetryKind kind, core::TimePoint now) {
-                return budget.Take(kind, now);
+                return budget.TryConsume(kind, now);
               },
           .retry_after_ = request.retry_after_};
 }
@@ -81,11 +81,11 @@
   const auto self = shared_from_this();
   exchange_->OnAbort([weak = weak_from_this()] {
     if (auto held = weak.lock()) {
-      held->Perform(held->tracker_.GiveUp());
+      held->Perform(held->tracker_.Abort());
     }
   });
   deadline_.Once(request_.deadline_ - services_.loop_.Now(),
-                 [self] { self->Perform(self->tracker_.GiveUp()); });
+                 [self] { self->Perform(self->tracker_.Abort()); });
   services_.budget_.OnRequest(services_.loop_.Now());
   Perform(tracker_.Start(services_.loop_.Now()));
 }
@@ -250,7 +250,8 @@
   } else if (!goes_on) {
     last_reason_ = "endpoint did not go on where the answer broke off";
   }
-  Perform(tracker_.OnBegin(attempt, right_weights, services_.loop_.Now()));
+  Perform(tracker_.OnResponseStarted(attempt, right_weights,
+                                     services_.loop_.Now()));
 }
 
 void RequestRunner::OnData(routing::AttemptNumber attempt,
@@ -320,7 +321,7 @@
   const auto kind = tracker_.forwarded() ? routing::RetryKind::kResume
                                          : routing::RetryKind::kFresh;
   return tracker_.attempt() < request_.max_attempts_ &&
-         services_.budget_.Left(kind, services_.loop_.Now()) >= 1 &&
+         services_.budget_.Available(kind, services_.loop_.Now()) >= 1 &&
          ChooseEndpoint(tracker_.forwarded()).has_value();
 }
 
--- a/packages/daemon/src/daemon/run_handler.cpp
+++ b/packages/daemon/src/daemon/run_handler.cpp
@@ -89,7 +89,7 @@
       slots_({.capacity_ = capacity, .max_waiting_ = capacity}) {}
 
 std::size_t RunHandler::sharers() const {
-  return slots_.sharers(process_.loop().Now());
+  return slots_.active_senders(process_.loop().Now());
 }
 
 std::string RunHandler::ReasonToRefuse(const RunMessage& message) const {
@@ -118,7 +118,7 @@
     return false;
   }
   const auto verdict = guard_.Use(*ticket);
-  if (verdict == routing::TicketVerdict::kRun) {
+  if (verdict == routing::TicketVerdict::kAccepted) {
     return true;
   }
   if (verdict == routing::TicketVerdict::kAnswerHeld) {
--- a/packages/daemon/src/daemon/weight_fetcher.cpp
+++ b/packages/daemon/src/daemon/weight_fetcher.cpp
@@ -66,7 +66,7 @@
   return {
       .origin_copies_ = settings.Number("weights", "origin_copies"),
       .per_peer_ = settings.Number("weights", "per_peer"),
-      .in_flight_ = settings.Number("weights", "in_flight"),
+      .max_peer_requests_ = settings.Number("weights", "in_flight"),
       .draw_silence_ = settings.Milliseconds("weights", "draw_silence_ms"),
       .chunk_timeout_ = settings.Milliseconds("weights", "chunk_timeout_ms")};
 }
@@ -179,7 +179,7 @@
                           {"peer", late.peer_ ? late.peer_->value() : "origin"},
                           {"reason", "timeout"}});
   }
-  if (download_.Backlog(now) > core::Duration{}) {
+  if (download_.BacklogDelay(now) > core::Duration{}) {
     return;
   }
   for (const auto& order : job->planner_->Next(now)) {
@@ -262,7 +262,7 @@
                              const std::string& source,
                              const std::string& reason) {
   const std::size_t shift = job->has_manifest_ ? 1 : 0;
-  job->planner_->OnFailed(index - shift, process_.loop().Now());
+  job->planner_->OnRequestFailed(index - shift, process_.loop().Now());
   process_.log().Write(
       core::EventNumber::kChunkFailed,
       {{"chunk", std::to_string(index)}, {"peer", source}, {"reason", reason}});
@@ -272,7 +272,7 @@
                             std::string bytes, const std::string& source) {
   const bool good = index == kManifestIndex
                         ? core::Digest::Of(bytes) == job->target_.manifest_
-                        : job->assembly_.Offer(index - 1, bytes);
+                        : job->assembly_.VerifyAndAdd(index - 1, bytes);
   if (!good) {
     process_.log().Write(core::EventNumber::kChunkCorrupt,
                          {{"chunk", std::to_string(index)}, {"peer", source}});
@@ -287,7 +287,7 @@
     }
     return;
   }
-  job->planner_->OnChunk(index - 1, process_.loop().Now());
+  job->planner_->OnChunkReceived(index - 1, process_.loop().Now());
   AnnounceHeld();
   Stage(job, index - 1, held);
   Pump();
@@ -302,7 +302,7 @@
     job_.reset();
     return;
   }
-  job->planner_->OnChunk(0, process_.loop().Now());
+  job->planner_->OnChunkReceived(0, process_.loop().Now());
   job->manifest_text_ = text;
   job->assembly_ = swarm::Assembly(job->manifest_.AllChunks());
   AnnounceHeld();
--- a/packages/emulator/src/emulator/fleet.cpp
+++ b/packages/emulator/src/emulator/fleet.cpp
@@ -199,7 +199,7 @@
   auto& entry = entries_[call.entry_];
   const auto left = call.budget_ - (now_ - call.asked_at_);
   routing::StreamRequest request{kind.target_, {}};
-  request.age_ = entry.ages_.OnRequest(kind.route_, left);
+  request.age_ = entry.ages_.AddAndEstimate(kind.route_, left);
   if (!spec_.late_last_) {
     request.age_ = {};
   }
@@ -232,7 +232,7 @@
   call.engine_ = std::stoul(chosen.row_.id_.value().substr(7));
   call.on_time_ = decision.on_time_;
   call.sent_at_ = now_;
-  call.predicted_ = chosen.first_byte_;
+  call.predicted_ = chosen.time_to_first_byte_;
   const auto priority = routing::EnginePriority(1, decision.on_time_);
   const bool taken = engines_[call.engine_].Offer(
       {id, call.prompt_tokens_, call.answer_tokens_, priority.value_or(1)},
--- a/tests/bundle/signature_test.cpp
+++ b/tests/bundle/signature_test.cpp
@@ -13,13 +13,13 @@
   const auto other = KeyPair::FromSeed("b");
   const TrustedKeys trusted({key.public_});
   const auto envelope = Sign(key, kBundleContext, "payload");
-  CHECK(trusted.Check(envelope, kBundleContext) == SignatureVerdict::kValid);
-  CHECK(trusted.Check(envelope, kTrustContext) == SignatureVerdict::kWrong);
-  CHECK(trusted.Check(Sign(other, kBundleContext, "payload"), kBundleContext) ==
-        SignatureVerdict::kUnknownKey);
+  CHECK(trusted.Verify(envelope, kBundleContext) == SignatureVerdict::kValid);
+  CHECK(trusted.Verify(envelope, kTrustContext) == SignatureVerdict::kInvalid);
+  CHECK(trusted.Verify(Sign(other, kBundleContext, "payload"),
+                       kBundleContext) == SignatureVerdict::kUnknownKey);
   auto changed = envelope;
   changed.payload_ += " ";
-  CHECK(trusted.Check(changed, kBundleContext) == SignatureVerdict::kWrong);
+  CHECK(trusted.Verify(changed, kBundleContext) == SignatureVerdict::kInvalid);
 }
 
 TEST_CASE("envelopes and keys survive their text forms", "[bundle]") {
--- a/tests/config/accepted_documents_test.cpp
+++ b/tests/config/accepted_documents_test.cpp
@@ -43,10 +43,10 @@
                Row{Routes(1, "/a"), Verdict::kOlder},
                Row{Routes(3, "no slash"), Verdict::kMalformed});
   AcceptedDocuments documents({kKey.public_});
-  REQUIRE(IsAccepted(documents.Offer(BundleOf(5, "w")).verdict_));
-  REQUIRE(IsAccepted(documents.Offer(Routes(2, "/a")).verdict_));
+  REQUIRE(IsAccepted(documents.Apply(BundleOf(5, "w")).verdict_));
+  REQUIRE(IsAccepted(documents.Apply(Routes(2, "/a")).verdict_));
   const auto before = documents.stamps();
-  CHECK(documents.Offer(row.offered_).verdict_ == row.verdict_);
+  CHECK(documents.Apply(row.offered_).verdict_ == row.verdict_);
   CHECK((documents.stamps() == before) != IsAccepted(row.verdict_));
 }
 
@@ -56,41 +56,41 @@
   REQUIRE(at != std::string::npos);
   document.body_.replace(at, 13, "\\\"version\\\":9");
   AcceptedDocuments documents({kKey.public_});
-  CHECK(documents.Offer(document).verdict_ == Verdict::kWrongSignature);
+  CHECK(documents.Apply(document).verdict_ == Verdict::kWrongSignature);
 }
 
 TEST_CASE("two contents of one version settle alike in any order", "[config]") {
   AcceptedDocuments left({kKey.public_});
   AcceptedDocuments right({kKey.public_});
-  (void)left.Offer(BundleOf(5, "a"));
-  (void)left.Offer(BundleOf(5, "b"));
-  (void)right.Offer(BundleOf(5, "b"));
-  (void)right.Offer(BundleOf(5, "a"));
+  (void)left.Apply(BundleOf(5, "a"));
+  (void)left.Apply(BundleOf(5, "b"));
+  (void)right.Apply(BundleOf(5, "b"));
+  (void)right.Apply(BundleOf(5, "a"));
   CHECK(left.stamps() == right.stamps());
-  CHECK(left.InForce()->manifest_ == right.InForce()->manifest_);
+  CHECK(left.ActiveBundle()->manifest_ == right.ActiveBundle()->manifest_);
 }
 
 TEST_CASE("keys rotate by publishing", "[config]") {
   const auto list =
       R"({"version":1,"keys":[")" + kNext.public_.ToHex() + R"("]})";
   AcceptedDocuments documents({kKey.public_});
-  CHECK(documents.Offer(BundleOf(1, "w", kNext)).verdict_ ==
+  CHECK(documents.Apply(BundleOf(1, "w", kNext)).verdict_ ==
         Verdict::kUnknownKey);
   const auto trust =
       bundle::Serialize(bundle::Sign(kKey, bundle::kTrustContext, list));
-  CHECK(documents.Offer({kTrustKey, 1, trust}).verdict_ == Verdict::kAccepted);
-  CHECK(documents.Offer(BundleOf(1, "w", kNext)).verdict_ ==
+  CHECK(documents.Apply({kTrustKey, 1, trust}).verdict_ == Verdict::kAccepted);
+  CHECK(documents.Apply(BundleOf(1, "w", kNext)).verdict_ ==
         Verdict::kAccepted);
-  CHECK(documents.Offer(BundleOf(2, "w")).verdict_ == Verdict::kUnknownKey);
+  CHECK(documents.Apply(BundleOf(2, "w")).verdict_ == Verdict::kUnknownKey);
   CHECK(documents.NewerThan({}).front().key_ == kTrustKey);
 }
 
 TEST_CASE("peers learn exactly what they lack", "[config]") {
   AcceptedDocuments ahead({kKey.public_});
   AcceptedDocuments behind({kKey.public_});
-  (void)ahead.Offer(BundleOf(2, "w"));
-  (void)ahead.Offer(Routes(1, "/a"));
-  (void)behind.Offer(Routes(1, "/a"));
+  (void)ahead.Apply(BundleOf(2, "w"));
+  (void)ahead.Apply(Routes(1, "/a"));
+  (void)behind.Apply(Routes(1, "/a"));
   CHECK(behind.IsBehind(ahead.stamps()));
   CHECK_FALSE(ahead.IsBehind(behind.stamps()));
   const auto newer = ahead.NewerThan(behind.stamps());
--- a/tests/config/catch_up_test.cpp
+++ b/tests/config/catch_up_test.cpp
@@ -35,32 +35,32 @@
                     Row{"another domain's, by one who watches", kFar, true,
                         settings.watch_grace_, true});
   CAPTURE(row.name_);
-  CatchUp catch_up(kSelf);
+  RulesPeerSelector catch_up(kSelf);
   catch_up.OnHave(3, kStart);
-  catch_up.OnHeard(row.source_, 4, kStart);
+  catch_up.OnAnnounced(row.source_, 4, kStart);
   CHECK(catch_up.Next(row.watches_, kStart + row.after_).has_value() ==
         row.asked_);
 }
 
 TEST_CASE("nobody is asked for what is known", "[config]") {
-  CatchUp catch_up(kSelf);
+  RulesPeerSelector catch_up(kSelf);
   catch_up.OnHave(4, kStart);
-  catch_up.OnHeard(kNear, 4, kStart);
+  catch_up.OnAnnounced(kNear, 4, kStart);
   CHECK_FALSE(catch_up.Next(false, kStart + 1s));
-  CHECK_FALSE(catch_up.Overdue(kStart + 1h));
-  catch_up.OnHeard(kNear, 5, kStart);
+  CHECK_FALSE(catch_up.IsOverdue(kStart + 1h));
+  catch_up.OnAnnounced(kNear, 5, kStart);
   catch_up.OnHave(5, kStart);
   CHECK_FALSE(catch_up.Next(false, kStart + 1s));
-  CHECK_FALSE(catch_up.Overdue(kStart + 1h));
+  CHECK_FALSE(catch_up.IsOverdue(kStart + 1h));
 }
 
 TEST_CASE("one is asked at a time, a neighbour before others", "[config]") {
-  CatchUp catch_up(kSelf);
-  catch_up.OnHeard(kFar, 5, kStart);
-  catch_up.OnHeard(kNear, 4, kStart);
+  RulesPeerSelector catch_up(kSelf);
+  catch_up.OnAnnounced(kFar, 5, kStart);
+  catch_up.OnAnnounced(kNear, 4, kStart);
   CHECK(catch_up.Next(true, kStart + 1s) == kNear.id_);
   CHECK_FALSE(catch_up.Next(true, kStart + 1s));
-  catch_up.OnAnswer(kNear.id_, true, kStart + 1s);
+  catch_up.OnFetchEnded(kNear.id_, true, kStart + 1s);
   catch_up.OnHave(4, kStart + 1s);
   CHECK(catch_up.Next(true, kStart + 2s) == kFar.id_);
 }
@@ -68,16 +68,16 @@
 TEST_CASE("one that fails or is silent is left for another", "[config]") {
   const bool silent = GENERATE(false, true);
   const CatchUpSettings settings;
-  CatchUp catch_up(kSelf);
-  catch_up.OnHeard(kNear, 4, kStart);
-  catch_up.OnHeard(kFar, 4, kStart);
+  RulesPeerSelector catch_up(kSelf);
+  catch_up.OnAnnounced(kNear, 4, kStart);
+  catch_up.OnAnnounced(kFar, 4, kStart);
   REQUIRE(catch_up.Next(false, kStart) == kNear.id_);
   auto now = kStart + settings.answer_time_;
   if (!silent) {
-    catch_up.OnAnswer(kNear.id_, false, now);
+    catch_up.OnFetchEnded(kNear.id_, false, now);
   }
   CHECK(catch_up.Next(false, now) == kFar.id_);
-  catch_up.OnAnswer(kFar.id_, false, now);
+  catch_up.OnFetchEnded(kFar.id_, false, now);
   CHECK_FALSE(catch_up.Next(false, now));
   now += settings.rest_;
   CHECK(catch_up.Next(false, now) == kNear.id_);
@@ -85,16 +85,16 @@
 
 TEST_CASE("the publisher is asked when nothing else helped", "[config]") {
   const CatchUpSettings settings;
-  CatchUp catch_up(kSelf);
-  catch_up.OnHeard(kNear, 4, kStart);
-  catch_up.OnLost(kNear.id_);
+  RulesPeerSelector catch_up(kSelf);
+  catch_up.OnAnnounced(kNear, 4, kStart);
+  catch_up.OnPeerLost(kNear.id_);
   CHECK_FALSE(catch_up.Next(false, kStart + 1s));
-  CHECK_FALSE(catch_up.Overdue(kStart + settings.patience_ - 1ms));
-  CHECK(catch_up.Overdue(kStart + settings.patience_));
+  CHECK_FALSE(catch_up.IsOverdue(kStart + settings.patience_ - 1ms));
+  CHECK(catch_up.IsOverdue(kStart + settings.patience_));
   // In a series of changes each one that arrives is progress.
-  catch_up.OnHeard(kNear, 9, kStart + settings.patience_);
+  catch_up.OnAnnounced(kNear, 9, kStart + settings.patience_);
   catch_up.OnHave(8, kStart + settings.patience_);
-  CHECK_FALSE(catch_up.Overdue(kStart + settings.patience_));
+  CHECK_FALSE(catch_up.IsOverdue(kStart + settings.patience_));
 }
 
 }  // namespace
--- a/tests/config/rules_spread_test.cpp
+++ b/tests/config/rules_spread_test.cpp
@@ -36,7 +36,7 @@
   core::InstanceId id_;
   std::size_t region_ = 0;
   std::unique_ptr<membership::WatchDuty> duty_;
-  std::unique_ptr<CatchUp> catch_up_;
+  std::unique_ptr<RulesPeerSelector> catch_up_;
   std::uint64_t version_ = 1;
   std::vector<Transfer> transfers_;
   bool told_ = false;
@@ -71,7 +71,7 @@
   /// @return until every entry has the change.
   core::Duration Play() {
     for (auto& entry : entries_) {
-      if (policy_ == Policy::kAllTakeAll || entry.duty_->Watches(now_)) {
+      if (policy_ == Policy::kAllTakeAll || entry.duty_->IsWatcher(now_)) {
         entry.transfers_.push_back({bytes_, entry.region_ != 0, {}});
       }
     }
@@ -102,8 +102,8 @@
     entry.duty_ = std::make_unique<membership::WatchDuty>(id);
     entry.duty_->SetMembers(members_[region]);
     entry.duty_->OnDocument(static_cast<std::size_t>(bytes_));
-    entry.duty_->OnTold(members_[region].front(), now_);
-    entry.catch_up_ = std::make_unique<CatchUp>(id);
+    entry.duty_->OnWatcherAnnounced(members_[region].front(), now_);
+    entry.catch_up_ = std::make_unique<RulesPeerSelector>(id);
     entry.catch_up_->OnHave(1, now_);
     entries_.push_back(std::move(entry));
   }
@@ -144,7 +144,7 @@
           [](const Transfer& transfer) { return transfer.left_ <= 0; });
       if (ended != entry.transfers_.end()) {
         if (!ended->from_.empty()) {
-          entry.catch_up_->OnAnswer(ended->from_, true, now_);
+          entry.catch_up_->OnFetchEnded(ended->from_, true, now_);
         }
         std::erase_if(entry.transfers_, [](const Transfer& transfer) {
           return transfer.left_ <= 0;
@@ -161,7 +161,7 @@
     if (std::exchange(entry.version_, kChange) == kChange) {
       return;
     }
-    const bool watches = entry.duty_->Watches(now_);
+    const bool watches = entry.duty_->IsWatcher(now_);
     entry.catch_up_->OnHave(kChange, now_);
     if (policy_ == Policy::kHandOn) {
       // What is still on its way is known.
@@ -189,7 +189,7 @@
       return;
     }
     const bool near = other.region_ == entry.region_;
-    other.catch_up_->OnHeard({entry.id_, near}, kChange, now_);
+    other.catch_up_->OnAnnounced({entry.id_, near}, kChange, now_);
     Ask(other);
   }
 
@@ -197,7 +197,7 @@
     if (policy_ == Policy::kAllTakeAll) {
       return;
     }
-    const auto peer = entry.catch_up_->Next(entry.duty_->Watches(now_), now_);
+    const auto peer = entry.catch_up_->Next(entry.duty_->IsWatcher(now_), now_);
     if (peer) {
       const bool far = Find(*peer).region_ != entry.region_;
       entry.transfers_.push_back({bytes_ * kDeltaShare, far, *peer});
--- a/tests/core/backoff_test.cpp
+++ b/tests/core/backoff_test.cpp
@@ -24,17 +24,17 @@
                             Row{60, 1000ms, 2000ms});
   const auto seed = GENERATE(range(0U, 20U));
   Backoff backoff(kSettings, seed);
-  CHECK(backoff.Ready(kStart));
+  CHECK(backoff.IsReady(kStart));
   Duration pause{};
   for (unsigned i = 0; i < row.failures_; ++i) {
     pause = backoff.OnFailure(kStart);
   }
   CHECK(pause >= row.least_);
   CHECK(pause <= row.most_);
-  CHECK_FALSE(backoff.Ready(kStart + pause - 1ns));
-  CHECK(backoff.Ready(kStart + pause));
+  CHECK_FALSE(backoff.IsReady(kStart + pause - 1ns));
+  CHECK(backoff.IsReady(kStart + pause));
   backoff.OnSuccess();
-  CHECK(backoff.Ready(kStart));
+  CHECK(backoff.IsReady(kStart));
   CHECK(backoff.OnFailure(kStart) <= 200ms);
 }
 
--- a/tests/daemon/mesh_messages_test.cpp
+++ b/tests/daemon/mesh_messages_test.cpp
@@ -42,7 +42,7 @@
   CHECK(report.queued_ == 2);
   CHECK_FALSE(report.accepting_);
   CHECK(report.weights_version_ == std::uint64_t{7});
-  CHECK(report.pace_ == Approx(1.5));
+  CHECK(report.slowdown_ == Approx(1.5));
 }
 
 TEST_CASE("a list's age counts from the store's answer on, whatever is told",
--- a/tests/emulator/outage_test.cpp
+++ b/tests/emulator/outage_test.cpp
@@ -14,7 +14,7 @@
 FleetSpec BusyFleet(std::uint64_t seed) {
   FleetSpec spec;
   spec.engine_.slots_ = 16;
-  spec.engine_.step_ = 6730us;
+  spec.engine_.step_time_ = 6730us;
   spec.engine_.step_per_request_ = 22us;
   spec.engine_.step_per_kilotoken_ = 7us;
   spec.engine_.read_per_second_ = 30'600;
--- a/tests/emulator/overload_test.cpp
+++ b/tests/emulator/overload_test.cpp
@@ -14,7 +14,7 @@
 FleetSpec ManyEntries(std::uint64_t seed, double load) {
   FleetSpec spec;
   spec.engine_.slots_ = 12;
-  spec.engine_.step_ = 8870us;
+  spec.engine_.step_time_ = 8870us;
   spec.engine_.step_per_request_ = 39us;
   spec.engine_.step_per_kilotoken_ = 23us;
   spec.engine_.read_per_second_ = 19'100;
--- a/tests/fuzz/parts.hpp
+++ b/tests/fuzz/parts.hpp
@@ -50,7 +50,8 @@
   Agent(const Faults& faults, std::uint64_t incarnation, std::size_t engine,
         std::uint64_t tie)
       : documents_({Published::Instance().trusted()}, faults.acceptance_),
-        activation_({.lease_ = kLease, .tie_ = tie}, faults.activation_),
+        activation_({.lease_ = kLease, .tie_breaker_ = tie},
+                    faults.activation_),
         guard_(core::InstanceId("endpoint-" + std::to_string(engine)),
                incarnation, {.max_minters_ = 2, .max_answers_ = 2},
                faults.guard_),
--- a/tests/fuzz/world_agents.cpp
+++ b/tests/fuzz/world_agents.cpp
@@ -30,7 +30,7 @@
 }
 
 void World::OnTarget(const AgentPtr& agent) {
-  if (const auto* bundle = agent->documents_.InForce()) {
+  if (const auto* bundle = agent->documents_.ActiveBundle()) {
     Perform(agent,
             agent->activation_.OnTarget({bundle->version_, bundle->manifest_}));
   }
@@ -56,7 +56,7 @@
       (Chance(30) || settling_)) {
     Perform(agent, agent->activation_.OnTurn());
   }
-  if (agent->stop_.work() == 0) {
+  if (agent->stop_.pending() == 0) {
     Perform(agent, agent->activation_.OnDrained(now_));
   }
   Report(agent);
@@ -98,7 +98,7 @@
     if (attach) {
       link = {.agent_ = agent->id_,
               .minter_ = routing::TicketMinter(id, agent->incarnation_,
-                                               agent->guard_.OpenMinter()),
+                                               agent->guard_.RegisterIssuer()),
               .knew_leaving_at_ = std::nullopt};
       entry->listed_leaving_.erase(agent->engine_);
       ListInstances(*entry);
@@ -117,7 +117,7 @@
         .incarnation_ = agent->incarnation_,
         .ready_ =
             agent->activation_.accepting(now_) && agent->stop_.accepting(),
-        .leaving_ = agent->stop_.leaving(),
+        .leaving_ = agent->stop_.draining(),
         .manifest_ = engine ? engine->manifest_ : core::Digest{}};
     Send(message);
   }
@@ -175,7 +175,7 @@
       Send(frame);
       return;
     }
-    if (verdict != routing::TicketVerdict::kRun) {
+    if (verdict != routing::TicketVerdict::kAccepted) {
       frame.frame_ = Message::Frame::kUnknown;
       Send(frame);
       return;
@@ -194,7 +194,7 @@
 
 void World::Execute(const AgentPtr& agent, const Message& run) {
   auto& engine = *engines_[agent->engine_];
-  oracle_.OnTakenBy(agent->stop_.leaving());
+  oracle_.OnTakenBy(agent->stop_.draining());
   oracle_.OnHandedOn(agent->has_known_ && now_ - agent->knew_at_ <= kLease);
   Message frame = run;
   frame.kind_ = Message::Kind::kFrame;
@@ -329,7 +329,7 @@
       });
       agent->asking_ = false;
       const auto phase = agent->activation_.phase();
-      if (phase == rollout::Phase::kOrdering ||
+      if (phase == rollout::Phase::kAwaitingReply ||
           phase == rollout::Phase::kClaiming) {
         Message answer;
         answer.kind_ = Message::Kind::kOrderAnswer;
--- a/tests/fuzz/world_entries.cpp
+++ b/tests/fuzz/world_entries.cpp
@@ -29,7 +29,7 @@
   if (!entry->stop_.accepting()) {
     return;
   }
-  oracle_.OnTakenBy(entry->stop_.leaving());
+  oracle_.OnTakenBy(entry->stop_.draining());
   entry->stop_.OnWorkTaken();
   request->tracker_ = std::make_unique<routing::RequestTracker>(
       routing::RequestTraits{.repeatable_ = request->repeatable_,
@@ -121,7 +121,7 @@
                                                      : core::Digest{};
   request.ticket_ = request.callers_ticket_;
   if (!request.repeatable_ && !request.ticket_ && link.minter_) {
-    request.ticket_ = link.minter_->Mint();
+    request.ticket_ = link.minter_->Issue();
   }
   const bool connected =
       std::ranges::any_of(agents_, [&](const AgentPtr& agent) {
@@ -166,8 +166,8 @@
   switch (message.frame_) {
     case Frame::kBegin:
       Perform(entry, request,
-              tracker.OnBegin(message.attempt_,
-                              message.weights_ == request.pinned_, now_));
+              tracker.OnResponseStarted(
+                  message.attempt_, message.weights_ == request.pinned_, now_));
       break;
     case Frame::kData:
       if (tracker.TakeAnswerBytes(message.attempt_)) {
@@ -299,7 +299,7 @@
     agent->stop_.Begin(now_);
     agent->stop_began_ = now_;
     StartAgent(agent->engine_, next_incarnation_++);
-  } else if (entry && !entry->stop_.leaving()) {
+  } else if (entry && !entry->stop_.draining()) {
     entry->stop_.Begin(now_);
     entry->stop_began_ = now_;
   }
--- a/tests/fuzz/world_messages.cpp
+++ b/tests/fuzz/world_messages.cpp
@@ -138,11 +138,11 @@
       Perform(held, held->activation_.OnOrderAnswered(now_));
     } else if (message.kind_ == Kind::kChunk && held->assembly_ &&
                held->fetching_ == message.target_) {
-      if (held->assembly_->Offer(message.chunk_, message.bytes_)) {
+      if (held->assembly_->VerifyAndAdd(message.chunk_, message.bytes_)) {
         engine.staged_[message.target_.manifest_].insert(
             std::to_string(message.chunk_) + message.bytes_);
       }
-      if (held->assembly_->whole()) {
+      if (held->assembly_->complete()) {
         engine.sealed_.insert(message.target_.manifest_);
         Perform(held,
                 held->activation_.OnStaged(message.target_.manifest_, now_));
--- a/tests/membership/dissemination_test.cpp
+++ b/tests/membership/dissemination_test.cpp
@@ -124,8 +124,9 @@
           std::ranges::count_if(processes_, [&](const Process& other) {
             return other.alive_ && other.self_.domain_ == process.self_.domain_;
           });
-      return domains.size() == domains_ && process.table_->Near().size() + 1 ==
-                                               static_cast<std::size_t>(near);
+      return domains.size() == domains_ &&
+             process.table_->LocalMembers().size() + 1 ==
+                 static_cast<std::size_t>(near);
     });
   }
 
@@ -134,7 +135,7 @@
     for (std::size_t i = 0; i < size(); ++i) {
       const auto& process = at(i);
       const bool reaches = !cut_ || process.self_.domain_ != *cut_;
-      if (process.alive_ && reaches && process.table_->Delegate()) {
+      if (process.alive_ && reaches && process.table_->IsDelegate()) {
         Hear(i, published_, true);
       }
     }
@@ -163,15 +164,15 @@
   void Tick(std::size_t i) {
     auto& process = at(i);
     auto& table = *process.table_;
-    table.Beat();
+    table.RaiseHeartbeat();
     (void)table.Expire(now_);
-    for (const auto& silent : table.Silent(kAsked, now_)) {
+    for (const auto& silent : table.Unresponsive(kAsked, now_)) {
       Send(i, Index(silent), {}, true);
     }
-    for (const auto& target : table.Targets(kTargets)) {
+    for (const auto& target : table.GossipTargets(kTargets)) {
       Send(i, Index(target), table.Sample(kRows, target.domain_), false);
     }
-    const bool seeds = rounds_ % kSeedRounds == 0 && table.Delegate();
+    const bool seeds = rounds_ % kSeedRounds == 0 && table.IsDelegate();
     if (seeds || table.Live().empty()) {
       GreetSeed(i);
     }
@@ -188,7 +189,7 @@
     const auto row = sender.table_->self();
     const bool joined = receiver.table_->Merge(row, now_) == MergeEnd::kJoined;
     if (joined || asks) {
-      receiver.table_->Beat();
+      receiver.table_->RaiseHeartbeat();
       Send(to, from, receiver.table_->Sample(kAnswerRows, row.domain_), false);
     }
     for (const auto& told : rows) {
@@ -207,8 +208,8 @@
     }
     process.version_ = version;
     const SpreadPlan plan(process.table_->self(), process.table_->Live());
-    if (from_store || process.table_->Delegate()) {
-      for (const auto& target : plan.Tell(Reach::kSure)) {
+    if (from_store || process.table_->IsDelegate()) {
+      for (const auto& target : plan.AnnounceTargets(DelegateFanout::kSure)) {
         Send(i, Index(target), {}, false);
       }
     }
--- a/tests/membership/gossip_table_test.cpp
+++ b/tests/membership/gossip_table_test.cpp
@@ -23,7 +23,7 @@
   member.incarnation_ = incarnation;
   member.domain_ = core::FailureDomainId(domain);
   member.address_ = id + ":1";
-  member.beat_ = beat;
+  member.heartbeat_ = beat;
   return member;
 }
 
@@ -39,15 +39,15 @@
   leaving.leaving_ = true;
   auto stranger = Row("z", 9);
   stranger.leaving_ = true;
-  const auto row =
-      GENERATE_COPY(Case{"a new member", Row("b", 1), MergeEnd::kJoined},
-                    Case{"a higher beat", Row("a", 6), MergeEnd::kNews},
-                    Case{"the same beat", Row("a", 5), MergeEnd::kKnown},
-                    Case{"an old beat", Row("a", 4), MergeEnd::kKnown},
-                    Case{"another life", Row("a", 1, 2), MergeEnd::kJoined},
-                    Case{"it leaves", leaving, MergeEnd::kNews},
-                    Case{"a stranger leaves", stranger, MergeEnd::kKnown},
-                    Case{"this process", Row("self", 99), MergeEnd::kKnown});
+  const auto row = GENERATE_COPY(
+      Case{"a new member", Row("b", 1), MergeEnd::kJoined},
+      Case{"a higher beat", Row("a", 6), MergeEnd::kUpdated},
+      Case{"the same beat", Row("a", 5), MergeEnd::kUnchanged},
+      Case{"an old beat", Row("a", 4), MergeEnd::kUnchanged},
+      Case{"another life", Row("a", 1, 2), MergeEnd::kJoined},
+      Case{"it leaves", leaving, MergeEnd::kUpdated},
+      Case{"a stranger leaves", stranger, MergeEnd::kUnchanged},
+      Case{"this process", Row("self", 99), MergeEnd::kUnchanged});
   CAPTURE(row.name_);
   auto table = Table();
   table.Merge(Row("a", 5), kStart);
@@ -61,8 +61,8 @@
   auto table = Table();
   table.Merge(Row("a", 5), kStart);
   CHECK(table.Expire(kStart + 5s).empty());
-  CHECK(table.Silent(3, kStart + 2s).empty());
-  CHECK(table.Silent(3, kStart + 3s).size() == 1);
+  CHECK(table.Unresponsive(3, kStart + 2s).empty());
+  CHECK(table.Unresponsive(3, kStart + 3s).size() == 1);
   REQUIRE(table.Expire(kStart + 6s).size() == 1);
   CHECK(table.Expire(kStart + 6s).empty());
   CHECK(table.Live().empty());
@@ -88,7 +88,7 @@
   }
   table.Merge(Row("near", 1), kStart);
   for (int i = 0; i < 10; ++i) {
-    const auto targets = table.Targets(2);
+    const auto targets = table.GossipTargets(2);
     REQUIRE(targets.size() == 2);
     CHECK(targets.front().id_.value() == "near");
   }
@@ -100,7 +100,7 @@
   std::vector<core::InstanceId> ids;
   for (int i = 0; i < 20; ++i) {
     auto row = Row("far" + std::to_string(i), 1, 1, "d2");
-    row.near_ = 20;
+    row.local_members_ = 20;
     ids.push_back(row.id_);
     table.Merge(row, kStart);
   }
@@ -111,7 +111,7 @@
   }
   CHECK(kept == std::set<core::InstanceId>(first.begin(), first.end()));
   // All of them count, as the kept ones tell.
-  CHECK(table.Count() == 21);
+  CHECK(table.DeploymentSize() == 21);
   // One that is lost makes place for the next in rank.
   table.Expire(kStart + 6s);
   CHECK(table.Merge(Row("far3", 2, 1, "d2"), kStart + 7s) == MergeEnd::kJoined);
@@ -134,8 +134,8 @@
     for (int round = 0; round < 40; ++round) {
       now += 1s;
       for (auto& table : tables) {
-        table.Beat();
-        auto targets = table.Targets(2);
+        table.RaiseHeartbeat();
+        auto targets = table.GossipTargets(2);
         if (round == 0) {
           targets.push_back(tables.front().self());
         }
@@ -153,9 +153,9 @@
         }
       }
       for (auto& table : tables) {
-        for (const auto& silent : table.Silent(8, now)) {
+        for (const auto& silent : table.Unresponsive(8, now)) {
           auto& asked = tables[index(silent)];
-          asked.Beat();
+          asked.RaiseHeartbeat();
           table.Merge(asked.self(), now);
         }
       }
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -81,7 +81,7 @@
     roster.OnProbed(kId, kStart + 200ms);
   }
   if (row.heard_) {
-    roster.OnHeard(kId);
+    roster.OnReceived(kId);
   }
   const auto available = roster.Available(kRole, kStart + row.later_);
   const bool chosen = std::ranges::any_of(
@@ -132,7 +132,7 @@
                             Row{8, 2, 7, 0}, Row{12, 9, 0, 2}, Row{1, 9, 0, 1},
                             Row{8, 0, 0, 10});
   Roster roster;
-  CHECK_FALSE(roster.Room(kRole, kStart).has_value());
+  CHECK_FALSE(roster.FreeSlots(kRole, kStart).has_value());
   roster.SetInstances({Listed(false)});
   roster.OnConnected(kId, kStart);
   REQUIRE(roster.OnReport(
@@ -142,7 +142,7 @@
   for (std::uint64_t i = 0; i < row.in_flight_; ++i) {
     roster.OnRequestSent(kId, kStart);
   }
-  CHECK(roster.Room(kRole, kStart) == row.room_);
+  CHECK(roster.FreeSlots(kRole, kStart) == row.room_);
 }
 
 TEST_CASE("a replaced process does not speak for its endpoint",
--- a/tests/membership/message_order_test.cpp
+++ b/tests/membership/message_order_test.cpp
@@ -28,9 +28,9 @@
   CAPTURE(row.name_);
   MessageOrder order;
   for (const auto sent : row.before_) {
-    (void)order.Late(sent);
+    (void)order.CheckLate(sent);
   }
-  CHECK(order.Late(row.sent_) == row.late_);
+  CHECK(order.CheckLate(row.sent_) == row.late_);
 }
 
 }  // namespace
