--- a/tests/membership/read_duty_test.cpp
+++ b/tests/membership/read_duty_test.cpp
@@ -25,8 +25,8 @@
   for (const auto& member : members) {
     ReadDuty duty(member, {});
     duty.SetMembers(members);
-    duty.OnTold(kStart);
-    elected += duty.Reads(kStart) ? 1 : 0;
+    duty.OnPeerRead(kStart);
+    elected += duty.IsReader(kStart) ? 1 : 0;
   }
   CHECK(elected == 1);
 }
@@ -49,7 +49,7 @@
   ReadDuty duty(order[row.rank_], {});
   duty.SetMembers(members);
   if (row.told_before_) {
-    duty.OnTold(kStart - *row.told_before_);
+    duty.OnPeerRead(kStart - *row.told_before_);
   }
   CHECK(duty.Interval(kStart) == row.interval_);
 }
@@ -86,10 +86,10 @@
   ReadDuty duty(core::InstanceId("a"), {});
   duty.SetMembers(std::vector{core::InstanceId("a")});
   duty.SetDomainsAhead(row.domains_ahead_);
-  duty.OnTold(kStart - 5s);
+  duty.OnPeerRead(kStart - 5s);
   duty.OnRead(kStart);
   if (row.told_after_) {
-    duty.OnTold(kStart + *row.told_after_);
+    duty.OnPeerRead(kStart + *row.told_after_);
   }
   CHECK(duty.Interval(kStart + 400ms) == row.interval_);
 }
@@ -113,14 +113,14 @@
   for (const auto& member : members) {
     ReadDuty duty(member, {});
     duty.SetMembers(members);
-    duty.OnTold(kStart);
+    duty.OnPeerRead(kStart);
     for (core::Duration at{}; at <= row.away_; at += 600ms) {
       duty.OnTried(kStart + at);
     }
     const auto now = kStart + row.away_;
-    trying += duty.Reads(now) ? 1 : 0;
+    trying += duty.IsReader(now) ? 1 : 0;
     // Nobody hears of them any more: the next ones take over as ever.
-    CHECK(duty.Reads(now + 6s));
+    CHECK(duty.IsReader(now + 6s));
   }
   CHECK(trying == row.trying_);
 }
@@ -140,7 +140,7 @@
   ReadDuty duty(first, {});
   duty.OnRead(kStart);
   duty.SetMembers(row.members_ == 1 ? std::vector{first} : all);
-  CHECK(duty.Reads(kStart + row.after_) == row.reads_);
+  CHECK(duty.IsReader(kStart + row.after_) == row.reads_);
 }
 
 TEST_CASE("however many stand by, none of them believes an old list",
@@ -157,8 +157,8 @@
     ReadDuty duty(member, {});
     duty.SetMembers(members);
     duty.OnRead(kStart - 1s);
-    duty.OnTold(kStart);
-    CHECK(duty.Reads(kStart + 1500ms));
+    duty.OnPeerRead(kStart);
+    CHECK(duty.IsReader(kStart + 1500ms));
   }
 }
 
@@ -180,15 +180,15 @@
   ReadDuty duty(last, {});
   duty.SetMembers(members);
   duty.OnRead(kStart - 5s);
-  duty.OnTold(kStart - row.age_);
+  duty.OnPeerRead(kStart - row.age_);
   if (row.tried_) {
-    duty.OnFailed(kStart);
+    duty.OnReadFailed(kStart);
   }
-  CHECK(duty.Stale(kStart - row.age_, kStart) == row.stale_);
+  CHECK(duty.IsStale(kStart - row.age_, kStart) == row.stale_);
   // A later telling of something older takes nothing back.
-  duty.OnTold(kStart);
-  duty.OnTold(kStart - 10s);
-  CHECK_FALSE(duty.Reads(kStart + 1s));
+  duty.OnPeerRead(kStart);
+  duty.OnPeerRead(kStart - 10s);
+  CHECK_FALSE(duty.IsReader(kStart + 1s));
 }
 
 TEST_CASE("one who tries in vain tries again as often as it reads",
@@ -197,8 +197,8 @@
   duty.SetMembers(std::vector{core::InstanceId("a")});
   duty.SetDomainsAhead(3);
   duty.OnRead(kStart);
-  duty.OnTold(kStart + 20s);
-  duty.OnFailed(kStart + 21s);
+  duty.OnPeerRead(kStart + 20s);
+  duty.OnReadFailed(kStart + 21s);
   CHECK(duty.Interval(kStart + 21s) == 600ms);
 }
 
--- a/tests/membership/report_audience_test.cpp
+++ b/tests/membership/report_audience_test.cpp
@@ -31,9 +31,9 @@
   for (auto now = kStart; now < kStart + std::chrono::seconds(kSeconds);
        now += kPoll) {
     for (int i = 0; i < row.near_ + row.far_; ++i) {
-      audience.OnSubscribe(Address(i), i < row.near_, now);
+      audience.Subscribe(Address(i), i < row.near_, now);
     }
-    for (const auto& target : audience.Due(true, false, now)) {
+    for (const auto& target : audience.CollectDue(true, false, now)) {
       ++got[target.address_];
       ++sent;
     }
@@ -64,29 +64,30 @@
                Row{"its subscription ended", 8000ms, true, true, false});
   CAPTURE(row.name_);
   ReportAudience audience;
-  CHECK(audience.OnSubscribe("e", true, kStart));
-  CHECK_FALSE(audience.OnSubscribe("e", true, kStart));
-  REQUIRE(audience.Due(false, false, kStart).size() == 1);
-  const auto due = audience.Due(row.changed_, row.urgent_, kStart + row.after_);
+  CHECK(audience.Subscribe("e", true, kStart));
+  CHECK_FALSE(audience.Subscribe("e", true, kStart));
+  REQUIRE(audience.CollectDue(false, false, kStart).size() == 1);
+  const auto due =
+      audience.CollectDue(row.changed_, row.urgent_, kStart + row.after_);
   CHECK((due.size() == 1) == row.told_);
 }
 
 TEST_CASE("a change that was not told yet is told when it may be",
           "[membership]") {
   ReportAudience audience;
-  audience.OnSubscribe("e", true, kStart);
-  CHECK(audience.Due(false, false, kStart).size() == 1);
-  CHECK(audience.Due(true, false, kStart + 50ms).empty());
-  CHECK(audience.Due(false, false, kStart + 110ms).size() == 1);
-  CHECK(audience.Due(false, false, kStart + 220ms).empty());
+  audience.Subscribe("e", true, kStart);
+  CHECK(audience.CollectDue(false, false, kStart).size() == 1);
+  CHECK(audience.CollectDue(true, false, kStart + 50ms).empty());
+  CHECK(audience.CollectDue(false, false, kStart + 110ms).size() == 1);
+  CHECK(audience.CollectDue(false, false, kStart + 220ms).empty());
 }
 
 TEST_CASE("what seldom changes is told first, each second, and when it did",
           "[membership]") {
   ReportAudience audience;
-  audience.OnSubscribe("e", true, kStart);
+  audience.Subscribe("e", true, kStart);
   const auto full = [&](core::Duration after) {
-    return audience.Due(true, false, kStart + after).at(0).full_;
+    return audience.CollectDue(true, false, kStart + after).at(0).full_;
   };
   CHECK(full(0ms));
   CHECK_FALSE(full(200ms));
--- a/tests/membership/store_outage_test.cpp
+++ b/tests/membership/store_outage_test.cpp
@@ -34,22 +34,22 @@
       Row{"away, long ago", {600ms, 1100ms, 1700ms}, 2s, 4600ms, false});
   INFO(row.name_);
   StoreOutage outage({});
-  outage.OnList(kStart, kStart);
+  outage.OnListReceived(kStart, kStart);
   for (std::size_t i = 0; i < row.failed_.size(); ++i) {
-    outage.OnFailed();
+    outage.OnReadFailed();
   }
-  outage.OnList(kStart + row.next_list_, kStart + row.next_list_);
+  outage.OnListReceived(kStart + row.next_list_, kStart + row.next_list_);
   CHECK(outage.MayHaveLapsed(kStart + row.asked_) == row.may_have_lapsed_);
 }
 
 TEST_CASE("while the store is away lists stay incomplete", "[membership]") {
   StoreOutage outage({});
-  outage.OnList(kStart, kStart);
-  outage.OnFailed();
+  outage.OnListReceived(kStart, kStart);
+  outage.OnReadFailed();
   CHECK_FALSE(outage.MayHaveLapsed(kStart + 1s));
   CHECK(outage.MayHaveLapsed(kStart + 1200ms));
   // A list from before, told late, shows nothing.
-  outage.OnList(kStart - 1s, kStart + 2s);
+  outage.OnListReceived(kStart - 1s, kStart + 2s);
   CHECK(outage.MayHaveLapsed(kStart + 2s));
 }
 
@@ -57,9 +57,9 @@
           "[membership]") {
   StoreOutage outage({});
   CHECK_FALSE(outage.MayHaveLapsed(kStart));
-  outage.OnFailed();
+  outage.OnReadFailed();
   CHECK(outage.MayHaveLapsed(kStart));
-  outage.OnList(kStart + 1s, kStart + 1s);
+  outage.OnListReceived(kStart + 1s, kStart + 1s);
   CHECK(outage.MayHaveLapsed(kStart + 2s));
   CHECK_FALSE(outage.MayHaveLapsed(kStart + 4s));
 }
--- a/tests/membership/watch_duty_test.cpp
+++ b/tests/membership/watch_duty_test.cpp
@@ -46,12 +46,12 @@
     auto duty = DutyOf(members, rank);
     duty.OnDocument(row.bytes_);
     if (rank > 0) {
-      duty.OnTold(members[0], kStart);
+      duty.OnWatcherAnnounced(members[0], kStart);
     }
-    CHECK(duty.Watchers(kStart) == std::max<std::size_t>(1, row.watch_));
-    watch += duty.Watches(kStart) ? 1 : 0;
-    CHECK(duty.Tells(kStart) ==
-          (duty.Watches(kStart) && row.watch_ < members.size()));
+    CHECK(duty.WatcherCount(kStart) == std::max<std::size_t>(1, row.watch_));
+    watch += duty.IsWatcher(kStart) ? 1 : 0;
+    CHECK(duty.MustAnnounce(kStart) ==
+          (duty.IsWatcher(kStart) && row.watch_ < members.size()));
   }
   CHECK(watch == row.watch_);
 }
@@ -61,11 +61,11 @@
   const auto members = Members(4);
   auto duty = DutyOf(members, 2);
   duty.OnDocument(kLarge);
-  CHECK(duty.Watches(kStart));
-  duty.OnTold(members[3], kStart);
-  CHECK(duty.Watches(kStart));
-  duty.OnTold(members[1], kStart);
-  CHECK_FALSE(duty.Watches(kStart));
+  CHECK(duty.IsWatcher(kStart));
+  duty.OnWatcherAnnounced(members[3], kStart);
+  CHECK(duty.IsWatcher(kStart));
+  duty.OnWatcherAnnounced(members[1], kStart);
+  CHECK_FALSE(duty.IsWatcher(kStart));
 }
 
 TEST_CASE("who has just read waits for a first word before it watches",
@@ -82,9 +82,9 @@
   auto duty = DutyOf(members, row.rank_);
   duty.OnFirstRead(kStart);
   // Until it has the document it goes on reading.
-  CHECK(duty.Watches(kStart));
+  CHECK(duty.IsWatcher(kStart));
   duty.OnDocument(kSmall);
-  CHECK(duty.Watches(kStart + row.after_) == row.watches_);
+  CHECK(duty.IsWatcher(kStart + row.after_) == row.watches_);
 }
 
 TEST_CASE("silence passes the duty on one after the other", "[membership]") {
@@ -93,15 +93,15 @@
   for (std::size_t rank = 1; rank < members.size(); ++rank) {
     auto duty = DutyOf(members, rank);
     duty.OnDocument(kLarge);
-    duty.OnTold(members[0], kStart);
+    duty.OnWatcherAnnounced(members[0], kStart);
     const auto due = kStart + settings.patience_ +
                      settings.step_ * (static_cast<int>(rank) - 1);
-    CHECK_FALSE(duty.Watches(due - 1ms));
-    CHECK(duty.Watches(due));
+    CHECK_FALSE(duty.IsWatcher(due - 1ms));
+    CHECK(duty.IsWatcher(due));
     // Whoever took it up keeps those behind it from doing so too.
     if (rank > 1) {
-      duty.OnTold(members[1], due);
-      CHECK_FALSE(duty.Watches(due));
+      duty.OnWatcherAnnounced(members[1], due);
+      CHECK_FALSE(duty.IsWatcher(due));
     }
   }
 }
@@ -111,11 +111,11 @@
   const auto members = Members(4);
   auto duty = DutyOf(members, 1);
   duty.OnDocument(kLarge);
-  duty.OnTold(members[0], kStart);
-  CHECK_FALSE(duty.Watches(kStart));
+  duty.OnWatcherAnnounced(members[0], kStart);
+  CHECK_FALSE(duty.IsWatcher(kStart));
   const std::vector<core::InstanceId> left(members.begin() + 1, members.end());
   duty.SetMembers(left);
-  CHECK(duty.Watches(kStart));
+  CHECK(duty.IsWatcher(kStart));
 }
 
 TEST_CASE("a long first read is left to the first in rank", "[membership]") {
@@ -131,9 +131,9 @@
   auto duty = DutyOf(members, row.rank_);
   duty.OnFirstRead(kStart);
   if (row.rank_ > 0) {
-    duty.OnTold(members[0], kStart + row.reading_);
+    duty.OnWatcherAnnounced(members[0], kStart + row.reading_);
   }
-  CHECK(duty.Watches(kStart + row.reading_) == row.watches_);
+  CHECK(duty.IsWatcher(kStart + row.reading_) == row.watches_);
 }
 
 }  // namespace
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -164,7 +164,7 @@
   CHECK(route.services_.size() == 2);
   CHECK_FALSE(rules.accounts_.has_value());
   CHECK(rules.services_.front().engine_->slots_ == 16);
-  CHECK(rules.services_.front().engine_->step_ == 9270us);
+  CHECK(rules.services_.front().engine_->step_time_ == 9270us);
   CHECK(rules.services_.back().origin_ == "1.2.3.4:5");
 }
 
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -40,7 +40,7 @@
 }
 
 TEST_CASE("one roll: fetch, turn, drain, order, confirm", "[rollout]") {
-  Activation activation({.lease_ = 1s, .tie_ = 5});
+  Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
   const auto fence = Hold(activation, kFirst);
   auto now = kStart + 2s;
   CHECK(activation.accepting(now));
@@ -62,7 +62,7 @@
 }
 
 TEST_CASE("an answer asked for before the order is out of date", "[rollout]") {
-  Activation activation({.lease_ = 1s, .tie_ = 5});
+  Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
   const auto fence = Hold(activation, kFirst);
   const auto now = kStart + 2s;
   (void)activation.OnTarget(kSecond);
@@ -87,7 +87,7 @@
       GENERATE(Row{true, 7s, false, false}, Row{true, 8s, false, true},
                Row{false, 60s, false, false}, Row{true, 7s, true, false},
                Row{true, 8s, true, true});
-  Activation activation({.lease_ = 1s, .tie_ = 5});
+  Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
   const auto fence = Hold(activation, kFirst);
   activation.SetListed(row.listed_);
   auto now = kStart + 2s;
@@ -118,7 +118,7 @@
 }
 
 TEST_CASE("a process that lost its engine stops for good", "[rollout]") {
-  Activation activation({.lease_ = 1s, .tie_ = 5});
+  Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
   const auto fence = Hold(activation, kFirst);
   const auto now = kStart + 2s;
   const EngineState taken{1, kFirst.manifest_, fence + (1U << 25U), 0};
@@ -129,14 +129,14 @@
 }
 
 TEST_CASE("work is handed on only within the lease", "[rollout]") {
-  Activation activation({.lease_ = 1s, .tie_ = 5});
+  Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
   (void)Hold(activation, kFirst);
   CHECK(activation.accepting(kStart + 3s));
   CHECK_FALSE(activation.accepting(kStart + 3s + 1ms));
 }
 
 TEST_CASE("the first order waits for what came before", "[rollout]") {
-  Activation activation({.lease_ = 1s, .tie_ = 5});
+  Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
   const auto fence = Hold(activation, kFirst);
   auto now = kStart + 2s;
   const EngineState busy{1, kFirst.manifest_, fence, 3};
@@ -151,7 +151,7 @@
 }
 
 TEST_CASE("an engine that is ahead is never ordered back", "[rollout]") {
-  Activation activation({.lease_ = 1s, .tie_ = 5});
+  Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
   (void)Hold(activation, kSecond);
   CHECK(activation.OnTarget(kFirst).empty());
   CHECK(activation.accepting(kStart + 2s));
@@ -160,7 +160,7 @@
 TEST_CASE("a superseded version is dropped at any stage", "[rollout]") {
   const Target third{3, core::Digest::Of("third")};
   const auto stage = GENERATE(0, 1, 2);
-  Activation activation({.lease_ = 1s, .tie_ = 5});
+  Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
   (void)Hold(activation, kFirst);
   (void)activation.OnTarget(kSecond);
   if (stage > 0) {
@@ -194,7 +194,7 @@
             return activation.OnEngineState({}, now, now);
           }});
   CAPTURE(row.name_, stage);
-  Activation activation({.lease_ = 1s, .tie_ = 5});
+  Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
   (void)Hold(activation, kFirst);
   const auto now = kStart + 2s;
   (void)activation.OnTarget(kSecond);
@@ -212,7 +212,7 @@
 }
 
 TEST_CASE("an order waits for a report asked for after staging", "[rollout]") {
-  Activation activation({.lease_ = 1s, .tie_ = 5});
+  Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
   const auto fence = Hold(activation, kFirst);
   const auto now = kStart + 2s;
   (void)activation.OnTarget(kSecond);
@@ -229,15 +229,16 @@
   for (int i = 0; i < 10; ++i) {
     members.insert(core::InstanceId("m" + std::to_string(i)));
   }
-  std::vector<Turns> turns;
+  std::vector<RolloutSlots> turns;
   for (const auto& member : members) {
     turns.emplace_back(member, 0.3, 10s);
     turns.back().SetMembers(members);
-    turns.back().Start(7, kStart);
+    turns.back().StartRollout(7, kStart);
   }
   const auto free_now = [&](core::TimePoint now) {
-    return std::count_if(turns.begin(), turns.end(),
-                         [&](const Turns& turn) { return turn.MayGo(now); });
+    return std::count_if(
+        turns.begin(), turns.end(),
+        [&](const RolloutSlots& turn) { return turn.MayGo(now); });
   };
   CHECK(free_now(kStart) == 3);
   CHECK(free_now(kStart + 10s) == 6);
--- a/tests/rollout/version_bound_test.cpp
+++ b/tests/rollout/version_bound_test.cpp
@@ -20,12 +20,12 @@
   const auto row = GENERATE(Row{0s, 0}, Row{7900ms, 0}, Row{8s, 2},
                             Row{9900ms, 2}, Row{10s, 3}, Row{100s, 3});
   VersionBound bound;
-  CHECK(bound.OnNamed(2, kStart));
-  CHECK(bound.OnNamed(3, kStart + 2s));
-  CHECK_FALSE(bound.OnNamed(2, kStart + 3s));
-  CHECK_FALSE(bound.OnNamed(3, kStart + 3s));
+  CHECK(bound.OnVersionPublished(2, kStart));
+  CHECK(bound.OnVersionPublished(3, kStart + 2s));
+  CHECK_FALSE(bound.OnVersionPublished(2, kStart + 3s));
+  CHECK_FALSE(bound.OnVersionPublished(3, kStart + 3s));
   CHECK(bound.newest() == 3);
-  CHECK(bound.Least(8s, kStart + row.after_) == row.least_);
+  CHECK(bound.MinVersion(8s, kStart + row.after_) == row.least_);
 }
 
 TEST_CASE("a version ends by the first that is named after it", "[rollout]") {
@@ -38,9 +38,9 @@
   const auto row = GENERATE(Row{1, kStart + 8s}, Row{2, kStart + 10s},
                             Row{3, std::nullopt}, Row{4, std::nullopt});
   VersionBound bound;
-  bound.OnNamed(2, kStart);
-  bound.OnNamed(3, kStart + 2s);
-  CHECK(bound.EndOf(row.version_, 8s) == row.end_);
+  bound.OnVersionPublished(2, kStart);
+  bound.OnVersionPublished(3, kStart + 2s);
+  CHECK(bound.ExpiryOf(row.version_, 8s) == row.end_);
 }
 
 TEST_CASE("an older version may be used until a margin before its bound",
@@ -56,13 +56,13 @@
                Row{6600ms, 2, 3, 11600ms}, Row{7400ms, 2, 3, 11600ms},
                Row{11600ms, 3, 0, 0ms});
   VersionBound bound;
-  bound.OnNamed(2, kStart);
-  bound.OnNamed(3, kStart + 5s);
+  bound.OnVersionPublished(2, kStart);
+  bound.OnVersionPublished(3, kStart + 5s);
   const auto rule = bound.RuleAt(8s, 1400ms, kStart + row.after_);
-  CHECK(rule.least_ == row.least_);
-  CHECK(rule.next_ == row.next_);
+  CHECK(rule.min_version_ == row.least_);
+  CHECK(rule.next_min_version_ == row.next_);
   if (row.next_ > 0) {
-    CHECK(rule.until_ == kStart + row.until_);
+    CHECK(rule.next_min_at_ == kStart + row.until_);
   }
 }
 
@@ -70,10 +70,10 @@
           "[rollout]") {
   VersionBound bound;
   for (std::uint64_t version = 2; version <= 200; ++version) {
-    bound.OnNamed(version, kStart + std::chrono::seconds(version));
+    bound.OnVersionPublished(version, kStart + std::chrono::seconds(version));
   }
   CHECK(bound.newest() == 200);
-  CHECK(bound.Least(8s, kStart + 200s) == 192);
+  CHECK(bound.MinVersion(8s, kStart + 200s) == 192);
 }
 
 }  // namespace
--- a/tests/routing/attempt_patience_test.cpp
+++ b/tests/routing/attempt_patience_test.cpp
@@ -17,35 +17,44 @@
     core::Duration patience_;
   };
   // The rule's time is 1.4 s before the bound.
-  const VersionRule ends{.least_ = 0, .next_ = 2, .until_ = kSent + 260ms};
+  const VersionRule ends{
+      .min_version_ = 0, .next_min_version_ = 2, .next_min_at_ = kSent + 260ms};
   auto row = GENERATE_COPY(
-      Row{"a short target", {.target_ = 100ms}, 1200ms},
-      Row{"a long target", {.target_ = 600ms}, 1800ms},
-      Row{"a long prompt", {.target_ = 400ms, .predicted_ = 1s}, 2000ms},
-      Row{"a late one", {.target_ = 400ms, .on_time_ = false}, 2500ms},
+      Row{"a short target", {.target_latency_ = 100ms}, 1200ms},
+      Row{"a long target", {.target_latency_ = 600ms}, 1800ms},
+      Row{"a long prompt",
+          {.target_latency_ = 400ms, .predicted_first_byte_ = 1s},
+          2000ms},
+      Row{"a late one", {.target_latency_ = 400ms, .on_time_ = false}, 2500ms},
       // Seen: engines on frozen machines; their callers left after 2.4 s, half
       // of which had gone by before the second attempt.
       Row{"its endpoint fell silent",
-          {.target_ = 600ms, .silent_ = true},
+          {.target_latency_ = 600ms, .unresponsive_ = true},
           500ms},
       Row{"a late one whose endpoint fell silent",
-          {.target_ = 600ms, .on_time_ = false, .silent_ = true},
+          {.target_latency_ = 600ms, .on_time_ = false, .unresponsive_ = true},
           500ms},
       Row{"the newest weights",
-          {.target_ = 500ms, .weights_version_ = 2, .versions_ = ends},
+          {.target_latency_ = 500ms,
+           .weights_version_ = 2,
+           .version_constraint_ = ends},
           1500ms},
       // Seen: sent 1.66 s before the bound, given up 0.15 s before it, begun
       // 19 ms after it.
       Row{"old weights near their end",
-          {.target_ = 500ms, .weights_version_ = 1, .versions_ = ends},
+          {.target_latency_ = 500ms,
+           .weights_version_ = 1,
+           .version_constraint_ = ends},
           1060ms},
       Row{"a late one on old weights",
-          {.target_ = 500ms,
+          {.target_latency_ = 500ms,
            .on_time_ = false,
            .weights_version_ = 1,
-           .versions_ = ends},
+           .version_constraint_ = ends},
           1060ms},
-      Row{"a plain service", {.target_ = 300ms, .versions_ = ends}, 1200ms});
+      Row{"a plain service",
+          {.target_latency_ = 300ms, .version_constraint_ = ends},
+          1200ms});
   CAPTURE(row.name_);
   row.attempt_.sent_at_ = kSent;
   CHECK(GiveUpAt(row.attempt_) == kSent + row.patience_);
--- a/tests/routing/choice_test.cpp
+++ b/tests/routing/choice_test.cpp
@@ -58,14 +58,14 @@
 
 TEST_CASE("retries are a share of requests", "[routing]") {
   RetryBudget budget({.share_ = 0.1, .reserve_ = 2, .kept_for_resumes_ = 0});
-  CHECK(budget.Take(RetryKind::kFresh, kStart));
-  CHECK(budget.Take(RetryKind::kFresh, kStart));
-  CHECK_FALSE(budget.Take(RetryKind::kFresh, kStart));
+  CHECK(budget.TryConsume(RetryKind::kFresh, kStart));
+  CHECK(budget.TryConsume(RetryKind::kFresh, kStart));
+  CHECK_FALSE(budget.TryConsume(RetryKind::kFresh, kStart));
   for (int i = 0; i < 11; ++i) {
     budget.OnRequest(kStart);
   }
-  CHECK(budget.Take(RetryKind::kFresh, kStart));
-  CHECK_FALSE(budget.Take(RetryKind::kFresh, kStart));
+  CHECK(budget.TryConsume(RetryKind::kFresh, kStart));
+  CHECK_FALSE(budget.TryConsume(RetryKind::kFresh, kStart));
 }
 
 TEST_CASE("answers under way come before fresh retries", "[routing]") {
@@ -80,12 +80,12 @@
       Row{RetryKind::kFresh, 10s, 10}, Row{RetryKind::kResume, 10s, 20});
   RetryBudget budget({.share_ = 0, .reserve_ = 20});
   int fresh = 0;
-  while (budget.Take(RetryKind::kFresh, kStart)) {
+  while (budget.TryConsume(RetryKind::kFresh, kStart)) {
     ++fresh;
   }
   CHECK(fresh == 10);
   int taken = 0;
-  while (budget.Take(row.kind_, kStart + row.later_)) {
+  while (budget.TryConsume(row.kind_, kStart + row.later_)) {
     ++taken;
   }
   CHECK(taken == row.taken_);
@@ -106,7 +106,7 @@
       now += std::chrono::milliseconds(gap);
       requests.push_back(now);
       budget.OnRequest(now);
-      if (gap % 3 != 0 || !budget.Take(RetryKind::kResume, now)) {
+      if (gap % 3 != 0 || !budget.TryConsume(RetryKind::kResume, now)) {
         continue;
       }
       retries.push_back(now);
--- a/tests/routing/crash_evidence_test.cpp
+++ b/tests/routing/crash_evidence_test.cpp
@@ -26,14 +26,14 @@
         LossVerdict::kWait);
   CHECK(evidence.OnLost({Request("x"), 1s}, kLife, kAddress, kStart + 2ms) ==
         LossVerdict::kWait);
-  CHECK(evidence.Probing(Request("x")));
+  CHECK(evidence.ProbePending(Request("x")));
   const auto crash = evidence.OnCrashed(kLife);
-  CHECK(crash.at_ == kStart);
+  CHECK(crash.first_loss_at_ == kStart);
   REQUIRE(crash.attempts_.size() == 2);
   CHECK(crash.attempts_[0].request_ == Request("x"));
   CHECK(crash.attempts_[1].request_ == Request("y"));
-  CHECK(crash.attempts_[1].under_way_ == 2s);
-  CHECK_FALSE(evidence.Probing(Request("x")));
+  CHECK(crash.attempts_[1].elapsed_ == 2s);
+  CHECK_FALSE(evidence.ProbePending(Request("x")));
   SECTION("it is reported once") {
     CHECK(evidence.OnCrashed(kLife).attempts_.empty());
   }
@@ -47,16 +47,16 @@
           "[routing]") {
   CrashEvidence evidence;
   (void)evidence.OnLost({Request("x"), 1s}, kLife, kAddress, kStart);
-  CHECK(evidence.Waiting(kStart).empty());
+  CHECK(evidence.Unconfirmed(kStart).empty());
   evidence.OnInconclusive(kLife);
-  CHECK_FALSE(evidence.Probing(Request("x")));
-  REQUIRE(evidence.Waiting(kStart + 1s).size() == 1);
+  CHECK_FALSE(evidence.ProbePending(Request("x")));
+  REQUIRE(evidence.Unconfirmed(kStart + 1s).size() == 1);
   SECTION("that comes") {
     CHECK(evidence.OnCrashed(kLife).attempts_.size() == 1);
-    CHECK(evidence.Waiting(kStart + 1s).empty());
+    CHECK(evidence.Unconfirmed(kStart + 1s).empty());
   }
   SECTION("that does not come") {
-    CHECK(evidence.Waiting(kStart + 10s).empty());
+    CHECK(evidence.Unconfirmed(kStart + 10s).empty());
     CHECK(evidence.OnCrashed(kLife).attempts_.empty());
   }
 }
@@ -69,7 +69,7 @@
   CHECK(evidence.OnLost({Request("x"), 1s}, kLife, kAddress, kStart + 1s) ==
         LossVerdict::kProbe);
   const auto crash = evidence.OnCrashed(kLife);
-  CHECK(crash.at_ == kStart + 1s);
+  CHECK(crash.first_loss_at_ == kStart + 1s);
   REQUIRE(crash.attempts_.size() == 1);
   CHECK(crash.attempts_.front().request_ == Request("x"));
 }
@@ -87,7 +87,7 @@
     }
     evidence.OnInconclusive(life);
   }
-  const auto waiting = evidence.Waiting(kStart);
+  const auto waiting = evidence.Unconfirmed(kStart);
   REQUIRE(waiting.size() == 2);
   CHECK(waiting.back().endpoint_.id_ == core::InstanceId("i-4"));
   CHECK(waiting.back().attempts_.size() == 2);
--- a/tests/routing/endpoint_life_test.cpp
+++ b/tests/routing/endpoint_life_test.cpp
@@ -57,7 +57,7 @@
     request.service_ = "pool";
     request.engine_ = &profile_;
     request.weights_version_ = version;
-    request.versions_.until_ = kStart + 1h;
+    request.version_constraint_.next_min_at_ = kStart + 1h;
     return table_.Choose(request, kStart + 1s).has_value();
   }
 
@@ -263,7 +263,7 @@
         case Step::kReport: {
           reports.push_back(reports.back());
           const auto sent = *rc::gen::inRange<std::size_t>(0, reports.size());
-          if (!order.Late(std::chrono::milliseconds(sent))) {
+          if (!order.CheckLate(std::chrono::milliseconds(sent))) {
             engines.table_.TakeReport(kAddress, reports[sent], now);
           }
           break;
@@ -273,7 +273,7 @@
     // The news come in: its report, then its row.
     now += 1ms;
     const std::chrono::milliseconds sent(reports.size() - 1);
-    RC_ASSERT(!order.Late(sent));
+    RC_ASSERT(!order.CheckLate(sent));
     engines.table_.TakeReport(kAddress, reports.back(), now);
     engines.table_.TakeList({living}, ++revision, true, now);
     const bool serves = living.weights_version_ && !living.leaving_;
--- a/tests/routing/endpoint_silence_test.cpp
+++ b/tests/routing/endpoint_silence_test.cpp
@@ -28,7 +28,7 @@
 config::EngineProfile Engine() {
   config::EngineProfile engine;
   engine.slots_ = 8;
-  engine.step_ = 14ms;
+  engine.step_time_ = 14ms;
   engine.read_per_second_ = 14'000;
   engine.stride_ = 5;
   engine.usual_prompt_ = 1000;
@@ -88,7 +88,7 @@
   const auto choice = table.Choose(request, kStart + 5s);
   REQUIRE(choice.has_value());
   CHECK(choice->row_.id_.value() == "a");
-  CHECK(choice->first_byte_ < 500ms);
+  CHECK(choice->time_to_first_byte_ < 500ms);
 }
 
 TEST_CASE("an entry uses its subset, and others when that can take nothing",
@@ -133,7 +133,7 @@
   }
   table.TakeList(rows, 1, true, kStart);
   const auto before = table.Subset();
-  table.MarkLeaving(before.front().life());
+  table.MarkLeaving(before.front().incarnation());
   const auto after = table.Subset();
   CHECK(after.size() == before.size());
   CHECK(std::ranges::find(after, before.front().id_, &EndpointRow::id_) ==
--- a/tests/routing/endpoint_table_test.cpp
+++ b/tests/routing/endpoint_table_test.cpp
@@ -31,7 +31,7 @@
 config::EngineProfile Engine() {
   config::EngineProfile engine;
   engine.slots_ = 16;
-  engine.step_ = 10ms;
+  engine.step_time_ = 10ms;
   engine.read_per_second_ = 20'000;
   engine.stride_ = 5;
   engine.usual_prompt_ = 1000;
@@ -85,7 +85,7 @@
       Case{"its weights are older than the bound",
            [](auto& table, auto& request) {
              table.MarkVersion(core::InstanceId("far"), 2);
-             request.versions_.least_ = 2;
+             request.version_constraint_.min_version_ = 2;
            },
            "far"},
       Case{"its old weights would begin too late behind a slow path",
@@ -95,13 +95,13 @@
              report.path_delay_ = 800ms;
              table.TakeReport("a:1", report, kStart);
              table.MarkVersion(core::InstanceId("far"), 2);
-             request.versions_ = {0, 2, kStart + 700ms};
+             request.version_constraint_ = {0, 2, kStart + 700ms};
            },
            "far"},
       Case{"its old weights may begin too late, and nothing is heard of it",
            [](auto& table, auto& request) {
              table.MarkVersion(core::InstanceId("far"), 2);
-             request.versions_ = {0, 2, kStart + 2s};
+             request.version_constraint_ = {0, 2, kStart + 2s};
            },
            "far"},
       Case{"another one reports",
@@ -165,7 +165,7 @@
   const auto engine = Engine();
   const auto now = kStart + row.age_;
   ChoiceRequest request{.service_ = "pool", .engine_ = &engine};
-  request.versions_ = {0, 2, now + 2s};
+  request.version_constraint_ = {0, 2, now + 2s};
   CHECK(Chosen(table, request, now) == row.chosen_);
 }
 
@@ -201,10 +201,10 @@
   table.TakeReport("a:1", report, kStart);
   table.OnSent(core::InstanceId("a"), 1000, kStart + 1ms);
   table.OnSent(core::InstanceId("a"), 1000, kStart + 2ms);
-  CHECK(table.Choose(request, kStart + 3ms)->occupied_ == 5);
+  CHECK(table.Choose(request, kStart + 3ms)->requests_ahead_ == 5);
   report.active_ = 5;
   table.TakeReport("a:1", report, kStart + 10ms);
-  CHECK(table.Choose(request, kStart + 11ms)->occupied_ == 5);
+  CHECK(table.Choose(request, kStart + 11ms)->requests_ahead_ == 5);
 }
 
 TEST_CASE("the load of an endpoint is what it reported and what was sent since",
@@ -298,7 +298,7 @@
   change.from_ = row.from_;
   change.to_ = row.to_;
   change.rows_ = {leaving, Row("c")};
-  change.gone_ = {core::InstanceId("a")};
+  change.removed_ = {core::InstanceId("a")};
   CHECK(table.TakeChange(change, kStart) == row.taken_);
   std::vector<std::string> ids;
   for (const auto& known : table.Rows()) {
@@ -319,7 +319,7 @@
   EndpointListChange change;
   change.to_ = 9;
   change.rows_ = {Row("b")};
-  change.whole_ = true;
+  change.full_ = true;
   change.complete_ = complete;
   CHECK(table.TakeChange(change, kStart));
   CHECK(table.size() == (complete ? 1 : 2));
@@ -351,7 +351,7 @@
   EndpointListChange change;
   change.to_ = 9;
   change.rows_ = {Row("b")};
-  change.whole_ = true;
+  change.full_ = true;
   change.complete_ = false;
   CHECK(table.TakeChange(change, kStart));
   if (row.told_complete_) {
@@ -411,7 +411,7 @@
   for (const std::uint32_t active : {0U, 8U, 15U, 16U, 24U, 40U}) {
     report.active_ = active;
     table.TakeReport("a:1", report, kStart);
-    const auto first_byte = table.Choose(request, kStart)->first_byte_;
+    const auto first_byte = table.Choose(request, kStart)->time_to_first_byte_;
     CHECK(first_byte >= before);
     before = first_byte;
   }
@@ -496,7 +496,7 @@
   EndpointListChange change;
   change.from_ = 1;
   change.to_ = 3;
-  change.whole_ = row.whole_;
+  change.full_ = row.whole_;
   change.complete_ = row.complete_;
   change.as_of_ = kStart + row.asked_;
   if (row.whole_) {
--- a/tests/routing/event_splitter_test.cpp
+++ b/tests/routing/event_splitter_test.cpp
@@ -27,18 +27,18 @@
       Row{"versions: 2\nid: 4\ndata: a\n\n", "versions: 2\nid: 4\ndata: a\n\n",
           1, ""});
   EventSplitter splitter;
-  const auto whole = splitter.Take(row.bytes_);
+  const auto whole = splitter.Append(row.bytes_);
   CHECK(whole.bytes_ == row.whole_);
   CHECK(whole.count_ == row.count_);
-  CHECK(splitter.rest() == row.rest_);
+  CHECK(splitter.partial_event() == row.rest_);
 }
 
 TEST_CASE("a resumed stream repeats nothing that was passed on", "[routing]") {
   EventSplitter splitter;
-  auto all = splitter.Take(Event(1) + Event(2) + "id: 3\nda").bytes_;
+  auto all = splitter.Append(Event(1) + Event(2) + "id: 3\nda").bytes_;
   CHECK(splitter.last_id() == 2);
   splitter.DropRest();
-  all += splitter.Take(Event(2) + Event(3) + Event(4)).bytes_;
+  all += splitter.Append(Event(2) + Event(3) + Event(4)).bytes_;
   CHECK(all == Event(1) + Event(2) + Event(3) + Event(4));
 }
 
@@ -53,12 +53,12 @@
     std::size_t at = 0;
     for (const auto size : sizes) {
       const auto piece = stream.substr(std::min(at, stream.size()), size);
-      out += splitter.Take(piece).bytes_;
+      out += splitter.Append(piece).bytes_;
       at += piece.size();
     }
-    out += splitter.Take(stream.substr(std::min(at, stream.size()))).bytes_;
+    out += splitter.Append(stream.substr(std::min(at, stream.size()))).bytes_;
     RC_ASSERT(out == stream);
-    RC_ASSERT(splitter.rest().empty());
+    RC_ASSERT(splitter.partial_event().empty());
   }));
 }
 
--- a/tests/routing/execution_guard_test.cpp
+++ b/tests/routing/execution_guard_test.cpp
@@ -23,11 +23,11 @@
 TEST_CASE("a ticket runs once, here and now or never", "[routing]") {
   using enum TicketVerdict;
   ExecutionGuard guard(kId, 7);
-  const auto minter = guard.OpenMinter();
+  const auto minter = guard.RegisterIssuer();
   const ExecutionTicket ticket{kId, 7, minter, 5};
-  CHECK(guard.Use(ticket) == kRun);
+  CHECK(guard.Use(ticket) == kAccepted);
   CHECK(guard.Use(ticket) == kUsed);
-  CHECK(guard.Use({kId, 7, minter, 4}) == kRun);
+  CHECK(guard.Use({kId, 7, minter, 4}) == kAccepted);
   CHECK(guard.Use({kId, 6, minter, 1}) == kOtherIncarnation);
   CHECK(guard.Use({core::InstanceId("c"), 7, minter, 1}) == kOtherIncarnation);
   CHECK(guard.Use({kId, 7, minter + 1, 1}) == kForgotten);
@@ -35,19 +35,19 @@
   CHECK(guard.Use(ticket) == kAnswerHeld);
   CHECK(*guard.FindAnswer(ticket) == "answer");
   const auto far = 5 + ExecutionGuard::kWindow;
-  CHECK(guard.Use({kId, 7, minter, far}) == kRun);
+  CHECK(guard.Use({kId, 7, minter, far}) == kAccepted);
   CHECK(guard.Use({kId, 7, minter, 3}) == kForgotten);
 }
 
 TEST_CASE("the guard's memory is bounded", "[routing]") {
   ExecutionGuard guard(kId, 7, {.max_minters_ = 4, .max_answers_ = 2});
-  const auto first = guard.OpenMinter();
+  const auto first = guard.RegisterIssuer();
   for (int i = 0; i < 100; ++i) {
-    (void)guard.OpenMinter();
+    (void)guard.RegisterIssuer();
   }
   CHECK(guard.minter_count() == 4);
   CHECK(guard.Use({kId, 7, first, 1}) == TicketVerdict::kForgotten);
-  const auto minter = guard.OpenMinter();
+  const auto minter = guard.RegisterIssuer();
   for (std::uint64_t i = 1; i <= 3; ++i) {
     guard.KeepAnswer({kId, 7, minter, i}, "x");
   }
--- a/tests/routing/list_history_test.cpp
+++ b/tests/routing/list_history_test.cpp
@@ -45,13 +45,13 @@
       return false;
     }
     revision_ = change.to_;
-    if (change.whole_ && change.complete_) {
+    if (change.full_ && change.complete_) {
       ids_.clear();
     }
     for (const auto& row : change.rows_) {
       ids_.insert(row.id_.value());
     }
-    for (const auto& id : change.gone_) {
+    for (const auto& id : change.removed_) {
       ids_.erase(id.value());
     }
     return true;
@@ -66,12 +66,12 @@
   for (std::uint64_t revision = 1; revision <= 3; ++revision) {
     const auto change =
         history.OnRead(revision, Rows({"a", "b"}), true, At(revision));
-    CHECK(change.whole_);
+    CHECK(change.full_);
     CHECK(change.rows_.size() == 2);
   }
   const auto change = history.OnRead(4, Rows({"a", "b"}), true, At(4));
   CHECK(change.from_ == 1);
-  CHECK_FALSE(change.whole_);
+  CHECK_FALSE(change.full_);
   CHECK(change.rows_.empty());
 }
 
@@ -87,7 +87,7 @@
     (void)history.OnRead(revision, Rows({"a"}), true, At(revision));
   }
   const auto change = history.OnRead(90, Rows({"a"}), true, At(6) + row.pause_);
-  CHECK(change.whole_ == row.whole_);
+  CHECK(change.full_ == row.whole_);
   CHECK(change.rows_.size() == (row.whole_ ? 1 : 0));
 }
 
@@ -98,7 +98,7 @@
     change = history.OnRead(revision, Rows({"a"}), true, At(revision));
   }
   CHECK(change.rows_.empty());
-  CHECK(change.gone_.empty());
+  CHECK(change.removed_.empty());
   CHECK(change.to_ == 4);
 }
 
@@ -109,7 +109,7 @@
     (void)history.OnRead(revision, Rows({"a", "b"}), true, At(revision));
   }
   const auto change = history.OnRead(5, Rows({"a", "c"}), false, At(5));
-  CHECK(change.gone_.empty());
+  CHECK(change.removed_.empty());
   REQUIRE(change.rows_.size() == 1);
   CHECK(change.rows_.front() == Row("c"));
 }
@@ -123,11 +123,11 @@
   // The store is back; leases may have lapsed.
   for (std::uint64_t revision = 6; revision <= 12; ++revision) {
     CHECK(history.OnRead(revision, Rows({"a"}), false, At(revision))
-              .gone_.empty());
+              .removed_.empty());
   }
   const auto change = history.OnRead(13, Rows({"a"}), true, At(13));
-  REQUIRE(change.gone_.size() == 1);
-  CHECK(change.gone_.front().value() == "b");
+  REQUIRE(change.removed_.size() == 1);
+  CHECK(change.removed_.front().value() == "b");
 }
 
 TEST_CASE("who hears one of three messages in a row knows the list",
--- a/tests/routing/request_quarantine_test.cpp
+++ b/tests/routing/request_quarantine_test.cpp
@@ -24,8 +24,8 @@
                     core::Duration under_way = 2s) {
   return {.endpoint_ = {core::InstanceId("i-" + std::to_string(endpoint)), {}},
           .reporter_ = core::InstanceId(reporter),
-          .at_ = kStart + after,
-          .under_way_ = under_way,
+          .crashed_at_ = kStart + after,
+          .elapsed_ = under_way,
           .cleared_ = false};
 }
 
@@ -134,15 +134,17 @@
   (void)quarantine.AddCrash(request, Crash(1, 0s));
   (void)quarantine.AddCrash(request, Crash(2, 1s));
   quarantine.SetTrial(request, kStart + 10s);
-  CHECK(quarantine.OnTrial(request, kStart + 9s));
-  SECTION("time") { CHECK_FALSE(quarantine.OnTrial(request, kStart + 10s)); }
+  CHECK(quarantine.TrialActive(request, kStart + 9s));
+  SECTION("time") {
+    CHECK_FALSE(quarantine.TrialActive(request, kStart + 10s));
+  }
   SECTION("crash") {
     (void)quarantine.AddCrash(request, Crash(3, 2s));
-    CHECK_FALSE(quarantine.OnTrial(request, kStart + 3s));
+    CHECK_FALSE(quarantine.TrialActive(request, kStart + 3s));
   }
   SECTION("clearance") {
     (void)quarantine.Clear(request);
-    CHECK_FALSE(quarantine.OnTrial(request, kStart + 3s));
+    CHECK_FALSE(quarantine.TrialActive(request, kStart + 3s));
   }
 }
 
@@ -191,9 +193,9 @@
   for (const auto* name : {"x", "y", "z"}) {
     (void)quarantine.AddCrash(Request(name), Crash(1, 0s));
   }
-  CHECK(quarantine.Blames(Request("x")) == 0);
-  CHECK(quarantine.Blames(Request("y")) == 1);
-  CHECK(quarantine.Blames(Request("z")) == 0);
+  CHECK(quarantine.AttributedCrashes(Request("x")) == 0);
+  CHECK(quarantine.AttributedCrashes(Request("y")) == 1);
+  CHECK(quarantine.AttributedCrashes(Request("z")) == 0);
 }
 
 TEST_CASE("the table is bounded and forgets", "[routing]") {
@@ -206,7 +208,7 @@
   CHECK(quarantine.size() == 4);
   CHECK(quarantine.Find(Request("9")) != nullptr);
   CHECK(quarantine.Find(Request("0")) == nullptr);
-  quarantine.Expire(kStart + 9s + settings.memory_);
+  quarantine.Expire(kStart + 9s + settings.record_retention_);
   CHECK(quarantine.size() == 0);
 }
 
@@ -237,7 +239,8 @@
       auto crash = Crash(*rc::gen::inRange(0, 4),
                          *rc::gen::inRange(0, 4) * std::chrono::seconds(1));
       // An endpoint life crashes once.
-      crash.at_ = kStart + (crash.endpoint_.id_.value().back() - '0') * 1s;
+      crash.crashed_at_ =
+          kStart + (crash.endpoint_.id_.value().back() - '0') * 1s;
       crash.cleared_ = *rc::gen::inRange(0, 4) == 0;
       records.push_back({Request("x"), {crash}});
     }
@@ -256,7 +259,8 @@
     const auto now = kStart + 10s;
     RC_ASSERT(left.StandingOf(Request("x"), now) ==
               right.StandingOf(Request("x"), now));
-    RC_ASSERT(left.Blames(Request("x")) == right.Blames(Request("x")));
+    RC_ASSERT(left.AttributedCrashes(Request("x")) ==
+              right.AttributedCrashes(Request("x")));
     RC_ASSERT(left.Find(Request("x"))->crashes_.size() ==
               right.Find(Request("x"))->crashes_.size());
   });
--- a/tests/routing/request_tracker_test.cpp
+++ b/tests/routing/request_tracker_test.cpp
@@ -123,7 +123,7 @@
   RequestTracker tracker({.repeatable_ = true, .deadline_ = kStart + 1s});
   (void)tracker.Start(kStart);
   (void)tracker.OnChosen(core::InstanceId("a"), kStart);
-  const auto actions = tracker.OnBegin(1, false, kStart);
+  const auto actions = tracker.OnResponseStarted(1, false, kStart);
   CHECK(std::holds_alternative<CancelAttempt>(actions.front()));
   CHECK(std::holds_alternative<ChooseEndpoint>(actions.back()));
   CHECK_FALSE(tracker.TakeAnswerBytes(1));
@@ -133,11 +133,11 @@
   RequestTracker tracker({.repeatable_ = true, .deadline_ = kStart + 1s});
   (void)tracker.Start(kStart);
   (void)tracker.OnChosen(core::InstanceId("a"), kStart);
-  const auto actions = tracker.GiveUp();
+  const auto actions = tracker.Abort();
   REQUIRE(actions.size() == 2);
   CHECK(std::get<FinishRequest>(actions.back()).outcome_ == kUnknown);
   CHECK(std::get<FinishRequest>(actions.back()).retry_after_.has_value());
-  CHECK(tracker.GiveUp().empty());
+  CHECK(tracker.Abort().empty());
 }
 
 }  // namespace
--- a/tests/routing/retry_spread_test.cpp
+++ b/tests/routing/retry_spread_test.cpp
@@ -27,9 +27,9 @@
   RequestAge ages;
   int taken_for_fresh = 0;
   for (int i = 0; i < 300; ++i) {
-    (void)ages.OnRequest("route", 6000ms);
+    (void)ages.AddAndEstimate("route", 6000ms);
     const auto left = 5998ms - spread.Draw(2000ms);
-    taken_for_fresh += ages.OnRequest("route", left) == 0ms ? 1 : 0;
+    taken_for_fresh += ages.AddAndEstimate("route", left) == 0ms ? 1 : 0;
   }
   CHECK(taken_for_fresh < 15);
 }
--- a/tests/routing/slot_queue_test.cpp
+++ b/tests/routing/slot_queue_test.cpp
@@ -54,12 +54,12 @@
 
 TEST_CASE("sharers are the senders of late, at least one", "[routing]") {
   SlotQueue slots({.sender_memory_ = 5s});
-  CHECK(slots.sharers(kStart) == 1);
+  CHECK(slots.active_senders(kStart) == 1);
   (void)slots.Offer(1, kNorth, kStart);
   (void)slots.Offer(2, kSouth, kStart + 3s);
-  CHECK(slots.sharers(kStart + 3s) == 2);
-  CHECK(slots.sharers(kStart + 6s) == 1);
-  CHECK(slots.sharers(kStart + 60s) == 1);
+  CHECK(slots.active_senders(kStart + 3s) == 2);
+  CHECK(slots.active_senders(kStart + 6s) == 1);
+  CHECK(slots.active_senders(kStart + 60s) == 1);
 }
 
 /// What must be true, kept as plainly as can be.
--- a/tests/routing/stream_admission_test.cpp
+++ b/tests/routing/stream_admission_test.cpp
@@ -16,7 +16,7 @@
 config::EngineProfile Engine() {
   config::EngineProfile engine;
   engine.slots_ = 16;
-  engine.step_ = 7ms;
+  engine.step_time_ = 7ms;
   engine.read_per_second_ = 30'000;
   engine.stride_ = 6;
   engine.usual_prompt_ = 900;
@@ -95,13 +95,13 @@
   auto table = TableWith(16, 8);
   const auto engine = Engine();
   ChoiceRequest wanted{.service_ = "pool", .engine_ = &engine};
-  const auto before = table.Choose(wanted, kStart + 1ms)->first_byte_;
+  const auto before = table.Choose(wanted, kStart + 1ms)->time_to_first_byte_;
   // All own requests that wait there are late: so are those of others.
   table.OnSent(core::InstanceId("a"), 900, kStart, false);
-  const auto after = table.Choose(wanted, kStart + 1ms)->first_byte_;
+  const auto after = table.Choose(wanted, kStart + 1ms)->time_to_first_byte_;
   CHECK(after < before);
   wanted.on_time_ = false;
-  CHECK(table.Choose(wanted, kStart + 1ms)->first_byte_ > after);
+  CHECK(table.Choose(wanted, kStart + 1ms)->time_to_first_byte_ > after);
 }
 
 TEST_CASE("a late request that waits long says nothing of its endpoint",
@@ -109,7 +109,7 @@
   auto table = TableWith(4, 0);
   const auto engine = Engine();
   const ChoiceRequest wanted{.service_ = "pool", .engine_ = &engine};
-  const auto before = table.Choose(wanted, kStart + 1ms)->first_byte_;
+  const auto before = table.Choose(wanted, kStart + 1ms)->time_to_first_byte_;
   const core::InstanceId id("a");
   table.OnSent(id, 900, kStart, false);
   table.OnFirstByte(id, 900, kStart, 100ms, kStart + 900ms);
@@ -117,22 +117,22 @@
   report.weights_version_ = 1;
   report.active_ = 4;
   table.TakeReport("a:1", report, kStart + 900ms);
-  CHECK(table.Choose(wanted, kStart + 901ms)->first_byte_ == before);
+  CHECK(table.Choose(wanted, kStart + 901ms)->time_to_first_byte_ == before);
 }
 
 TEST_CASE("the age of a request shows in the time it has left", "[routing]") {
   RequestAge ages;
-  CHECK(ages.OnRequest("r", 6000ms) == 0ms);
-  CHECK(ages.OnRequest("r", 5400ms) == 600ms);
+  CHECK(ages.AddAndEstimate("r", 6000ms) == 0ms);
+  CHECK(ages.AddAndEstimate("r", 5400ms) == 600ms);
   for (int i = 0; i < 200; ++i) {
-    CHECK(ages.OnRequest("r", 6000ms) == 0ms);
-    const auto other = ages.OnRequest("r", 2000ms);
+    CHECK(ages.AddAndEstimate("r", 6000ms) == 0ms);
+    const auto other = ages.AddAndEstimate("r", 2000ms);
     CHECK((i < 2 || other == 0ms));
   }
   // Callers of two kinds: the next time above counts.
-  CHECK(ages.OnRequest("r", 5000ms) == 1000ms);
-  CHECK(ages.OnRequest("r", 1500ms) == 500ms);
-  CHECK(ages.OnRequest("other", 1500ms) == 0ms);
+  CHECK(ages.AddAndEstimate("r", 5000ms) == 1000ms);
+  CHECK(ages.AddAndEstimate("r", 1500ms) == 500ms);
+  CHECK(ages.AddAndEstimate("other", 1500ms) == 0ms);
 }
 
 TEST_CASE("callers who each give a time of their own are not taken for old",
@@ -141,7 +141,7 @@
   core::Duration oldest{};
   for (int i = 0; i < 500; ++i) {
     const auto age =
-        ages.OnRequest("r", std::chrono::milliseconds(9000 - 7 * i));
+        ages.AddAndEstimate("r", std::chrono::milliseconds(9000 - 7 * i));
     oldest = i < 100 ? oldest : std::max(oldest, age);
   }
   CHECK(oldest == 0ms);
@@ -177,7 +177,7 @@
     const bool comes_back = row.back_of_ > 0 && i % row.back_of_ == 0;
     const auto left = given - (comes_back ? pause(random) : 0);
     const bool late =
-        ages.OnRequest("r", std::chrono::milliseconds(left)) >= kTarget;
+        ages.AddAndEstimate("r", std::chrono::milliseconds(left)) >= kTarget;
     if (i < 100) {
       continue;
     }
--- a/tests/swarm/fetch_window_test.cpp
+++ b/tests/swarm/fetch_window_test.cpp
@@ -16,7 +16,7 @@
           "[swarm]") {
   FetchWindow window({.least_ = 1, .first_ = 2, .most_ = 4});
   for (int chunk = 0; chunk < 40; ++chunk) {
-    window.OnChunk(40ms, kBytes, kStart + chunk * 30ms);
+    window.OnChunkReceived(40ms, kBytes, kStart + chunk * 30ms);
   }
   CHECK(window.size() == 4);
 }
@@ -31,7 +31,7 @@
                             Row{620ms, 1}, Row{5s, 1});
   FetchWindow window({.first_ = 8});
   for (core::Duration at = 0ms; at <= row.after_; at += 20ms) {
-    window.OnChunk(400ms, kBytes, kStart + at);
+    window.OnChunkReceived(400ms, kBytes, kStart + at);
   }
   CHECK(window.size() == row.size_);
   window.Start();
@@ -41,7 +41,7 @@
 TEST_CASE("between the two delays nothing changes", "[swarm]") {
   FetchWindow window({.first_ = 3});
   for (int chunk = 0; chunk < 40; ++chunk) {
-    window.OnChunk(120ms, kBytes, kStart + chunk * 30ms);
+    window.OnChunkReceived(120ms, kBytes, kStart + chunk * 30ms);
   }
   CHECK(window.size() == 3);
 }
@@ -56,10 +56,10 @@
       GENERATE(Row{0ms, 100ms}, Row{450ms, 100ms}, Row{700ms, 900ms},
                Row{2900ms, 900ms}, Row{4s, 0ms});
   FetchWindow window({.bytes_per_second_ = kBytes * 1000 / 30});
-  CHECK(window.Delay(kStart) == 0ms);
-  window.OnChunk(130ms, kBytes, kStart);
-  window.OnChunk(930ms, kBytes, kStart + 1ms);
-  CHECK(window.Delay(kStart + 1ms + row.after_) == row.delay_);
+  CHECK(window.QueueingDelay(kStart) == 0ms);
+  window.OnChunkReceived(130ms, kBytes, kStart);
+  window.OnChunkReceived(930ms, kBytes, kStart + 1ms);
+  CHECK(window.QueueingDelay(kStart + 1ms + row.after_) == row.delay_);
 }
 
 TEST_CASE("a link that brings a small part of its rate is narrowed",
@@ -77,9 +77,9 @@
                Row{1, 216ms, 4s, false});
   FetchWindow window(
       {.first_ = row.window_, .bytes_per_second_ = kBytes * 1000 / 27});
-  CHECK_FALSE(window.Narrowed(kStart));
-  window.OnChunk(row.transfer_, kBytes, kStart);
-  CHECK(window.Narrowed(kStart + row.after_) == row.narrowed_);
+  CHECK_FALSE(window.LinkDegraded(kStart));
+  window.OnChunkReceived(row.transfer_, kBytes, kStart);
+  CHECK(window.LinkDegraded(kStart + row.after_) == row.narrowed_);
 }
 
 /// A link that serves one chunk after the other.
@@ -121,7 +121,7 @@
   core::TimePoint now = kStart;
   for (; arrived < 96; now += 5ms) {
     while (!link.chunks_.empty() && link.chunks_.front().arrives_ <= now) {
-      window.OnChunk(now - link.chunks_.front().asked_, kBytes, now);
+      window.OnChunkReceived(now - link.chunks_.front().asked_, kBytes, now);
       link.chunks_.pop_front();
       ++arrived;
     }
--- a/tests/swarm/manifest_search_test.cpp
+++ b/tests/swarm/manifest_search_test.cpp
@@ -67,7 +67,7 @@
   ManifestSearch search(Near("me"));
   search.Start(kStart);
   CHECK(Name(search.Next(holders, 0, kStart)) == "n");
-  search.OnFailed();
+  search.OnRequestFailed();
   CHECK(Name(search.Next(holders, 0, kStart + 1ms)) == "origin");
 }
 
--- a/tests/swarm/older_pieces_test.cpp
+++ b/tests/swarm/older_pieces_test.cpp
@@ -25,21 +25,21 @@
   OlderPieces older(8);
   older.Start(kVersion, AllOf(4));
   CHECK(older.NeedsCopy(1));
-  older.Keep(1, "abcd");
+  older.SaveCopy(1, "abcd");
   CHECK_FALSE(older.NeedsCopy(1));
-  REQUIRE(older.Copy(1) != nullptr);
-  CHECK(*older.Copy(1) == "abcd");
+  REQUIRE(older.FindCopy(1) != nullptr);
+  CHECK(*older.FindCopy(1) == "abcd");
   CHECK(older.available().full());
-  older.Keep(2, "efgh");
+  older.SaveCopy(2, "efgh");
   // No room is left.
-  older.Keep(3, "i");
-  CHECK(older.Copy(3) == nullptr);
+  older.SaveCopy(3, "i");
+  CHECK(older.FindCopy(3) == nullptr);
   CHECK_FALSE(older.available().Has(3));
-  older.Lose(1);
-  CHECK(older.Copy(1) == nullptr);
+  older.Remove(1);
+  CHECK(older.FindCopy(1) == nullptr);
   CHECK(older.available().count() == 2);
   older.Start(kVersion + 1, AllOf(2));
-  CHECK(older.Copy(2) == nullptr);
+  CHECK(older.FindCopy(2) == nullptr);
   CHECK(older.version() == kVersion + 1);
 }
 
@@ -74,8 +74,8 @@
   SourceProgress progress;
   const core::TimePoint now{1h};
   progress.Start(0, now);
-  CHECK_FALSE(progress.Observed(now + 900ms));
-  CHECK(progress.Observed(now + 1s));
+  CHECK_FALSE(progress.HasRate(now + 900ms));
+  CHECK(progress.HasRate(now + 1s));
   CHECK_FALSE(progress.TimeLeft(now + 5s).has_value());
 }
 
--- a/tests/swarm/roll_play.cpp
+++ b/tests/swarm/roll_play.cpp
@@ -182,7 +182,7 @@
   }
   (void)agent.planner_.TakeTimedOut(now_);
   agent.planner_.SetInFlight(agent.window_.size());
-  agent.planner_.SetOriginOpen(agent.source_.Ready(now_));
+  agent.planner_.SetOriginOpen(agent.source_.IsReady(now_));
   for (const auto& order : agent.planner_.Next(now_)) {
     if (order.peer_) {
       AskPeer(agent, *by_id_.at(*order.peer_), order.chunk_);
@@ -221,7 +221,7 @@
     begin = std::max(begin + Delay(from, to), to.down_free_);
     to.down_free_ = begin + own;
     At(to.down_free_, [this, &to, chunk, asked, wait, bytes] {
-      to.window_.OnChunk(now_ - asked - wait, bytes, now_);
+      to.window_.OnChunkReceived(now_ - asked - wait, bytes, now_);
       OnChunk(to, chunk, false);
     });
   });
@@ -252,7 +252,7 @@
 
 void RollPlay::OriginFailed(Agent& agent, std::size_t chunk) {
   (void)agent.source_.OnFailure(now_);
-  agent.planner_.OnFailed(chunk, now_);
+  agent.planner_.OnRequestFailed(chunk, now_);
 }
 
 void RollPlay::ServeOrigin() {
@@ -290,7 +290,7 @@
     if (!agent.alive_ || !agent.held_.Add(chunk)) {
       return;
     }
-    agent.planner_.OnChunk(chunk, now_);
+    agent.planner_.OnChunkReceived(chunk, now_);
     agent.announce_due_ = true;
     if (agent.held_.full()) {
       whole_.push_back(now_ - start_);
--- a/tests/swarm/swarm_test.cpp
+++ b/tests/swarm/swarm_test.cpp
@@ -39,13 +39,13 @@
 
 TEST_CASE("a chunk counts only when its bytes are right", "[swarm]") {
   Assembly assembly(Chunks(2));
-  CHECK_FALSE(assembly.Offer(0, "1"));
-  CHECK_FALSE(assembly.Offer(0, "0 "));
-  CHECK_FALSE(assembly.Offer(2, "2"));
-  CHECK(assembly.Offer(0, "0"));
-  CHECK_FALSE(assembly.whole());
+  CHECK_FALSE(assembly.VerifyAndAdd(0, "1"));
+  CHECK_FALSE(assembly.VerifyAndAdd(0, "0 "));
+  CHECK_FALSE(assembly.VerifyAndAdd(2, "2"));
+  CHECK(assembly.VerifyAndAdd(0, "0"));
+  CHECK_FALSE(assembly.complete());
   assembly.MarkHeld(1);
-  CHECK(assembly.whole());
+  CHECK(assembly.complete());
 }
 
 TEST_CASE("what only a member on a narrowed link holds is drawn by another",
@@ -154,8 +154,9 @@
   // imported them too, and twice the bytes crossed between regions.
   const core::FailureDomainId near("d");
   const core::FailureDomainId far("e");
-  Planner planner({core::InstanceId("me"), near},
-                  {.origin_copies_ = 0, .per_peer_ = 2, .in_flight_ = 1}, 1);
+  Planner planner(
+      {core::InstanceId("me"), near},
+      {.origin_copies_ = 0, .per_peer_ = 2, .max_peer_requests_ = 1}, 1);
   planner.SetMembers({{core::InstanceId("me"), near}});
   planner.Start(Chunks(2), ChunkSet(2), kStart);
   ChunkSet first(2);
@@ -233,11 +234,11 @@
       (void)planners_[i].TakeTimedOut(now);
       for (const auto& order : planners_[i].Next(now)) {
         if (fails()) {
-          planners_[i].OnFailed(order.chunk_, now);
+          planners_[i].OnRequestFailed(order.chunk_, now);
           continue;
         }
         drawn_[order.chunk_] += order.peer_ ? 0 : 1;
-        planners_[i].OnChunk(order.chunk_, now);
+        planners_[i].OnChunkReceived(order.chunk_, now);
       }
     }
   }
@@ -298,7 +299,7 @@
       RC_ASSERT(drawn <= static_cast<int>(copies));
     }
     for (const auto& planner : swarm.planners_) {
-      RC_ASSERT(planner.draws(DrawCause::kSilence) == 0U);
+      RC_ASSERT(planner.origin_fetches(DrawCause::kTakeover) == 0U);
     }
   }));
 }
@@ -364,7 +365,7 @@
     for (const auto& order : planner.Next(kStart)) {
       if (!order.peer_) {
         drawn.insert(order.chunk_);
-        planner.OnChunk(order.chunk_, kStart);
+        planner.OnChunkReceived(order.chunk_, kStart);
       }
     }
     if (missing && drawn.contains(*missing)) {
@@ -412,7 +413,7 @@
       {core::InstanceId("c"), core::FailureDomainId("home")}};
   PlannerSettings settings;
   settings.per_peer_ = 100;
-  settings.in_flight_ = 100;
+  settings.max_peer_requests_ = 100;
   settings.import_silence_ = 300ms;
   ChunkSet all(chunks.size());
   for (std::size_t i = 0; i < chunks.size(); ++i) {
@@ -455,13 +456,13 @@
   const auto first = planner.Next(kStart);
   REQUIRE(first.size() == 1);
   CHECK(first.front().peer_ == holder.id_);
-  planner.OnFailed(0, kStart + 10ms);
+  planner.OnRequestFailed(0, kStart + 10ms);
   const auto second = planner.Next(kStart + 10ms);
   REQUIRE(second.size() == 1);
   CHECK_FALSE(second.front().peer_.has_value());
-  planner.OnChunk(0, kStart + 20ms);
+  planner.OnChunkReceived(0, kStart + 20ms);
   CHECK(planner.complete());
-  planner.OnDropped(0);
+  planner.OnChunkLost(0);
   CHECK_FALSE(planner.complete());
   CHECK(planner.Next(kStart + 30ms).size() == 1);
 }
