--- a/packages/chalkwell/src/chalkwell/config/accepted_documents.cpp
+++ b/packages/chalkwell/src/chalkwell/config/accepted_documents.cpp
@@ -41,8 +41,8 @@
   return "unknown";
 }
 
-std::vector<bundle::PublicKey> ParseTrust(std::string_view text,
-                                          std::uint64_t& version) {
+std::vector<bundle::PublicKey> ParseTrustedKeys(std::string_view text,
+                                                std::uint64_t& version) {
   const auto root = core::internal::ParseObject(text, "trust");
   version = core::internal::RequireUnsigned(root, "version");
   std::vector<bundle::PublicKey> keys;
@@ -184,12 +184,12 @@
     result.stamp_.sequence_ = result.bundle_->version_;
     result.stamp_.manifest_ = result.bundle_->manifest_;
   } else {
-    result.keys_ = ParseTrust(envelope.payload_, result.stamp_.sequence_);
+    result.keys_ = ParseTrustedKeys(envelope.payload_, result.stamp_.sequence_);
   }
 }
 
 Acceptance AcceptedDocuments::Compare(const std::string& key,
-                                      const DocumentStamp& stamp) const {
+                                      const DocumentVersion& stamp) const {
   const auto entry = entries_.find(key);
   if (entry == entries_.end()) {
     return {Verdict::kAccepted, ""};
--- a/packages/chalkwell/src/chalkwell/config/accepted_documents.hpp
+++ b/packages/chalkwell/src/chalkwell/config/accepted_documents.hpp
@@ -36,7 +36,7 @@
 };
 
 /// @brief Position of a document in the total order of its key.
-struct DocumentStamp {
+struct DocumentVersion {
   /// Signed version for signed documents, the service's revision for others.
   std::uint64_t sequence_ = 0;
   /// Bundles: the manifest. Breaks ties as the rollout of endpoints does.
@@ -44,8 +44,10 @@
   /// Breaks the ties left, so that all processes settle on the same content.
   core::Digest content_;
 
-  friend bool operator==(const DocumentStamp&, const DocumentStamp&) = default;
-  friend auto operator<=>(const DocumentStamp&, const DocumentStamp&) = default;
+  friend bool operator==(const DocumentVersion&,
+                         const DocumentVersion&) = default;
+  friend auto operator<=>(const DocumentVersion&,
+                          const DocumentVersion&) = default;
 };
 
 /// @brief What became of an offered document.
@@ -84,7 +86,7 @@
 /// the configuration service itself may be stale.
 class AcceptedDocuments {
  public:
-  using Stamps = std::map<std::string, DocumentStamp>;
+  using Stamps = std::map<std::string, DocumentVersion>;
 
   /// @param trusted keys from the settings, the root of trust.
   explicit AcceptedDocuments(const std::vector<bundle::PublicKey>& trusted,
@@ -110,11 +112,11 @@
  private:
   struct Entry {
     Document document_;
-    DocumentStamp stamp_;
+    DocumentVersion stamp_;
   };
   struct Checked {
     Acceptance acceptance_;
-    DocumentStamp stamp_;
+    DocumentVersion stamp_;
     std::optional<bundle::Bundle> bundle_;
     std::vector<bundle::PublicKey> keys_;
   };
@@ -122,7 +124,7 @@
   [[nodiscard]] Checked Check(const Document& document) const;
   void CheckSigned(const Document& document, Checked& result) const;
   [[nodiscard]] Acceptance Compare(const std::string& key,
-                                   const DocumentStamp& stamp) const;
+                                   const DocumentVersion& stamp) const;
 
   AcceptanceFaults faults_;
   /// Replaced as a whole when a list of trusted keys is accepted.
@@ -135,7 +137,7 @@
 
 /// @brief Parses the payload of a list of trusted keys.
 /// @throws core::Error that names the field and the fix.
-[[nodiscard]] std::vector<bundle::PublicKey> ParseTrust(std::string_view text,
-                                                        std::uint64_t& version);
+[[nodiscard]] std::vector<bundle::PublicKey> ParseTrustedKeys(
+    std::string_view text, std::uint64_t& version);
 
 }  // namespace chalkwell::config
--- a/packages/chalkwell/src/chalkwell/config/catch_up.cpp
+++ b/packages/chalkwell/src/chalkwell/config/catch_up.cpp
@@ -10,7 +10,7 @@
 namespace chalkwell::config {
 
 RulesPeerSelector::RulesPeerSelector(core::InstanceId self,
-                                     CatchUpSettings settings)
+                                     RulesPeerSelectorSettings settings)
     : self_(std::move(self)), settings_(settings) {}
 
 void RulesPeerSelector::OnAnnounced(const RulesSource& source,
@@ -28,7 +28,7 @@
   }
 }
 
-void RulesPeerSelector::OnHave(std::uint64_t version, core::TimePoint now) {
+void RulesPeerSelector::OnApplied(std::uint64_t version, core::TimePoint now) {
   version_ = std::max(version_, version);
   std::erase_if(sources_, [this](const auto& entry) {
     return entry.second.version_ <= version_;
--- a/packages/chalkwell/src/chalkwell/config/catch_up.hpp
+++ b/packages/chalkwell/src/chalkwell/config/catch_up.hpp
@@ -12,7 +12,7 @@
 namespace chalkwell::config {
 
 /// @brief Settings of a catch-up.
-struct CatchUpSettings {
+struct RulesPeerSelectorSettings {
   /// A process that watches the rules itself gives its watch this long.
   core::Duration watch_grace_ = std::chrono::milliseconds(150);
   /// A process that does not watch waits so long for a neighbour to have what
@@ -39,14 +39,14 @@
 class RulesPeerSelector {
  public:
   explicit RulesPeerSelector(core::InstanceId self,
-                             CatchUpSettings settings = {});
+                             RulesPeerSelectorSettings settings = {});
 
   /// @brief Someone told which rules it has.
   void OnAnnounced(const RulesSource& source, std::uint64_t version,
                    core::TimePoint now);
   void OnPeerLost(const core::InstanceId& id) { sources_.erase(id); }
   /// @brief These rules are in force here now.
-  void OnHave(std::uint64_t version, core::TimePoint now);
+  void OnApplied(std::uint64_t version, core::TimePoint now);
   /// @brief The ask of a source ended.
   /// @param helped whether it brought newer rules.
   void OnFetchEnded(const core::InstanceId& id, bool helped,
@@ -74,7 +74,7 @@
                             core::TimePoint now) const;
 
   core::InstanceId self_;
-  CatchUpSettings settings_;
+  RulesPeerSelectorSettings settings_;
   std::map<core::InstanceId, Source> sources_;
   std::uint64_t version_ = 0;
   /// Newest that anyone told of.
--- a/packages/chalkwell/src/chalkwell/config/document_delta.cpp
+++ b/packages/chalkwell/src/chalkwell/config/document_delta.cpp
@@ -39,7 +39,8 @@
 
 }  // namespace
 
-std::vector<DeltaPart> DeltaOf(std::string_view base, std::string_view target) {
+std::vector<DeltaPart> MakeDelta(std::string_view base,
+                                 std::string_view target) {
   std::unordered_map<std::string_view, std::size_t> offsets;
   for (const auto& piece : Split(base)) {
     offsets.emplace(piece.text_, piece.offset_);
--- a/packages/chalkwell/src/chalkwell/config/document_delta.hpp
+++ b/packages/chalkwell/src/chalkwell/config/document_delta.hpp
@@ -19,8 +19,8 @@
 
 /// @brief Finds what of a text stands in a base already.
 /// @return parts that, in order, make up `target`.
-[[nodiscard]] std::vector<DeltaPart> DeltaOf(std::string_view base,
-                                             std::string_view target);
+[[nodiscard]] std::vector<DeltaPart> MakeDelta(std::string_view base,
+                                               std::string_view target);
 
 /// @brief Makes the text that a delta describes.
 /// @return nothing when a run lies outside the base, or the text would be
--- a/packages/chalkwell/src/chalkwell/config/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/config/fwd.hpp
@@ -6,7 +6,7 @@
 namespace chalkwell::config {
 
 struct Document;
-struct DocumentStamp;
+struct DocumentVersion;
 struct Fleet;
 struct Instance;
 struct ClientAccount;
@@ -17,7 +17,7 @@
 struct TrafficRules;
 class TrafficTable;
 class RulesPeerSelector;
-struct CatchUpSettings;
+struct RulesPeerSelectorSettings;
 struct RulesSource;
 struct DeltaPart;
 enum class Verdict : std::uint8_t;
--- a/packages/chalkwell/src/chalkwell/config/traffic_rules.cpp
+++ b/packages/chalkwell/src/chalkwell/config/traffic_rules.cpp
@@ -81,8 +81,8 @@
   return found == by_service_.end() ? nullptr : found->second;
 }
 
-const std::string& TrafficTable::ServiceFor(const TrafficRoute& route,
-                                            std::string_view request) {
+const std::string& TrafficTable::SelectService(const TrafficRoute& route,
+                                               std::string_view request) {
   if (route.services_.size() == 1) {
     return route.services_.front().service_;
   }
--- a/packages/chalkwell/src/chalkwell/config/traffic_rules.hpp
+++ b/packages/chalkwell/src/chalkwell/config/traffic_rules.hpp
@@ -72,16 +72,16 @@
   /// One token for all requests that run.
   core::Duration step_time_{};
   /// Added to a step for each request that runs.
-  core::Duration step_per_request_{};
+  core::Duration step_time_per_request_{};
   /// Added to a step for each 1,000 tokens of context of all requests.
-  core::Duration step_per_kilotoken_{};
+  core::Duration step_time_per_kilotoken_{};
   /// Prompt tokens read a second.
-  double read_per_second_ = 1;
+  double prefill_tokens_per_second_ = 1;
   /// Token steps played between two readings.
-  std::uint32_t stride_ = 1;
+  std::uint32_t steps_per_pass_ = 1;
   /// Mean tokens of a prompt and of an answer.
-  double usual_prompt_ = 0;
-  double usual_answer_ = 0;
+  double mean_prompt_tokens_ = 0;
+  double mean_output_tokens_ = 0;
   /// Pieces of its weights; 0 when not given.
   std::uint32_t weight_chunks_ = 0;
 };
@@ -150,8 +150,8 @@
       const std::string& name) const;
   /// @brief The service that takes one request of a route: the same for the
   /// same request as long as the shares stay.
-  [[nodiscard]] static const std::string& ServiceFor(const TrafficRoute& route,
-                                                     std::string_view request);
+  [[nodiscard]] static const std::string& SelectService(
+      const TrafficRoute& route, std::string_view request);
 
  private:
   TrafficRules rules_;
--- a/packages/chalkwell/src/chalkwell/membership/duties.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/duties.cpp
@@ -7,8 +7,8 @@
 
 namespace chalkwell::membership {
 
-std::uint64_t WatchRank(const core::InstanceId& member) {
-  return core::RendezvousScore(kWatchDutyName, member.value());
+std::uint64_t WatcherScore(const core::InstanceId& member) {
+  return core::RendezvousScore(kWatcherRoleKey, member.value());
 }
 
 std::size_t RankOf(const core::InstanceId& self, std::string_view item,
@@ -23,7 +23,7 @@
       }));
 }
 
-std::vector<core::InstanceId> FirstChoices(
+std::vector<core::InstanceId> HighestRanked(
     std::string_view item, std::span<const core::InstanceId> members,
     std::size_t count) {
   std::vector<core::InstanceId> order(members.begin(), members.end());
--- a/packages/chalkwell/src/chalkwell/membership/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/fwd.hpp
@@ -8,17 +8,17 @@
 class Roster;
 struct EndpointReport;
 struct EndpointView;
-class PauseDetector;
-class PlannedStop;
+class SuspensionDetector;
+class GracefulShutdown;
 class GossipTable;
 class PathDelay;
 class MessageOrder;
 class LinkDelay;
-class ReadDuty;
-class ReportAudience;
-class SpreadPlan;
-class WatchDuty;
-struct WatchDutySettings;
+class ReaderRole;
+class ReportSubscribers;
+class PropagationPlan;
+class WatcherRole;
+struct WatcherRoleSettings;
 struct Member;
 
 }  // namespace chalkwell::membership
--- a/packages/chalkwell/src/chalkwell/membership/gossip_table.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/gossip_table.cpp
@@ -11,7 +11,7 @@
 namespace chalkwell::membership {
 namespace {
 
-std::uint64_t Rank(const Member& member) { return WatchRank(member.id_); }
+std::uint64_t Rank(const Member& member) { return WatcherScore(member.id_); }
 
 }  // namespace
 
@@ -50,26 +50,26 @@
   return true;
 }
 
-MergeEnd GossipTable::Merge(const Member& member, core::TimePoint now) {
+MergeOutcome GossipTable::Merge(const Member& member, core::TimePoint now) {
   if (member.id_ == self_.id_) {
-    return MergeEnd::kUnchanged;
+    return MergeOutcome::kUnchanged;
   }
   const Key key{member.id_, member.incarnation_};
   const auto found = rows_.find(key);
   if (found == rows_.end()) {
     if (member.leaving_ || !MakePlace(member)) {
-      return MergeEnd::kUnchanged;
+      return MergeOutcome::kUnchanged;
     }
     rows_.emplace(key, Row{member, now});
-    return MergeEnd::kJoined;
+    return MergeOutcome::kJoined;
   }
   auto& row = found->second;
   if (member.heartbeat_ <= row.member_.heartbeat_) {
-    return MergeEnd::kUnchanged;
+    return MergeOutcome::kUnchanged;
   }
   const bool back = row.lost_ && !member.leaving_;
   row = Row{member, now, member.leaving_, 0};
-  return back ? MergeEnd::kJoined : MergeEnd::kUpdated;
+  return back ? MergeOutcome::kJoined : MergeOutcome::kUpdated;
 }
 
 std::vector<Member> GossipTable::Expire(core::TimePoint now) {
--- a/packages/chalkwell/src/chalkwell/membership/gossip_table.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/gossip_table.hpp
@@ -54,7 +54,7 @@
 };
 
 /// @brief What a merge changed.
-enum class MergeEnd : std::uint8_t { kUnchanged, kUpdated, kJoined };
+enum class MergeOutcome : std::uint8_t { kUnchanged, kUpdated, kJoined };
 
 /// @brief Members known to one process.
 class GossipTable {
@@ -66,7 +66,7 @@
   void RaiseHeartbeat();
   void SetLeaving() noexcept { self_.leaving_ = true; }
   /// @brief Takes a row heard from anyone.
-  MergeEnd Merge(const Member& member, core::TimePoint now);
+  MergeOutcome Merge(const Member& member, core::TimePoint now);
   /// @brief Forgets members past their lease.
   /// @return those lost since the last call.
   std::vector<Member> Expire(core::TimePoint now);
--- a/packages/chalkwell/src/chalkwell/membership/planned_stop.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/planned_stop.cpp
@@ -3,24 +3,25 @@
 
 namespace chalkwell::membership {
 
-bool PlannedStop::MayExit(core::TimePoint now) const noexcept {
+bool GracefulShutdown::MayExit(core::TimePoint now) const noexcept {
   if (!began_) {
     return false;
   }
-  return work_ == 0 || faults_.exit_with_work_ || now - *began_ >= limit_;
+  return work_ == 0 || faults_.exit_with_pending_work_ ||
+         now - *began_ >= limit_;
 }
 
-void PlannedStop::Begin(core::TimePoint now) noexcept {
+void GracefulShutdown::Begin(core::TimePoint now) noexcept {
   if (began_) {
     return;
   }
   began_ = now;
-  if (faults_.forget_work_before_stop_) {
+  if (faults_.drop_work_on_shutdown_) {
     work_ = 0;
   }
 }
 
-void PlannedStop::OnWorkEnded() noexcept {
+void GracefulShutdown::OnWorkFinished() noexcept {
   if (work_ > 0) {
     --work_;
   }
--- a/packages/chalkwell/src/chalkwell/membership/planned_stop.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/planned_stop.hpp
@@ -11,35 +11,36 @@
 namespace chalkwell::membership {
 
 /// @brief Faults that tests seed to show that the proofs can fail.
-struct StopFaults {
-  bool accept_while_leaving_ = false;
-  bool exit_with_work_ = false;
-  bool forget_work_before_stop_ = false;
+struct ShutdownFaults {
+  bool accept_while_draining_ = false;
+  bool exit_with_pending_work_ = false;
+  bool drop_work_on_shutdown_ = false;
 };
 
 /// @brief Counts work and decides when the process may exit.
-class PlannedStop {
+class GracefulShutdown {
  public:
   /// @param limit longest time a stop may wait.
-  explicit PlannedStop(core::Duration limit, StopFaults faults = {}) noexcept
+  explicit GracefulShutdown(core::Duration limit,
+                            ShutdownFaults faults = {}) noexcept
       : limit_(limit), faults_(faults) {}
 
   [[nodiscard]] bool draining() const noexcept { return began_.has_value(); }
   /// @brief Whether new work may be taken.
   [[nodiscard]] bool accepting() const noexcept {
-    return !draining() || faults_.accept_while_leaving_;
+    return !draining() || faults_.accept_while_draining_;
   }
   [[nodiscard]] std::size_t pending() const noexcept { return work_; }
   /// @brief Whether the process may exit.
   [[nodiscard]] bool MayExit(core::TimePoint now) const noexcept;
 
   void Begin(core::TimePoint now) noexcept;
-  void OnWorkTaken() noexcept { ++work_; }
-  void OnWorkEnded() noexcept;
+  void OnWorkAccepted() noexcept { ++work_; }
+  void OnWorkFinished() noexcept;
 
  private:
   core::Duration limit_;
-  StopFaults faults_;
+  ShutdownFaults faults_;
   /// Work taken and not ended.
   std::size_t work_ = 0;
   /// Set once.
--- a/packages/chalkwell/src/chalkwell/membership/read_duty.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/read_duty.cpp
@@ -15,15 +15,15 @@
 
 }  // namespace
 
-ReadDuty::ReadDuty(core::InstanceId self, ReadDutySettings settings)
+ReaderRole::ReaderRole(core::InstanceId self, ReaderRoleSettings settings)
     : self_(std::move(self)), settings_(settings) {}
 
-void ReadDuty::SetMembers(std::span<const core::InstanceId> members) {
+void ReaderRole::SetMembers(std::span<const core::InstanceId> members) {
   rank_ = members.empty() ? 0 : RankOf(self_, kDuty, members);
   alone_ = members.size() <= 1;
 }
 
-void ReadDuty::OnRead(core::TimePoint now) noexcept {
+void ReaderRole::OnRead(core::TimePoint now) noexcept {
   asked_at_ = now;
   if (!told_at_) {
     // All members start with a read: the first in rank tells the next ones.
@@ -32,14 +32,14 @@
   }
 }
 
-void ReadDuty::OnTried(core::TimePoint now) noexcept {
+void ReaderRole::OnPeerReadFailed(core::TimePoint now) noexcept {
   tried_at_ = now;
   if (!told_at_) {
     told_at_ = now;
   }
 }
 
-bool ReadDuty::IsReader(core::TimePoint now) const noexcept {
+bool ReaderRole::IsReader(core::TimePoint now) const noexcept {
   if (rank_ == 0 || !told_at_) {
     return !alone_ || now >= alone_until_.value_or(now);
   }
@@ -47,21 +47,22 @@
   const auto heard_at = std::max(*told_at_, tried_at_.value_or(*told_at_));
   const bool silent = now - heard_at >= settings_.takeover_timeout_ +
                                             settings_.rank_delay_ * behind;
-  const bool in_vain = now - *told_at_ >= settings_.takeover_timeout_ +
-                                              settings_.tried_step_ * behind;
+  const bool in_vain =
+      now - *told_at_ >=
+      settings_.takeover_timeout_ + settings_.failed_read_rank_delay_ * behind;
   return silent || in_vain || IsStale(*told_at_, now);
 }
 
-bool ReadDuty::IsStale(core::TimePoint as_of,
-                       core::TimePoint now) const noexcept {
+bool ReaderRole::IsStale(core::TimePoint as_of,
+                         core::TimePoint now) const noexcept {
   const auto tried_at = std::max(tried_at_, failed_at_);
   const bool away = tried_at && *tried_at > as_of;
   return !away && now - as_of >= settings_.max_age_;
 }
 
-core::Duration ReadDuty::Interval(core::TimePoint now) const noexcept {
+core::Duration ReaderRole::Interval(core::TimePoint now) const noexcept {
   if (!IsReader(now)) {
-    return settings_.seldom_;
+    return settings_.standby_interval_;
   }
   if (!told_at_ || !asked_at_ || *told_at_ <= *asked_at_) {
     return settings_.reader_interval_;
@@ -69,7 +70,7 @@
   // Told by another domain's reader: that read counts as well.
   const auto wait = settings_.reader_interval_ +
                     settings_.rank_delay_ * static_cast<int>(domains_ahead_);
-  return std::min(*told_at_ - *asked_at_ + wait, settings_.seldom_);
+  return std::min(*told_at_ - *asked_at_ + wait, settings_.standby_interval_);
 }
 
 }  // namespace chalkwell::membership
--- a/packages/chalkwell/src/chalkwell/membership/read_duty.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/read_duty.hpp
@@ -14,13 +14,13 @@
 namespace chalkwell::membership {
 
 /// @brief Settings of a duty.
-struct ReadDutySettings {
+struct ReaderRoleSettings {
   /// Between two reads of the member whose duty it is.
   core::Duration reader_interval_ = std::chrono::milliseconds(600);
   /// Between two reads of the others while they are told: a gap in what they
   /// are told shows at the next telling, so this only guards against errors.
   /// With 20 s, 149 members make 7.5 calls a second of it; now 1.2.
-  core::Duration seldom_ = std::chrono::seconds(120);
+  core::Duration standby_interval_ = std::chrono::seconds(120);
   /// Told of no read for this long, the next member reads itself: one and a
   /// half intervals, since a datagram is lost now and then.
   core::Duration takeover_timeout_ = std::chrono::milliseconds(900);
@@ -31,16 +31,16 @@
   /// The publisher may turn those away and serve this one, but when it is away
   /// for all, each further reader only asks in vain: some 7 of a failure domain
   /// read after 8 s, not all.
-  core::Duration tried_step_ = std::chrono::milliseconds(1200);
+  core::Duration failed_read_rank_delay_ = std::chrono::milliseconds(1200);
   /// Whoever believes an older list reads itself, whatever its rank, unless the
   /// publisher is known to be away: endpoints that leave are told by the list.
   core::Duration max_age_ = std::chrono::milliseconds(1200);
 };
 
 /// @brief The duty of one member.
-class ReadDuty {
+class ReaderRole {
  public:
-  ReadDuty(core::InstanceId self, ReadDutySettings settings);
+  ReaderRole(core::InstanceId self, ReaderRoleSettings settings);
 
   /// @brief Members of the own failure domain that read the list, this one
   /// included; the first in rank has the duty.
@@ -62,7 +62,7 @@
   }
   /// @brief Another member of the own failure domain told that it tried to
   /// read, in vain.
-  void OnTried(core::TimePoint now) noexcept;
+  void OnPeerReadFailed(core::TimePoint now) noexcept;
   /// @brief Whether this member reads for the others: the first in rank, or
   /// whoever is told of no read any more.
   [[nodiscard]] bool IsReader(core::TimePoint now) const noexcept;
@@ -76,7 +76,7 @@
 
  private:
   core::InstanceId self_;
-  ReadDutySettings settings_;
+  ReaderRoleSettings settings_;
   /// Members of the own failure domain ahead of this one.
   std::size_t rank_ = 0;
   /// Whether any other member of the own failure domain is known.
--- a/packages/chalkwell/src/chalkwell/membership/report_audience.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/report_audience.cpp
@@ -10,11 +10,11 @@
 
 }  // namespace
 
-ReportAudience::ReportAudience(ReportAudienceSettings settings)
+ReportSubscribers::ReportSubscribers(ReportSubscribersSettings settings)
     : settings_(settings) {}
 
-bool ReportAudience::Subscribe(const std::string& address, bool near,
-                               core::TimePoint now) {
+bool ReportSubscribers::Subscribe(const std::string& address, bool near,
+                                  core::TimePoint now) {
   const auto [found, fresh] = subscribers_.try_emplace(address);
   found->second.near_ = near;
   found->second.renewed_ = now;
@@ -22,7 +22,7 @@
   return fresh;
 }
 
-core::Duration ReportAudience::IntervalOf(bool near) const {
+core::Duration ReportSubscribers::IntervalOf(bool near) const {
   const auto near_count = static_cast<double>(std::ranges::count_if(
       subscribers_,
       [](const auto& subscriber) { return subscriber.second.near_; }));
@@ -37,14 +37,15 @@
       std::clamp(stretched, least, Seconds(settings_.longest_)));
 }
 
-void ReportAudience::TellFull() {
+void ReportSubscribers::RequestFullReports() {
   for (auto& [address, subscriber] : subscribers_) {
     subscriber.full_at_ = {};
   }
 }
 
-std::vector<ReportTarget> ReportAudience::CollectDue(bool changed, bool urgent,
-                                                     core::TimePoint now) {
+std::vector<ReportTarget> ReportSubscribers::CollectDue(bool changed,
+                                                        bool urgent,
+                                                        core::TimePoint now) {
   std::erase_if(subscribers_, [&](const auto& subscriber) {
     return now - subscriber.second.renewed_ >= settings_.lease_;
   });
--- a/packages/chalkwell/src/chalkwell/membership/report_audience.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/report_audience.hpp
@@ -15,7 +15,7 @@
 namespace chalkwell::membership {
 
 /// @brief Settings of an audience.
-struct ReportAudienceSettings {
+struct ReportSubscribersSettings {
   /// A subscriber that did not renew for this long is left out: three
   /// renewals of those who renew least often.
   core::Duration lease_ = std::chrono::milliseconds(8000);
@@ -45,9 +45,9 @@
 };
 
 /// @brief Subscribers of one endpoint.
-class ReportAudience {
+class ReportSubscribers {
  public:
-  explicit ReportAudience(ReportAudienceSettings settings = {});
+  explicit ReportSubscribers(ReportSubscribersSettings settings = {});
 
   /// @brief An entry uses the endpoint, or still does.
   /// @param address where it takes reports.
@@ -55,7 +55,7 @@
   /// @return whether it was none before: it has no report yet.
   bool Subscribe(const std::string& address, bool near, core::TimePoint now);
   /// @brief What seldom changes did: the next report to each is a full one.
-  void TellFull();
+  void RequestFullReports();
 
   /// @brief Whom to tell the present report. They count as told.
   /// @param changed whether it differs from the last one.
@@ -84,7 +84,7 @@
 
   [[nodiscard]] core::Duration IntervalOf(bool near) const;
 
-  ReportAudienceSettings settings_;
+  ReportSubscribersSettings settings_;
   /// By address.
   std::map<std::string, Subscriber> subscribers_;
   /// Rises with each changed report.
--- a/packages/chalkwell/src/chalkwell/membership/roster.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/roster.cpp
@@ -61,7 +61,7 @@
 
 bool Roster::IsSuspected(const EndpointView& view,
                          core::TimePoint now) const noexcept {
-  return view.probed_at_ && now - *view.probed_at_ > settings_.suspicion_;
+  return view.probed_at_ && now - *view.probed_at_ > settings_.probe_timeout_;
 }
 
 void Roster::OnProbed(const core::InstanceId& id, core::TimePoint now) {
@@ -194,7 +194,7 @@
   }
 }
 
-bool PauseDetector::Tick(core::TimePoint now) noexcept {
+bool SuspensionDetector::Tick(core::TimePoint now) noexcept {
   const bool paused = last_ && now - *last_ > lease_;
   last_ = now;
   return paused;
--- a/packages/chalkwell/src/chalkwell/membership/roster.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/roster.hpp
@@ -58,7 +58,7 @@
   /// Without a word for this long, an endpoint is suspected and gets no work.
   core::Duration lease_ = std::chrono::seconds(3);
   /// A probe unanswered for this long makes an endpoint the last choice.
-  core::Duration suspicion_ = std::chrono::milliseconds(300);
+  core::Duration probe_timeout_ = std::chrono::milliseconds(300);
   /// Consecutive failures that open the breaker.
   unsigned breaker_failures_ = 5;
   core::Duration breaker_time_ = std::chrono::seconds(2);
@@ -136,9 +136,9 @@
 };
 
 /// @brief Notices that the process did not run for longer than its lease.
-class PauseDetector {
+class SuspensionDetector {
  public:
-  explicit PauseDetector(core::Duration lease) noexcept : lease_(lease) {}
+  explicit SuspensionDetector(core::Duration lease) noexcept : lease_(lease) {}
 
   /// @brief Call from a timer much shorter than the lease.
   /// @return true when the gap since the last call exceeds the lease.
--- a/packages/chalkwell/src/chalkwell/membership/spread_plan.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/spread_plan.cpp
@@ -10,11 +10,11 @@
 namespace chalkwell::membership {
 namespace {
 
-std::uint64_t Rank(const Member& member) { return WatchRank(member.id_); }
+std::uint64_t Rank(const Member& member) { return WatcherScore(member.id_); }
 
 }  // namespace
 
-SpreadPlan::SpreadPlan(Member self, std::vector<Member> live)
+PropagationPlan::PropagationPlan(Member self, std::vector<Member> live)
     : self_(std::move(self)) {
   std::erase_if(live, &Member::leaving_);
   for (auto& member : live) {
@@ -23,7 +23,8 @@
   }
 }
 
-std::vector<Member> SpreadPlan::RemoteDelegates(std::size_t of_each) const {
+std::vector<Member> PropagationPlan::RemoteDelegates(
+    std::size_t of_each) const {
   auto order = far_;
   std::ranges::sort(order, std::ranges::greater{}, Rank);
   std::map<core::FailureDomainId, std::size_t> taken;
@@ -33,14 +34,15 @@
   return order;
 }
 
-std::vector<Member> SpreadPlan::AnnounceTargets(DelegateFanout reach) const {
-  auto targets =
-      RemoteDelegates(reach == DelegateFanout::kSure ? kWatchersPerDomain : 1);
+std::vector<Member> PropagationPlan::AnnounceTargets(
+    DelegateFanout reach) const {
+  auto targets = RemoteDelegates(
+      reach == DelegateFanout::kTwoDelegates ? kWatchersPerDomain : 1);
   targets.insert(targets.end(), near_.begin(), near_.end());
   return targets;
 }
 
-std::vector<Member> SpreadPlan::ForwardTargets(
+std::vector<Member> PropagationPlan::ForwardTargets(
     const core::FailureDomainId& from) const {
   if (from == self_.domain_) {
     return {};
--- a/packages/chalkwell/src/chalkwell/membership/spread_plan.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/spread_plan.hpp
@@ -17,16 +17,16 @@
 enum class DelegateFanout : std::uint8_t {
   /// Two delegates of each other domain: for what must arrive although one of
   /// them was lost a moment ago.
-  kSure,
+  kTwoDelegates,
   /// One delegate of each other domain: for what is told again and again.
-  kRepeated,
+  kOneDelegate,
 };
 
 /// @brief Targets of one process, from the members that it knows.
-class SpreadPlan {
+class PropagationPlan {
  public:
   /// @param live members known, this one left out.
-  SpreadPlan(Member self, std::vector<Member> live);
+  PropagationPlan(Member self, std::vector<Member> live);
 
   /// @brief Whom to tell what this process heard first.
   [[nodiscard]] std::vector<Member> AnnounceTargets(DelegateFanout reach) const;
--- a/packages/chalkwell/src/chalkwell/membership/store_outage.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/store_outage.cpp
@@ -18,7 +18,7 @@
   as_of_ = as_of;
 }
 
-bool StoreOutage::MayHaveLapsed(core::TimePoint now) const noexcept {
+bool StoreOutage::LeasesMayHaveExpired(core::TimePoint now) const noexcept {
   const bool away =
       failed_ && (!as_of_ || now - *as_of_ >= settings_.renewal_interval_);
   return away || (ended_at_ && now - *ended_at_ < settings_.return_time_);
--- a/packages/chalkwell/src/chalkwell/membership/store_outage.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/store_outage.hpp
@@ -29,7 +29,7 @@
   /// @param as_of when the store was asked for it.
   void OnListReceived(core::TimePoint as_of, core::TimePoint now) noexcept;
   /// @brief Whether what a list lacks now may live all the same.
-  [[nodiscard]] bool MayHaveLapsed(core::TimePoint now) const noexcept;
+  [[nodiscard]] bool LeasesMayHaveExpired(core::TimePoint now) const noexcept;
 
  private:
   StoreOutageSettings settings_;
--- a/packages/chalkwell/src/chalkwell/membership/watch_duty.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/watch_duty.cpp
@@ -10,22 +10,22 @@
 #include "chalkwell/membership/duties.hpp"
 
 namespace chalkwell::membership {
-WatchDuty::WatchDuty(core::InstanceId self, WatchDutySettings settings)
+WatcherRole::WatcherRole(core::InstanceId self, WatcherRoleSettings settings)
     : self_(std::move(self)), settings_(settings), members_{self_} {}
 
-std::vector<core::InstanceId> WatchDuty::FirstInRank(
+std::vector<core::InstanceId> WatcherRole::FirstInRank(
     std::span<const core::InstanceId> members, std::size_t count) {
-  return FirstChoices(kWatchDutyName, members, count);
+  return HighestRanked(kWatcherRoleKey, members, count);
 }
 
-void WatchDuty::SetMembers(std::span<const core::InstanceId> members) {
+void WatcherRole::SetMembers(std::span<const core::InstanceId> members) {
   members_ = FirstInRank(members, members.size());
   const auto self = std::ranges::find(members_, self_);
   rank_ = static_cast<std::size_t>(self - members_.begin());
 }
 
-void WatchDuty::OnWatcherAnnounced(const core::InstanceId& member,
-                                   core::TimePoint now) {
+void WatcherRole::OnWatcherAnnounced(const core::InstanceId& member,
+                                     core::TimePoint now) {
   const auto found = std::ranges::find(members_, member);
   const auto rank = static_cast<std::size_t>(found - members_.begin());
   if (rank < rank_) {
@@ -33,7 +33,7 @@
   }
 }
 
-std::size_t WatchDuty::WatcherCount(core::TimePoint now) const {
+std::size_t WatcherRole::WatcherCount(core::TimePoint now) const {
   if (bytes_ > 0) {
     return std::clamp<std::size_t>(settings_.budget_ / bytes_, 1,
                                    settings_.most_);
@@ -43,7 +43,7 @@
   return long_read ? 1 : settings_.most_;
 }
 
-bool WatchDuty::IsWatcher(core::TimePoint now) const {
+bool WatcherRole::IsWatcher(core::TimePoint now) const {
   const auto watchers = WatcherCount(now);
   const auto heard_at = told_at_ || bytes_ == 0 ? told_at_ : reading_since_;
   if (rank_ < watchers || !heard_at) {
@@ -53,7 +53,7 @@
   return now - *heard_at >= settings_.patience_ + settings_.step_ * behind;
 }
 
-bool WatchDuty::MustAnnounce(core::TimePoint now) const {
+bool WatcherRole::MustAnnounce(core::TimePoint now) const {
   return WatcherCount(now) < members_.size() && IsWatcher(now);
 }
 
--- a/packages/chalkwell/src/chalkwell/membership/watch_duty.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/watch_duty.hpp
@@ -16,7 +16,7 @@
 namespace chalkwell::membership {
 
 /// @brief Settings of a duty.
-struct WatchDutySettings {
+struct WatcherRoleSettings {
   /// Bytes that a failure domain's members together may take from the publisher
   /// for one change: a tenth of a second of a link of 24 Mbit/s.
   std::size_t budget_ = std::size_t{256} << 10;
@@ -36,17 +36,20 @@
 };
 
 /// @brief The duty of one member.
-class WatchDuty {
+class WatcherRole {
  public:
-  explicit WatchDuty(core::InstanceId self, WatchDutySettings settings = {});
+  explicit WatcherRole(core::InstanceId self,
+                       WatcherRoleSettings settings = {});
 
   /// @brief Members of the own failure domain that need the document, this one
   /// included.
   void SetMembers(std::span<const core::InstanceId> members);
   /// @brief The document was heard whole, from whomever.
-  void OnDocument(std::size_t bytes) noexcept { bytes_ = bytes; }
+  void OnDocumentReceived(std::size_t bytes) noexcept { bytes_ = bytes; }
   /// @brief The first read of the document begins.
-  void OnFirstRead(core::TimePoint now) noexcept { reading_since_ = now; }
+  void OnFirstReadStarted(core::TimePoint now) noexcept {
+    reading_since_ = now;
+  }
   /// @brief Another member of the domain said that it watches.
   void OnWatcherAnnounced(const core::InstanceId& member, core::TimePoint now);
 
@@ -67,7 +70,7 @@
 
  private:
   core::InstanceId self_;
-  WatchDutySettings settings_;
+  WatcherRoleSettings settings_;
   /// In rendezvous order.
   std::vector<core::InstanceId> members_;
   /// Position of this member in `members_`.
--- a/packages/chalkwell/src/chalkwell/rollout/activation.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/activation.cpp
@@ -29,7 +29,7 @@
 
 bool Activation::accepting(core::TimePoint now) const noexcept {
   const bool lease_stands = now - asked_at_ <= settings_.lease_;
-  return accepting_ && (lease_stands || faults_.trust_state_after_pause_);
+  return accepting_ && (lease_stands || faults_.keep_state_after_pause_);
 }
 
 bool Activation::NeedsSwitch() const noexcept {
@@ -95,7 +95,7 @@
   const auto abandoned = target_.manifest_;
   target_ = target;
   const bool fetched = phase_ == Phase::kFetching ||
-                       phase_ == Phase::kWaitingTurn ||
+                       phase_ == Phase::kWaitingForSlot ||
                        phase_ == Phase::kDraining;
   if (fetched && abandoned != target.manifest_) {
     actions.emplace_back(AbandonFetch{abandoned});
@@ -110,7 +110,7 @@
 
 void Activation::DropFetch(Actions& actions) const {
   const bool fetched = phase_ == Phase::kFetching ||
-                       phase_ == Phase::kWaitingTurn ||
+                       phase_ == Phase::kWaitingForSlot ||
                        phase_ == Phase::kDraining;
   if (fetched && !faults_.keep_staged_over_restart_) {
     actions.emplace_back(AbandonFetch{target_.manifest_});
@@ -216,16 +216,16 @@
   }
   staged_at_ = now;
   if (accepting_) {
-    phase_ = Phase::kWaitingTurn;
+    phase_ = Phase::kWaitingForSlot;
     return actions;
   }
   phase_ = Phase::kDraining;
   return OnDrained(now);
 }
 
-Actions Activation::OnTurn() {
+Actions Activation::OnRolloutSlot() {
   Actions actions;
-  if (phase_ != Phase::kWaitingTurn) {
+  if (phase_ != Phase::kWaitingForSlot) {
     return actions;
   }
   if (faults_.order_while_serving_) {
@@ -280,7 +280,7 @@
   Actions actions;
   const bool ordering =
       phase_ == Phase::kAwaitingReply || phase_ == Phase::kClaiming;
-  if (faults_.trust_state_after_pause_ || ordering ||
+  if (faults_.keep_state_after_pause_ || ordering ||
       phase_ == Phase::kReplaced) {
     return actions;
   }
--- a/packages/chalkwell/src/chalkwell/rollout/activation.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/activation.hpp
@@ -48,7 +48,7 @@
   /// Nothing newer than what the engine holds is in force.
   kSettled,
   kFetching,
-  kWaitingTurn,
+  kWaitingForSlot,
   kDraining,
   kAwaitingReply,
   /// An order was answered; only the engine's own report ends this.
@@ -97,7 +97,7 @@
   bool drop_fence_ = false;
   bool order_older_ = false;
   bool order_while_serving_ = false;
-  bool trust_state_after_pause_ = false;
+  bool keep_state_after_pause_ = false;
   bool skip_claim_ = false;
   bool never_reclaim_ = false;
   bool keep_staged_over_restart_ = false;
@@ -153,7 +153,7 @@
   [[nodiscard]] Actions OnStaged(const core::Digest& manifest,
                                  core::TimePoint now);
   /// @brief This endpoint's turn to switch has come.
-  [[nodiscard]] Actions OnTurn();
+  [[nodiscard]] Actions OnRolloutSlot();
   /// @brief This process has no work at the engine; call again while draining,
   /// since the order may have to wait.
   [[nodiscard]] Actions OnDrained(core::TimePoint now);
--- a/packages/chalkwell/src/chalkwell/rollout/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/fwd.hpp
@@ -11,7 +11,7 @@
 class RolloutSlots;
 enum class Phase : std::uint8_t;
 class VersionBound;
-struct StartForecast;
-struct StartChoiceSettings;
+struct FirstFetchForecast;
+struct FirstFetchSettings;
 
 }  // namespace chalkwell::rollout
--- a/packages/chalkwell/src/chalkwell/rollout/start_choice.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/start_choice.hpp
@@ -9,20 +9,20 @@
 namespace chalkwell::rollout {
 
 /// @brief What is foreseen of both ways, from now on.
-struct StartForecast {
+struct FirstFetchForecast {
   /// Until the newest version is out of its source; none while that is not
   /// known, as when the source does not answer.
-  std::optional<core::Duration> newest_out_;
+  std::optional<core::Duration> newest_available_;
   /// Time of what is missing of the newest version on the own link.
-  core::Duration newest_link_{};
+  core::Duration newest_transfer_{};
   /// The same of the older version, of which others hold all.
-  core::Duration older_link_{};
+  core::Duration older_transfer_{};
   /// Until requests may no longer begin on the older version.
-  core::Duration older_end_{};
+  core::Duration older_expiry_{};
 };
 
 /// @brief Settings of the choice.
-struct StartChoiceSettings {
+struct FirstFetchSettings {
   /// From the last piece to the first request: comparing with digests, the
   /// order, and loading.
   core::Duration load_time_ = std::chrono::milliseconds(600);
@@ -33,7 +33,7 @@
 
 /// @brief Whether to begin with the older version: it then serves longer than
 /// the newest one is held up.
-[[nodiscard]] bool OlderFirst(const StartForecast& forecast,
-                              const StartChoiceSettings& settings = {});
+[[nodiscard]] bool FetchOlderFirst(const FirstFetchForecast& forecast,
+                                   const FirstFetchSettings& settings = {});
 
 }  // namespace chalkwell::rollout
--- a/packages/chalkwell/src/chalkwell/rollout/turns.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/turns.cpp
@@ -45,7 +45,7 @@
       }));
 }
 
-bool RolloutSlots::MayGo(core::TimePoint now) const {
+bool RolloutSlots::MayDrain(core::TimePoint now) const {
   const auto expired_leases =
       static_cast<std::size_t>((now - last_progress_) / lease_);
   return PendingAhead() < allowed_out() * (1 + expired_leases);
--- a/packages/chalkwell/src/chalkwell/rollout/turns.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/turns.hpp
@@ -30,7 +30,7 @@
                  core::TimePoint now);
 
   /// @brief Whether this endpoint may drain now.
-  [[nodiscard]] bool MayGo(core::TimePoint now) const;
+  [[nodiscard]] bool MayDrain(core::TimePoint now) const;
   /// @brief How many members may be out at once; at least 1.
   [[nodiscard]] std::size_t allowed_out() const noexcept;
 
--- a/packages/chalkwell/src/chalkwell/rollout/version_bound.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/version_bound.cpp
@@ -42,10 +42,10 @@
   return std::nullopt;
 }
 
-routing::VersionRule VersionBound::RuleAt(core::Duration bound,
-                                          core::Duration margin,
-                                          core::TimePoint now) const noexcept {
-  routing::VersionRule rule;
+routing::VersionConstraint VersionBound::ConstraintAt(
+    core::Duration bound, core::Duration margin,
+    core::TimePoint now) const noexcept {
+  routing::VersionConstraint rule;
   for (const auto& named : named_) {
     const auto until = named.heard_at_ + bound - margin;
     if (now >= until) {
--- a/packages/chalkwell/src/chalkwell/rollout/version_bound.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/version_bound.hpp
@@ -30,9 +30,9 @@
   /// @brief The least version and the bound that comes next.
   /// @param margin time before the bound from which an older version is used
   /// nowhere.
-  [[nodiscard]] routing::VersionRule RuleAt(core::Duration bound,
-                                            core::Duration margin,
-                                            core::TimePoint now) const noexcept;
+  [[nodiscard]] routing::VersionConstraint ConstraintAt(
+      core::Duration bound, core::Duration margin,
+      core::TimePoint now) const noexcept;
 
  private:
   struct Named {
--- a/packages/chalkwell/src/chalkwell/routing/attempt_patience.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/attempt_patience.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-core::TimePoint GiveUpAt(const AwaitedAttempt& attempt) {
+core::TimePoint FirstByteDeadline(const PendingAttempt& attempt) {
   core::Duration wait =
       std::max<core::Duration>({attempt.target_latency_ * kTargets, kLeast,
                                 attempt.predicted_first_byte_ * kPredictions});
--- a/packages/chalkwell/src/chalkwell/routing/attempt_patience.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/attempt_patience.hpp
@@ -11,7 +11,7 @@
 namespace chalkwell::routing {
 
 /// @brief An attempt whose first byte is awaited.
-struct AwaitedAttempt {
+struct PendingAttempt {
   /// Within which the answer is worth most.
   core::Duration target_latency_{};
   /// First byte as the choice expected it.
@@ -21,7 +21,7 @@
   /// Weights that it is to begin on; none for plain services.
   std::optional<std::uint64_t> weights_version_;
   /// In force as it was sent.
-  VersionRule version_constraint_;
+  VersionConstraint version_constraint_;
   /// Nothing is heard of its endpoint any more, while others are heard.
   bool unresponsive_ = false;
   core::TimePoint sent_at_;
@@ -29,6 +29,6 @@
 
 /// @brief When to give the attempt up, as far as is known now: an endpoint may
 /// fall silent meanwhile.
-[[nodiscard]] core::TimePoint GiveUpAt(const AwaitedAttempt& attempt);
+[[nodiscard]] core::TimePoint FirstByteDeadline(const PendingAttempt& attempt);
 
 }  // namespace chalkwell::routing
--- a/packages/chalkwell/src/chalkwell/routing/crash_evidence.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/crash_evidence.cpp
@@ -15,33 +15,33 @@
 
 }  // namespace
 
-CrashEvidence::Loss* CrashEvidence::Find(const EndpointLife& endpoint) {
+CrashDetector::Loss* CrashDetector::Find(const EndpointIncarnation& endpoint) {
   const auto found = std::ranges::find_if(losses_, [&](const Loss& loss) {
-    return SameLife(loss.crash_.endpoint_, endpoint);
+    return SameIncarnation(loss.crash_.endpoint_, endpoint);
   });
   return found == losses_.end() ? nullptr : &*found;
 }
 
-void CrashEvidence::Expire(core::TimePoint now) {
+void CrashDetector::Expire(core::TimePoint now) {
   std::erase_if(losses_, [&](const Loss& loss) {
     return now - loss.crash_.first_loss_at_ >= settings_.confirmation_timeout_;
   });
 }
 
-LossVerdict CrashEvidence::OnLost(const LostAttempt& attempt,
-                                  const EndpointLife& endpoint,
-                                  const std::string& address,
-                                  core::TimePoint now) {
+LossAction CrashDetector::OnLost(const LostAttempt& attempt,
+                                 const EndpointIncarnation& endpoint,
+                                 const std::string& address,
+                                 core::TimePoint now) {
   Expire(now);
   auto* loss = Find(endpoint);
   if (loss != nullptr && loss->state_ == State::kCrashed) {
-    return LossVerdict::kCrashed;
+    return LossAction::kCrashed;
   }
   if (loss != nullptr && loss->state_ == State::kInconclusive) {
     // What was lost before was not lost by a crash that follows.
     loss->crash_ = {endpoint, address, now, {attempt}};
     loss->state_ = State::kProbing;
-    return LossVerdict::kProbe;
+    return LossAction::kProbe;
   }
   if (loss != nullptr) {
     auto& attempts = loss->crash_.attempts_;
@@ -49,17 +49,17 @@
         attempts.size() < settings_.max_requests_) {
       attempts.push_back(attempt);
     }
-    return LossVerdict::kWait;
+    return LossAction::kWait;
   }
   losses_.push_back({.crash_ = {endpoint, address, now, {attempt}},
                      .state_ = State::kProbing});
   if (losses_.size() > settings_.max_endpoints_) {
     losses_.pop_front();
   }
-  return LossVerdict::kProbe;
+  return LossAction::kProbe;
 }
 
-SuspectedCrash CrashEvidence::OnCrashed(const EndpointLife& endpoint) {
+SuspectedCrash CrashDetector::OnCrashed(const EndpointIncarnation& endpoint) {
   auto* loss = Find(endpoint);
   if (loss == nullptr || loss->state_ == State::kCrashed) {
     return {.endpoint_ = endpoint,
@@ -71,14 +71,14 @@
   return loss->crash_;
 }
 
-void CrashEvidence::OnInconclusive(const EndpointLife& endpoint) {
+void CrashDetector::OnInconclusive(const EndpointIncarnation& endpoint) {
   auto* loss = Find(endpoint);
   if (loss != nullptr && loss->state_ == State::kProbing) {
     loss->state_ = State::kInconclusive;
   }
 }
 
-std::vector<SuspectedCrash> CrashEvidence::Unconfirmed(core::TimePoint now) {
+std::vector<SuspectedCrash> CrashDetector::Unconfirmed(core::TimePoint now) {
   Expire(now);
   std::vector<SuspectedCrash> waiting;
   for (const auto& loss : losses_) {
@@ -89,7 +89,7 @@
   return waiting;
 }
 
-bool CrashEvidence::ProbePending(const RequestDigest& request) const {
+bool CrashDetector::ProbePending(const RequestDigest& request) const {
   return std::ranges::any_of(losses_, [&](const Loss& loss) {
     return loss.state_ == State::kProbing &&
            Holds(loss.crash_.attempts_, request);
--- a/packages/chalkwell/src/chalkwell/routing/crash_evidence.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/crash_evidence.hpp
@@ -15,7 +15,7 @@
 namespace chalkwell::routing {
 
 /// @brief What is to be done about a lost attempt.
-enum class LossVerdict : std::uint8_t {
+enum class LossAction : std::uint8_t {
   /// The first loss there since the last probe: probe the endpoint's address.
   kProbe,
   /// A probe is under way.
@@ -33,7 +33,7 @@
 
 /// @brief An endpoint life at which attempts were lost.
 struct SuspectedCrash {
-  EndpointLife endpoint_;
+  EndpointIncarnation endpoint_;
   /// "ip:port".
   std::string address_;
   /// When the first attempt was lost.
@@ -43,7 +43,7 @@
 };
 
 /// @brief Settings of the evidence.
-struct CrashEvidenceSettings {
+struct CrashDetectorSettings {
   /// How long a loss waits for evidence: an endpoint is back under a new
   /// incarnation, and in the published list, within some seconds.
   core::Duration confirmation_timeout_ = std::chrono::seconds(10);
@@ -54,21 +54,21 @@
 };
 
 /// @brief Losses of one entry.
-class CrashEvidence {
+class CrashDetector {
  public:
-  explicit CrashEvidence(CrashEvidenceSettings settings = {})
+  explicit CrashDetector(CrashDetectorSettings settings = {})
       : settings_(settings) {}
 
   /// @brief The connection of an attempt broke while it was under way.
-  [[nodiscard]] LossVerdict OnLost(const LostAttempt& attempt,
-                                   const EndpointLife& endpoint,
-                                   const std::string& address,
-                                   core::TimePoint now);
+  [[nodiscard]] LossAction OnLost(const LostAttempt& attempt,
+                                  const EndpointIncarnation& endpoint,
+                                  const std::string& address,
+                                  core::TimePoint now);
   /// @brief The endpoint's process is known to have ended.
   /// @return what was lost there; no attempts when that was known already.
-  [[nodiscard]] SuspectedCrash OnCrashed(const EndpointLife& endpoint);
+  [[nodiscard]] SuspectedCrash OnCrashed(const EndpointIncarnation& endpoint);
   /// @brief The endpoint answered, or did not: nothing follows yet.
-  void OnInconclusive(const EndpointLife& endpoint);
+  void OnInconclusive(const EndpointIncarnation& endpoint);
   /// @brief Losses that wait for evidence beyond that of a probe.
   [[nodiscard]] std::vector<SuspectedCrash> Unconfirmed(core::TimePoint now);
   /// @brief Whether a probe is to show if a request's last endpoint crashed.
@@ -81,10 +81,10 @@
     State state_ = State::kProbing;
   };
 
-  [[nodiscard]] Loss* Find(const EndpointLife& endpoint);
+  [[nodiscard]] Loss* Find(const EndpointIncarnation& endpoint);
   void Expire(core::TimePoint now);
 
-  CrashEvidenceSettings settings_;
+  CrashDetectorSettings settings_;
   /// In order of time.
   std::deque<Loss> losses_;
 };
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_choice.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_choice.cpp
@@ -23,7 +23,8 @@
 /// Milliseconds between two slots that come free at a full engine.
 double SlotIntervalMs(const config::EngineProfile& engine) {
   const auto slots = std::max(1U, engine.slots_);
-  return core::ToMs(StepTime(engine, slots)) * engine.usual_answer_ / slots;
+  return core::ToMs(StepTime(engine, slots)) * engine.mean_output_tokens_ /
+         slots;
 }
 
 /// Difference of cost, in milliseconds, up to which any endpoint may be the
@@ -101,14 +102,14 @@
   return now + begins >= request.version_constraint_.next_min_at_;
 }
 
-bool EndpointTable::TakesWork(const EndpointLife& life,
-                              core::TimePoint now) const {
+bool EndpointTable::AcceptsRequests(const EndpointIncarnation& life,
+                                    core::TimePoint now) const {
   const auto found = endpoints_.find(life.id_);
   if (found == endpoints_.end()) {
     return false;
   }
   const auto& endpoint = found->second;
-  return SameLife(endpoint.row_.incarnation(), life) &&
+  return SameIncarnation(endpoint.row_.incarnation(), life) &&
          !endpoint.row_.leaving_ &&
          !IsGone(endpoint, settings_.lapse_grace_, now) &&
          incarnations_.Lives(endpoint.row_.address_, life);
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_life.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_life.hpp
@@ -9,7 +9,7 @@
 namespace chalkwell::routing {
 
 /// @brief An id with the time of one start.
-struct EndpointLife {
+struct EndpointIncarnation {
   core::InstanceId id_;
   /// By its own clock, which may be stepped back: a later start may bear an
   /// earlier time. None where it is not told.
@@ -25,8 +25,8 @@
 }
 
 /// @brief Whether both may be the same life, as far as is told.
-[[nodiscard]] inline bool SameLife(const EndpointLife& left,
-                                   const EndpointLife& right) {
+[[nodiscard]] inline bool SameIncarnation(const EndpointIncarnation& left,
+                                          const EndpointIncarnation& right) {
   return left.id_ == right.id_ &&
          !StartTimesDiffer(left.started_, right.started_);
 }
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_table.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_table.cpp
@@ -29,9 +29,9 @@
   return found == endpoints_.end() ? nullptr : &found->second;
 }
 
-void EndpointTable::TakeList(std::vector<EndpointRow> rows,
-                             std::uint64_t revision, bool complete,
-                             core::TimePoint now, core::TimePoint as_of) {
+void EndpointTable::ApplyList(std::vector<EndpointRow> rows,
+                              std::uint64_t revision, bool complete,
+                              core::TimePoint now, core::TimePoint as_of) {
   if (revision < revision_) {
     return;
   }
@@ -79,7 +79,7 @@
   endpoint = std::move(next);
 }
 
-void EndpointTable::RememberLeaving(const EndpointLife& life) {
+void EndpointTable::RememberLeaving(const EndpointIncarnation& life) {
   if (SaidLeaving(life)) {
     return;
   }
@@ -89,22 +89,22 @@
   }
 }
 
-bool EndpointTable::SaidLeaving(const EndpointLife& life) const {
-  return std::ranges::any_of(leaving_, [&](const EndpointLife& leaving) {
+bool EndpointTable::SaidLeaving(const EndpointIncarnation& life) const {
+  return std::ranges::any_of(leaving_, [&](const EndpointIncarnation& leaving) {
     return leaving.id_ == life.id_ && leaving.started_ == life.started_;
   });
 }
 
-bool EndpointTable::IsLeavingOrRemoved(const EndpointLife& life) const {
-  const auto same = [&](const EndpointLife& other) {
-    return SameLife(other, life);
+bool EndpointTable::IsLeavingOrRemoved(const EndpointIncarnation& life) const {
+  const auto same = [&](const EndpointIncarnation& other) {
+    return SameIncarnation(other, life);
   };
   return std::ranges::any_of(leaving_, same) ||
          std::ranges::any_of(departed_, same);
 }
 
 bool EndpointTable::IsReplaced(const std::string& address,
-                               const EndpointLife& life) const {
+                               const EndpointIncarnation& life) const {
   return !IsLeavingOrRemoved(life) && !incarnations_.Lives(address, life);
 }
 
@@ -113,8 +113,8 @@
   auto& endpoint = endpoints_[row.id_];
   endpoint.listed_ = true;
   endpoint.missing_since_.reset();
-  std::erase_if(departed_, [&](const EndpointLife& departed) {
-    return SameLife(departed, row.incarnation());
+  std::erase_if(departed_, [&](const EndpointIncarnation& departed) {
+    return SameIncarnation(departed, row.incarnation());
   });
   if (row.leaving_) {
     RememberLeaving(row.incarnation());
@@ -136,11 +136,11 @@
   endpoint.row_.started_ = started;
 }
 
-bool EndpointTable::TakeChange(const EndpointListChange& change,
-                               core::TimePoint now) {
+bool EndpointTable::ApplyChange(const EndpointListChange& change,
+                                core::TimePoint now) {
   // What was incomplete may be told complete without another revision.
   if (change.full_ && change.to_ >= revision_) {
-    TakeList(change.rows_, change.to_, change.complete_, now, change.as_of_);
+    ApplyList(change.rows_, change.to_, change.complete_, now, change.as_of_);
     return true;
   }
   if (change.to_ < revision_) {
@@ -211,7 +211,7 @@
   }
 }
 
-void EndpointTable::TakeTold(EndpointRow row, core::TimePoint now) {
+void EndpointTable::ApplyAnnouncement(EndpointRow row, core::TimePoint now) {
   subset_due_ = true;
   const auto life = row.incarnation();
   auto* known = Find(row.id_);
@@ -224,9 +224,10 @@
     }
     return;
   }
-  const bool left = std::ranges::any_of(
-      departed_,
-      [&](const EndpointLife& gone) { return SameLife(gone, life); });
+  const bool left =
+      std::ranges::any_of(departed_, [&](const EndpointIncarnation& gone) {
+        return SameIncarnation(gone, life);
+      });
   if (left) {
     return;
   }
@@ -237,8 +238,9 @@
   endpoint.told_until_ = now + settings_.told_grace_;
 }
 
-void EndpointTable::TakeLife(const std::string& address,
-                             const EndpointLife& life, core::TimePoint now) {
+void EndpointTable::ApplyIncarnation(const std::string& address,
+                                     const EndpointIncarnation& life,
+                                     core::TimePoint now) {
   for (const auto& [id, endpoint] : endpoints_) {
     if (endpoint.row_.address_ != address) {
       continue;
@@ -249,14 +251,14 @@
     row.leaving_ = false;
     row.created_ = 0;
     row.weights_version_.reset();
-    TakeTold(std::move(row), now);
+    ApplyAnnouncement(std::move(row), now);
     return;
   }
 }
 
-void EndpointTable::TakeReport(const std::string& address,
-                               const LoadReport& report,
-                               core::TimePoint taken_at) {
+void EndpointTable::ApplyReport(const std::string& address,
+                                const LoadReport& report,
+                                core::TimePoint taken_at) {
   for (auto& [id, endpoint] : endpoints_) {
     if (endpoint.row_.address_ != address ||
         !incarnations_.Lives(address, endpoint.row_.incarnation())) {
@@ -291,19 +293,21 @@
   }
 }
 
-void EndpointTable::MarkLeaving(const EndpointLife& life) {
+void EndpointTable::MarkLeaving(const EndpointIncarnation& life) {
   RememberLeaving(life);
   auto* endpoint = Find(life.id_);
-  if (endpoint != nullptr && SameLife(endpoint->row_.incarnation(), life)) {
+  if (endpoint != nullptr &&
+      SameIncarnation(endpoint->row_.incarnation(), life)) {
     RememberLeaving(endpoint->row_.incarnation());
     endpoint->row_.leaving_ = true;
     subset_due_ = true;
   }
 }
 
-void EndpointTable::MarkGone(const EndpointLife& life) {
+void EndpointTable::MarkTerminated(const EndpointIncarnation& life) {
   const auto* endpoint = Find(life.id_);
-  if (endpoint == nullptr || SameLife(endpoint->row_.incarnation(), life)) {
+  if (endpoint == nullptr ||
+      SameIncarnation(endpoint->row_.incarnation(), life)) {
     Erase(life.id_);
   }
 }
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_table.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_table.hpp
@@ -39,7 +39,9 @@
   /// Revision of the list at which the row came to be; 0 when not known.
   std::uint64_t created_ = 0;
 
-  [[nodiscard]] EndpointLife incarnation() const { return {id_, started_}; }
+  [[nodiscard]] EndpointIncarnation incarnation() const {
+    return {id_, started_};
+  }
   friend bool operator==(const EndpointRow&, const EndpointRow&) = default;
 };
 
@@ -132,7 +134,7 @@
 };
 
 /// @brief Weights that a request may begin on.
-struct VersionRule {
+struct VersionConstraint {
   /// Older ones are passed over; 0 for none.
   std::uint64_t min_version_ = 0;
   /// Versions below this one may be used until `until_` only.
@@ -149,7 +151,7 @@
   bool on_time_ = true;
   /// Weights the answer must come from; none for any.
   std::optional<std::uint64_t> weights_version_;
-  VersionRule version_constraint_;
+  VersionConstraint version_constraint_;
   /// Own requests that one endpoint may have under way: each has a connection,
   /// and all entries share what the endpoint accepts. 0 for any number.
   std::uint32_t max_in_flight_ = 0;
@@ -179,11 +181,12 @@
   /// away: missing rows are kept for the grace time.
   /// @param as_of when the store was asked for it; the clock's epoch when that
   /// is not known.
-  void TakeList(std::vector<EndpointRow> rows, std::uint64_t revision,
-                bool complete, core::TimePoint now, core::TimePoint as_of = {});
+  void ApplyList(std::vector<EndpointRow> rows, std::uint64_t revision,
+                 bool complete, core::TimePoint now,
+                 core::TimePoint as_of = {});
   /// @brief Takes what another process saw change in the list.
   /// @return false when the change begins behind a gap: the list must be read.
-  bool TakeChange(const EndpointListChange& change, core::TimePoint now);
+  bool ApplyChange(const EndpointListChange& change, core::TimePoint now);
   /// @brief What is believed of the list includes all that the store had said
   /// by then.
   void ConfirmAsOf(core::TimePoint as_of) noexcept {
@@ -192,18 +195,18 @@
   /// @brief An agent told which life its endpoint is, which the list may not
   /// show yet.
   /// @param row without weights; a report tells them.
-  void TakeTold(EndpointRow row, core::TimePoint now);
+  void ApplyAnnouncement(EndpointRow row, core::TimePoint now);
   /// @brief An agent told which life the endpoint at an address is in; of the
   /// same service and failure domain as the one known there, if any is.
-  void TakeLife(const std::string& address, const EndpointLife& life,
-                core::TimePoint now);
+  void ApplyIncarnation(const std::string& address,
+                        const EndpointIncarnation& life, core::TimePoint now);
   /// @brief Takes a report of the endpoint that lives at an address. Reports
   /// come in their order: one of another life tells who lives now.
-  void TakeReport(const std::string& address, const LoadReport& report,
-                  core::TimePoint taken_at);
+  void ApplyReport(const std::string& address, const LoadReport& report,
+                   core::TimePoint taken_at);
   /// @brief The endpoint said in this life that it goes away.
-  void MarkLeaving(const EndpointLife& life);
-  void MarkGone(const EndpointLife& life);
+  void MarkLeaving(const EndpointIncarnation& life);
+  void MarkTerminated(const EndpointIncarnation& life);
   /// @brief Another incarnation answered at its address.
   void MarkReplaced(const core::InstanceId& id, const core::InstanceId& living);
   /// @brief The endpoint said which weights it holds.
@@ -231,16 +234,16 @@
 
   /// @brief Whether a life is still believed to take requests: it neither
   /// leaves nor is gone, and no other one was heard of in its place.
-  [[nodiscard]] bool TakesWork(const EndpointLife& life,
-                               core::TimePoint now) const;
+  [[nodiscard]] bool AcceptsRequests(const EndpointIncarnation& life,
+                                     core::TimePoint now) const;
 
   /// @brief Whether another life is known to answer at the address of one that
   /// was listed and did not leave.
   [[nodiscard]] bool IsReplaced(const std::string& address,
-                                const EndpointLife& life) const;
+                                const EndpointIncarnation& life) const;
   /// @brief Whether a life said that it leaves, or its row was withdrawn: its
   /// end is planned.
-  [[nodiscard]] bool IsLeavingOrRemoved(const EndpointLife& life) const;
+  [[nodiscard]] bool IsLeavingOrRemoved(const EndpointIncarnation& life) const;
 
   /// @brief Endpoints of the subset that this entry uses: their agents are
   /// asked for reports.
@@ -390,8 +393,8 @@
   /// begins.
   void BeginLife(Endpoint& endpoint, EndpointRow row);
   /// @brief Remembers that a life said that it leaves.
-  void RememberLeaving(const EndpointLife& life);
-  [[nodiscard]] bool SaidLeaving(const EndpointLife& life) const;
+  void RememberLeaving(const EndpointIncarnation& life);
+  [[nodiscard]] bool SaidLeaving(const EndpointIncarnation& life) const;
   void TakeRow(EndpointRow row);
   void DropMissing(core::Duration grace, core::TimePoint now);
   /// @brief Erases endpoints that were told and would be in the list if they
@@ -407,11 +410,11 @@
   IncarnationTable incarnations_;
   /// Lives that left the list, newest last; at most kMaxDeparted. An agent that
   /// still tells of one does not bring it back.
-  std::deque<EndpointLife> departed_;
+  std::deque<EndpointIncarnation> departed_;
   /// Lives that said that they leave, newest last; at most kMaxDeparted. Words
   /// of another life may put it in their place for a while, and come too early
   /// or too late.
-  std::deque<EndpointLife> leaving_;
+  std::deque<EndpointIncarnation> leaving_;
   /// Of the published list last taken; never falls.
   std::uint64_t revision_ = 0;
   /// Never falls.
--- a/packages/chalkwell/src/chalkwell/routing/engine_model.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/engine_model.cpp
@@ -9,9 +9,10 @@
 namespace chalkwell::routing {
 core::Duration StepTime(const config::EngineProfile& engine,
                         std::uint32_t running) {
-  const double context = (engine.usual_prompt_ + engine.usual_answer_) / 1000;
-  const double added = core::ToMs(engine.step_per_request_) +
-                       core::ToMs(engine.step_per_kilotoken_) * context;
+  const double context =
+      (engine.mean_prompt_tokens_ + engine.mean_output_tokens_) / 1000;
+  const double added = core::ToMs(engine.step_time_per_request_) +
+                       core::ToMs(engine.step_time_per_kilotoken_) * context;
   return core::FromMs(core::ToMs(engine.step_time_) + added * running);
 }
 
@@ -19,13 +20,13 @@
                                const EngineLoad& load, double prompt_tokens) {
   const auto slots = std::max(1U, engine.slots_);
   const double step = core::ToMs(StepTime(engine, load.running_));
-  const double read_ms = 1000 / engine.read_per_second_;
+  const double read_ms = 1000 / engine.prefill_tokens_per_second_;
   // Time of a request that goes into its steps, and into reading its prompt
   // while the others wait.
-  const double writing = step * engine.usual_answer_;
-  const double reading = engine.usual_prompt_ * read_ms * load.running_;
+  const double writing = step * engine.mean_output_tokens_;
+  const double reading = engine.mean_prompt_tokens_ * read_ms * load.running_;
   const double stretch = writing > 0 ? 1 + reading / writing : 1;
-  const double pass = step * engine.stride_ * stretch;
+  const double pass = step * engine.steps_per_pass_ * stretch;
   // It arrives within a pass, and is read in the next ones.
   double wait = pass * 1.5 + (load.unread_tokens_ + prompt_tokens) * read_ms;
   if (load.running_ >= slots) {
--- a/packages/chalkwell/src/chalkwell/routing/event_splitter.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/event_splitter.cpp
@@ -48,9 +48,9 @@
 
 }  // namespace
 
-WholeEvents EventSplitter::Append(std::string_view bytes) {
+CompleteEvents EventSplitter::Append(std::string_view bytes) {
   rest_.append(bytes);
-  WholeEvents whole;
+  CompleteEvents whole;
   std::size_t begin = 0;
   for (;;) {
     const auto left = std::string_view(rest_).substr(begin);
--- a/packages/chalkwell/src/chalkwell/routing/event_splitter.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/event_splitter.hpp
@@ -10,7 +10,7 @@
 namespace chalkwell::routing {
 
 /// @brief Whole events of one piece of a stream.
-struct WholeEvents {
+struct CompleteEvents {
   /// As they arrived, blank lines included.
   std::string bytes_;
   std::uint64_t count_ = 0;
@@ -22,13 +22,13 @@
   /// @brief Takes bytes and returns the events they complete. Events numbered
   /// no higher than the last one taken are left out: a resumed stream may
   /// repeat them.
-  [[nodiscard]] WholeEvents Append(std::string_view bytes);
+  [[nodiscard]] CompleteEvents Append(std::string_view bytes);
   /// @brief Bytes of an event that is not complete yet.
   [[nodiscard]] const std::string& partial_event() const noexcept {
     return rest_;
   }
   /// @brief Forgets an incomplete event: its attempt has ended.
-  void DropRest() noexcept { rest_.clear(); }
+  void DiscardPartialEvent() noexcept { rest_.clear(); }
   /// @brief Number of the last whole event; none before the first.
   [[nodiscard]] std::optional<std::uint64_t> last_id() const noexcept {
     return last_id_;
--- a/packages/chalkwell/src/chalkwell/routing/execution_guard.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/execution_guard.cpp
@@ -15,7 +15,7 @@
       faults_(faults) {}
 
 std::uint64_t ExecutionGuard::RegisterIssuer() {
-  if (windows_.size() >= limits_.max_minters_) {
+  if (windows_.size() >= limits_.max_issuers_) {
     windows_.erase(windows_.begin());
   }
   ++last_minter_;
@@ -23,59 +23,59 @@
   return last_minter_;
 }
 
-const std::string* ExecutionGuard::FindAnswer(
+const std::string* ExecutionGuard::FindCachedResponse(
     const ExecutionTicket& ticket) const {
   const auto answer = std::ranges::find(answers_, ticket, &Answer::ticket_);
   return answer == answers_.end() ? nullptr : &answer->body_;
 }
 
-TicketVerdict ExecutionGuard::Use(const ExecutionTicket& ticket) {
+TicketStatus ExecutionGuard::Use(const ExecutionTicket& ticket) {
   const bool own =
       ticket.endpoint_ == endpoint_ && ticket.incarnation_ == incarnation_;
   if (!own && !faults_.ignore_incarnation_) {
-    return TicketVerdict::kOtherIncarnation;
+    return TicketStatus::kOtherIncarnation;
   }
   auto window = windows_.find(ticket.issuer_);
-  if (window == windows_.end() && faults_.reopen_minters_) {
+  if (window == windows_.end() && faults_.accept_unknown_issuers_) {
     window = windows_.emplace(ticket.issuer_, Window{}).first;
   }
   if (window == windows_.end()) {
-    return TicketVerdict::kForgotten;
+    return TicketStatus::kExpired;
   }
   return UseInWindow(window->second, ticket);
 }
 
-TicketVerdict ExecutionGuard::UseInWindow(Window& window,
-                                          const ExecutionTicket& ticket) {
+TicketStatus ExecutionGuard::UseInWindow(Window& window,
+                                         const ExecutionTicket& ticket) {
   if (ticket.sequence_ > window.highest_) {
     const auto shift = ticket.sequence_ - window.highest_;
     window.used_ =
         shift >= kWindow ? std::bitset<kWindow>{} : window.used_ << shift;
     window.used_.set(0);
     window.highest_ = ticket.sequence_;
-    return TicketVerdict::kAccepted;
+    return TicketStatus::kAccepted;
   }
   const auto age = window.highest_ - ticket.sequence_;
   if (age >= kWindow) {
-    return TicketVerdict::kForgotten;
+    return TicketStatus::kExpired;
   }
-  if (!window.used_.test(age) || faults_.forget_window_) {
+  if (!window.used_.test(age) || faults_.ignore_used_tickets_) {
     window.used_.set(age);
-    return TicketVerdict::kAccepted;
+    return TicketStatus::kAccepted;
   }
-  return FindAnswer(ticket) != nullptr ? TicketVerdict::kAnswerHeld
-                                       : TicketVerdict::kUsed;
+  return FindCachedResponse(ticket) != nullptr ? TicketStatus::kResponseCached
+                                               : TicketStatus::kUsed;
 }
 
-void ExecutionGuard::KeepAnswer(const ExecutionTicket& ticket,
-                                std::string answer) {
-  if (answer.size() > limits_.max_answer_bytes_) {
+void ExecutionGuard::CacheResponse(const ExecutionTicket& ticket,
+                                   std::string answer) {
+  if (answer.size() > limits_.max_cached_bytes_) {
     return;
   }
   answer_bytes_ += answer.size();
   answers_.push_back({ticket, std::move(answer)});
-  while (answers_.size() > limits_.max_answers_ ||
-         answer_bytes_ > limits_.max_answer_bytes_) {
+  while (answers_.size() > limits_.max_cached_responses_ ||
+         answer_bytes_ > limits_.max_cached_bytes_) {
     answer_bytes_ -= answers_.front().body_.size();
     answers_.pop_front();
   }
--- a/packages/chalkwell/src/chalkwell/routing/execution_guard.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/execution_guard.hpp
@@ -16,32 +16,32 @@
 namespace chalkwell::routing {
 
 /// @brief What the guard says to a ticket.
-enum class TicketVerdict : std::uint8_t {
+enum class TicketStatus : std::uint8_t {
   /// First use: run it.
   kAccepted,
   /// Used before, and the answer is not (or no longer) held.
   kUsed,
   /// Used before, and the answer is held: give it again.
-  kAnswerHeld,
+  kResponseCached,
   /// Of another endpoint or incarnation: whether it ran is unknown.
   kOtherIncarnation,
   /// Too old to be remembered: whether it ran is unknown.
-  kForgotten,
+  kExpired,
 };
 
 /// @brief Faults that tests seed to show that the proofs can fail.
 struct GuardFaults {
   bool ignore_incarnation_ = false;
-  bool forget_window_ = false;
-  bool reopen_minters_ = false;
+  bool ignore_used_tickets_ = false;
+  bool accept_unknown_issuers_ = false;
 };
 
 /// @brief Sizes that bound the guard's memory.
 struct GuardLimits {
-  std::size_t max_minters_ = 512;
-  std::size_t max_answers_ = 256;
+  std::size_t max_issuers_ = 512;
+  std::size_t max_cached_responses_ = 256;
   /// Bytes of all held answers.
-  std::size_t max_answer_bytes_ = std::size_t{4} << 20;
+  std::size_t max_cached_bytes_ = std::size_t{4} << 20;
 };
 
 /// @brief Remembers used tickets by a sliding window for each minter.
@@ -59,19 +59,19 @@
     return incarnation_;
   }
   /// @brief The answer held for a ticket, or null.
-  [[nodiscard]] const std::string* FindAnswer(
+  [[nodiscard]] const std::string* FindCachedResponse(
       const ExecutionTicket& ticket) const;
   /// @brief Number of minters remembered.
-  [[nodiscard]] std::size_t minter_count() const noexcept {
+  [[nodiscard]] std::size_t issuer_count() const noexcept {
     return windows_.size();
   }
 
   /// @brief Gives an entry a minter number; the oldest may be forgotten.
   [[nodiscard]] std::uint64_t RegisterIssuer();
   /// @brief Uses the ticket up; only kRun permits to run.
-  [[nodiscard]] TicketVerdict Use(const ExecutionTicket& ticket);
+  [[nodiscard]] TicketStatus Use(const ExecutionTicket& ticket);
   /// @brief Keeps the answer for the caller's own retries, within bounds.
-  void KeepAnswer(const ExecutionTicket& ticket, std::string answer);
+  void CacheResponse(const ExecutionTicket& ticket, std::string answer);
 
  private:
   struct Window {
@@ -85,8 +85,8 @@
     std::string body_;
   };
 
-  [[nodiscard]] TicketVerdict UseInWindow(Window& window,
-                                          const ExecutionTicket& ticket);
+  [[nodiscard]] TicketStatus UseInWindow(Window& window,
+                                         const ExecutionTicket& ticket);
 
   core::InstanceId endpoint_;
   std::uint64_t incarnation_;
@@ -94,7 +94,7 @@
   GuardFaults faults_;
   /// Number of the last minter opened; never given twice.
   std::uint64_t last_minter_ = 0;
-  /// By minter; at most `max_minters_`.
+  /// By minter; at most `max_issuers_`.
   std::map<std::uint64_t, Window> windows_;
   /// Newest last; bounded in count and bytes.
   std::list<Answer> answers_;
--- a/packages/chalkwell/src/chalkwell/routing/execution_ticket.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/execution_ticket.cpp
@@ -50,14 +50,14 @@
                          .sequence_ = *sequence};
 }
 
-TicketMinter::TicketMinter(core::InstanceId endpoint, std::uint64_t incarnation,
+TicketIssuer::TicketIssuer(core::InstanceId endpoint, std::uint64_t incarnation,
                            std::uint64_t minter)
     : last_{.endpoint_ = std::move(endpoint),
             .incarnation_ = incarnation,
             .issuer_ = minter,
             .sequence_ = 0} {}
 
-ExecutionTicket TicketMinter::Issue() {
+ExecutionTicket TicketIssuer::Issue() {
   ++last_.sequence_;
   return last_;
 }
--- a/packages/chalkwell/src/chalkwell/routing/execution_ticket.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/execution_ticket.hpp
@@ -34,9 +34,9 @@
 [[nodiscard]] std::optional<ExecutionTicket> ParseTicket(std::string_view text);
 
 /// @brief Mints tickets for one agent over one open stream.
-class TicketMinter {
+class TicketIssuer {
  public:
-  TicketMinter(core::InstanceId endpoint, std::uint64_t incarnation,
+  TicketIssuer(core::InstanceId endpoint, std::uint64_t incarnation,
                std::uint64_t minter);
 
   [[nodiscard]] ExecutionTicket Issue();
--- a/packages/chalkwell/src/chalkwell/routing/fair_queue.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/fair_queue.cpp
@@ -111,7 +111,7 @@
   return std::min(usual_service_, (request.deadline_ - offered_at) / 2);
 }
 
-void FairQueue::OnServed(core::Duration service) noexcept {
+void FairQueue::OnServiceTime(core::Duration service) noexcept {
   if (usual_service_ == core::Duration{}) {
     usual_service_ = service;
   } else if (service > usual_service_) {
--- a/packages/chalkwell/src/chalkwell/routing/fair_queue.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/fair_queue.hpp
@@ -44,7 +44,7 @@
 
   /// @brief Time within which most requests are answered once started; zero
   /// when nothing is known.
-  [[nodiscard]] core::Duration usual_service() const noexcept {
+  [[nodiscard]] core::Duration service_time_p90() const noexcept {
     return usual_service_;
   }
 
@@ -60,7 +60,7 @@
   /// @brief A started request has ended.
   void Release(core::TimePoint now);
   /// @brief A started request was answered so long after its start.
-  void OnServed(core::Duration service) noexcept;
+  void OnServiceTime(core::Duration service) noexcept;
   void SetMaxInFlight(std::size_t limit) noexcept {
     limits_.max_in_flight_ = limit;
   }
--- a/packages/chalkwell/src/chalkwell/routing/incarnation_table.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/incarnation_table.cpp
@@ -10,21 +10,24 @@
 /// before as many have followed.
 constexpr std::size_t kMaxDead = 8;
 
-bool Holds(const std::deque<EndpointLife>& lives, const EndpointLife& life) {
-  return std::ranges::any_of(
-      lives, [&](const EndpointLife& known) { return SameLife(known, life); });
+bool Holds(const std::deque<EndpointIncarnation>& lives,
+           const EndpointIncarnation& life) {
+  return std::ranges::any_of(lives, [&](const EndpointIncarnation& known) {
+    return SameIncarnation(known, life);
+  });
 }
 
-bool HoldsId(const std::deque<EndpointLife>& lives,
+bool HoldsId(const std::deque<EndpointIncarnation>& lives,
              const core::InstanceId& id) {
-  return std::ranges::find(lives, id, &EndpointLife::id_) != lives.end();
+  return std::ranges::find(lives, id, &EndpointIncarnation::id_) != lives.end();
 }
 
 }  // namespace
 
-void IncarnationTable::Follow(Known& known, const EndpointLife& life) {
-  std::erase_if(known.dead_,
-                [&](const EndpointLife& dead) { return SameLife(dead, life); });
+void IncarnationTable::Follow(Known& known, const EndpointIncarnation& life) {
+  std::erase_if(known.dead_, [&](const EndpointIncarnation& dead) {
+    return SameIncarnation(dead, life);
+  });
   if (!known.living_.id_.empty()) {
     known.dead_.push_back(known.living_);
   }
@@ -36,7 +39,8 @@
 }
 
 void IncarnationTable::OnRow(const std::string& address,
-                             const EndpointLife& life, std::uint64_t created) {
+                             const EndpointIncarnation& life,
+                             std::uint64_t created) {
   auto& known = addresses_[address];
   if (Holds(known.dead_, life)) {
     return;
@@ -45,7 +49,7 @@
   if (living.id_.empty()) {
     living = life;
   }
-  if (SameLife(living, life)) {
+  if (SameIncarnation(living, life)) {
     known.created_ = created;
     if (!living.started_) {
       living.started_ = life.started_;
@@ -64,9 +68,9 @@
 }
 
 void IncarnationTable::OnTold(const std::string& address,
-                              const EndpointLife& life) {
+                              const EndpointIncarnation& life) {
   auto& known = addresses_[address];
-  if (SameLife(known.living_, life)) {
+  if (SameIncarnation(known.living_, life)) {
     if (!known.living_.started_) {
       known.living_.started_ = life.started_;
     }
@@ -76,10 +80,10 @@
 }
 
 bool IncarnationTable::Lives(const std::string& address,
-                             const EndpointLife& life) const {
+                             const EndpointIncarnation& life) const {
   const auto found = addresses_.find(address);
   return found == addresses_.end() || found->second.living_.id_.empty() ||
-         SameLife(found->second.living_, life);
+         SameIncarnation(found->second.living_, life);
 }
 
 }  // namespace chalkwell::routing
--- a/packages/chalkwell/src/chalkwell/routing/incarnation_table.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/incarnation_table.hpp
@@ -22,26 +22,26 @@
   /// @brief A published row names a life.
   /// @param created revision of the list at which the row came to be; of two
   /// ids the newer row names the living one. 0 when not known.
-  void OnRow(const std::string& address, const EndpointLife& life,
+  void OnRow(const std::string& address, const EndpointIncarnation& life,
              std::uint64_t created);
   /// @brief The endpoint, or the agent beside it, said who answers there. That
   /// counts more than rows: a dead one's row may be written late.
-  void OnTold(const std::string& address, const EndpointLife& life);
+  void OnTold(const std::string& address, const EndpointIncarnation& life);
   /// @brief Whether no other life is known to answer there.
   [[nodiscard]] bool Lives(const std::string& address,
-                           const EndpointLife& life) const;
+                           const EndpointIncarnation& life) const;
 
  private:
   struct Known {
     /// Empty id while nobody was named.
-    EndpointLife living_;
+    EndpointIncarnation living_;
     /// 0 while its row was not seen.
     std::uint64_t created_ = 0;
     /// Those that another one was told to follow; at most kMaxDead.
-    std::deque<EndpointLife> dead_;
+    std::deque<EndpointIncarnation> dead_;
   };
 
-  static void Follow(Known& known, const EndpointLife& life);
+  static void Follow(Known& known, const EndpointIncarnation& life);
 
   std::map<std::string, Known> addresses_;
 };
--- a/packages/chalkwell/src/chalkwell/routing/request_age.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_age.cpp
@@ -92,8 +92,8 @@
 
 }  // namespace
 
-core::Duration RequestAge::AddAndEstimate(const std::string& route,
-                                          core::Duration time_left) {
+core::Duration RequestAgeEstimator::AddAndEstimate(const std::string& route,
+                                                   core::Duration time_left) {
   if (routes_.size() >= kMaxRoutes && !routes_.contains(route)) {
     routes_.clear();
   }
--- a/packages/chalkwell/src/chalkwell/routing/request_age.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_age.hpp
@@ -21,7 +21,7 @@
 /// are fewer to a bin below it; their age is known up to that range only, and
 /// the least possible one is returned. With few requests seen, ages count from
 /// the longest time.
-class RequestAge {
+class RequestAgeEstimator {
  public:
   /// @brief Adds a request and returns its age; zero when it is not known.
   core::Duration AddAndEstimate(const std::string& route,
--- a/packages/chalkwell/src/chalkwell/routing/request_quarantine.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_quarantine.cpp
@@ -53,7 +53,7 @@
   auto& crashes = entry.record_.crashes_;
   const auto known =
       std::ranges::find_if(crashes, [&](const EndpointCrash& other) {
-        return SameLife(other.endpoint_, crash.endpoint_);
+        return SameIncarnation(other.endpoint_, crash.endpoint_);
       });
   if (known != crashes.end()) {
     const bool cleared = crash.cleared_ && !known->cleared_;
@@ -82,7 +82,7 @@
   while (!completion_order_.empty()) {
     const auto& [at, request] = completion_order_.front();
     if (completion_order_.size() <= settings_.max_completions_ &&
-        now - at < settings_.completion_memory_) {
+        now - at < settings_.completion_retention_) {
       return;
     }
     const auto found = completions_.find(request);
@@ -151,8 +151,8 @@
   ForgetCompletions(now);
 }
 
-void RequestQuarantine::SetTrial(const RequestDigest& request,
-                                 core::TimePoint until) {
+void RequestQuarantine::SetTrialUntil(const RequestDigest& request,
+                                      core::TimePoint until) {
   const auto found = entries_.find(request);
   if (found != entries_.end()) {
     found->second.trial_until_ = until;
@@ -169,10 +169,11 @@
   if (crash.cleared_) {
     return;
   }
-  const bool apart = crash.crashed_at_ - causes.last_ >= settings_.same_cause_;
+  const bool apart =
+      crash.crashed_at_ - causes.last_ >= settings_.same_cause_window_;
   const auto sent_at = crash.crashed_at_ - crash.elapsed_;
-  const bool sent_after = crash.elapsed_ >= settings_.least_run_ &&
-                          sent_at >= causes.last_ - settings_.clock_error_;
+  const bool sent_after = crash.elapsed_ >= settings_.min_run_time_ &&
+                          sent_at >= causes.last_ - settings_.max_clock_error_;
   if (causes.count_ == 0) {
     causes.first_ = crash.crashed_at_;
   } else if (!apart && !sent_after) {
@@ -198,17 +199,17 @@
   return CausesOf(request).count_;
 }
 
-std::size_t RequestQuarantine::BlamesAfter(const RequestDigest& request,
-                                           const EndpointCrash& crash) const {
+std::size_t RequestQuarantine::AttributedCrashesWith(
+    const RequestDigest& request, const EndpointCrash& crash) const {
   auto causes = CausesOf(request);
   Add(causes, crash);
   return causes.count_;
 }
 
 core::Duration RequestQuarantine::TermAfter(std::size_t blames) const {
-  auto term = settings_.first_term_;
+  auto term = settings_.initial_duration_;
   for (auto n = settings_.quarantined_after_; n < blames; ++n) {
-    term = std::min(2 * term, settings_.longest_term_);
+    term = std::min(2 * term, settings_.max_duration_);
   }
   return term;
 }
@@ -218,7 +219,7 @@
   const auto causes = CausesOf(request);
   const bool quarantined =
       causes.count_ >= settings_.quarantined_after_ &&
-      causes.last_ - causes.first_ >= settings_.same_cause_;
+      causes.last_ - causes.first_ >= settings_.same_cause_window_;
   return quarantined ? causes.last_ + TermAfter(causes.count_)
                      : core::TimePoint{};
 }
@@ -259,7 +260,7 @@
   order.reserve(entries_.size());
   for (auto& [request, entry] : entries_) {
     const bool clear = AttributedCrashes(request) < settings_.suspected_after_;
-    if (!clear || entry.sampled_ < settings_.clear_samples_) {
+    if (!clear || entry.sampled_ < settings_.max_clear_samples_) {
       order.push_back({&entry, clear});
     }
   }
--- a/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
@@ -22,7 +22,7 @@
 
 /// @brief An endpoint that crashed while a request was under way there.
 struct EndpointCrash {
-  EndpointLife endpoint_;
+  EndpointIncarnation endpoint_;
   /// Entry that saw it.
   core::InstanceId reporter_;
   /// By the clock of who holds the record.
@@ -61,16 +61,16 @@
   /// request was sent after the earlier one: endpoints that fail together have
   /// a cause of their own, and a popular request is under way at many of them.
   /// From the first to the last crash of a quarantined request it is as long.
-  core::Duration same_cause_ = std::chrono::milliseconds(250);
+  core::Duration same_cause_window_ = std::chrono::milliseconds(250);
   /// A request that was sent after a crash needs as long to cause another: it
   /// has to arrive, to be read and to begin.
-  core::Duration least_run_ = std::chrono::milliseconds(10);
+  core::Duration min_run_time_ = std::chrono::milliseconds(10);
   /// How far the times of two crashes may be off that came from another entry.
-  core::Duration clock_error_ = std::chrono::milliseconds(5);
+  core::Duration max_clock_error_ = std::chrono::milliseconds(5);
   /// From the last crash until the request may be tried again, one at a time;
   /// doubled with each further crash.
-  core::Duration first_term_ = std::chrono::seconds(60);
-  core::Duration longest_term_ = std::chrono::minutes(30);
+  core::Duration initial_duration_ = std::chrono::seconds(60);
+  core::Duration max_duration_ = std::chrono::minutes(30);
   /// From the last crash until the request is forgotten.
   core::Duration record_retention_ = std::chrono::hours(1);
   /// Records kept; those whose last crash is oldest give way.
@@ -79,10 +79,10 @@
   std::size_t max_crashes_ = 8;
   /// How often a record is sampled that makes its request neither suspected nor
   /// quarantined: by then every entry has it.
-  unsigned clear_samples_ = 6;
+  unsigned max_clear_samples_ = 6;
   /// How long a completed run clears its request of crashes that are confirmed
   /// only afterwards, and how many requests are remembered for that.
-  core::Duration completion_memory_ = std::chrono::seconds(15);
+  core::Duration completion_retention_ = std::chrono::seconds(15);
   std::size_t max_completions_ = 8192;
 };
 
@@ -116,7 +116,7 @@
 
   /// @brief Another attempt of a suspected request is under way somewhere, for
   /// this long at the most; zero when it has ended.
-  void SetTrial(const RequestDigest& request, core::TimePoint until);
+  void SetTrialUntil(const RequestDigest& request, core::TimePoint until);
   [[nodiscard]] bool TrialActive(const RequestDigest& request,
                                  core::TimePoint now) const;
 
@@ -130,8 +130,8 @@
   [[nodiscard]] std::size_t AttributedCrashes(
       const RequestDigest& request) const;
   /// @brief The same after one more crash.
-  [[nodiscard]] std::size_t BlamesAfter(const RequestDigest& request,
-                                        const EndpointCrash& crash) const;
+  [[nodiscard]] std::size_t AttributedCrashesWith(
+      const RequestDigest& request, const EndpointCrash& crash) const;
   [[nodiscard]] std::size_t suspected_after() const noexcept {
     return settings_.suspected_after_;
   }
--- a/packages/chalkwell/src/chalkwell/routing/request_tracker.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_tracker.cpp
@@ -39,7 +39,7 @@
     : traits_(std::move(traits)),
       faults_(faults),
       may_have_run_(traits_.may_have_run_before_ &&
-                    !faults.forget_earlier_requests_) {}
+                    !faults.ignore_earlier_requests_) {}
 
 RequestActions RequestTracker::Start(core::TimePoint now) {
   if (now >= traits_.deadline_) {
@@ -80,8 +80,8 @@
   return actions;
 }
 
-bool RequestTracker::TakeAnswerBytes(AttemptNumber attempt,
-                                     std::uint64_t pieces) {
+bool RequestTracker::AcceptResponseBytes(AttemptNumber attempt,
+                                         std::uint64_t pieces) {
   if (faults_.forward_late_answers_) {
     forwarded_ = true;
     return !finished_;
@@ -100,13 +100,13 @@
     return {};
   }
   outstanding_ = false;
-  if (faults_.forget_earlier_attempts_) {
+  if (faults_.ignore_earlier_attempts_) {
     ran_ = false;
     may_have_run_ = false;
   }
   ran_ = ran_ || end == AttemptEnd::kFailedRan;
-  may_have_run_ = may_have_run_ ||
-                  (end == AttemptEnd::kLost && !faults_.say_not_run_when_lost_);
+  may_have_run_ = may_have_run_ || (end == AttemptEnd::kLost &&
+                                    !faults_.report_lost_as_not_run_);
   if (end == AttemptEnd::kRefusedNotRun && traits_.may_have_run_before_) {
     // The agent refuses a ticket as "not run" only on its first use, and uses
     // it up: nothing ran under it, and nothing will.
@@ -151,8 +151,8 @@
   if (attempt_ >= traits_.max_attempts_ || now >= traits_.deadline_) {
     return false;
   }
-  return traits_.may_retry_(forwarded_ ? RetryKind::kResume : RetryKind::kFresh,
-                            now);
+  return traits_.may_retry_(
+      forwarded_ ? RetryKind::kResume : RetryKind::kRestart, now);
 }
 
 Outcome RequestTracker::OutcomeWithoutAnswer() const noexcept {
--- a/packages/chalkwell/src/chalkwell/routing/request_tracker.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_tracker.hpp
@@ -78,13 +78,13 @@
 struct RequestFaults {
   bool retry_after_send_ = false;
   bool forward_late_answers_ = false;
-  bool say_not_run_when_lost_ = false;
+  bool report_lost_as_not_run_ = false;
   bool resume_from_start_ = false;
   bool resume_on_other_weights_ = false;
   bool complete_on_loss_ = false;
-  bool forget_earlier_attempts_ = false;
+  bool ignore_earlier_attempts_ = false;
   bool ignore_other_weights_ = false;
-  bool forget_earlier_requests_ = false;
+  bool ignore_earlier_requests_ = false;
 };
 
 /// @brief What the tracker must know of the request.
@@ -126,8 +126,8 @@
   /// @brief Whether bytes of this attempt may go to the caller now; if so they
   /// count as forwarded.
   /// @param pieces whole pieces among them, from which an answer can go on.
-  [[nodiscard]] bool TakeAnswerBytes(AttemptNumber attempt,
-                                     std::uint64_t pieces = 1);
+  [[nodiscard]] bool AcceptResponseBytes(AttemptNumber attempt,
+                                         std::uint64_t pieces = 1);
   [[nodiscard]] RequestActions OnEnded(AttemptNumber attempt, AttemptEnd end,
                                        core::TimePoint now);
   /// @brief The deadline passed or the caller went away.
--- a/packages/chalkwell/src/chalkwell/routing/retry_budget.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/retry_budget.cpp
@@ -32,7 +32,7 @@
     }
   }
   const double usable =
-      kind == RetryKind::kResume ? 1.0 : 1.0 - settings_.kept_for_resumes_;
+      kind == RetryKind::kResume ? 1.0 : 1.0 - settings_.resume_reserve_share_;
   const double allowed =
       settings_.share_ * requests + usable * settings_.reserve_;
   return std::max(0.0, allowed - retries);
--- a/packages/chalkwell/src/chalkwell/routing/retry_budget.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/retry_budget.hpp
@@ -13,7 +13,7 @@
 /// @brief What a further attempt is for.
 enum class RetryKind : std::uint8_t {
   /// Nothing has reached the caller: it can be told to come back.
-  kFresh,
+  kRestart,
   /// The answer has begun: without this attempt it is cut.
   kResume,
 };
@@ -25,7 +25,7 @@
   /// Retries allowed in a window beyond that share.
   double reserve_ = 20;
   /// Part of the reserve that only answers under way may use, 0 to 1.
-  double kept_for_resumes_ = 0.5;
+  double resume_reserve_share_ = 0.5;
   core::Duration window_ = std::chrono::seconds(10);
 };
 
--- a/packages/chalkwell/src/chalkwell/routing/retry_spread.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/retry_spread.cpp
@@ -5,7 +5,7 @@
 
 namespace chalkwell::routing {
 
-core::Duration RetrySpread::Draw(core::Duration longest) {
+core::Duration RetryJitter::Draw(core::Duration longest) {
   const auto most = std::max(longest, core::Duration{}).count();
   return core::Duration(std::uniform_int_distribution<core::Duration::rep>(
       most - most / 4, most)(random_));
--- a/packages/chalkwell/src/chalkwell/routing/retry_spread.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/retry_spread.hpp
@@ -1,7 +1,7 @@
 // When rejected callers come back. With the same Retry-After, those of one
-// moment come back together, and with the same time left each: RequestAge,
-// which learns what fresh requests have left from times that repeat, takes them
-// for fresh.
+// moment come back together, and with the same time left each:
+// RequestAgeEstimator, which learns what fresh requests have left from times
+// that repeat, takes them for fresh.
 #pragma once
 
 #include <cstdint>
@@ -13,9 +13,9 @@
 namespace chalkwell::routing {
 
 /// @brief Draws the times of one entry.
-class RetrySpread {
+class RetryJitter {
  public:
-  explicit RetrySpread(std::uint64_t seed) : random_(seed) {}
+  explicit RetryJitter(std::uint64_t seed) : random_(seed) {}
 
   /// @return between three quarters of the longest time and the longest time.
   [[nodiscard]] core::Duration Draw(core::Duration longest);
--- a/packages/chalkwell/src/chalkwell/routing/slot_queue.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/slot_queue.cpp
@@ -8,23 +8,23 @@
 
 std::size_t SlotQueue::active_senders(core::TimePoint now) const {
   const auto active = std::ranges::count_if(last_offer_, [&](const auto& held) {
-    return now - held.second <= limits_.sender_memory_;
+    return now - held.second <= limits_.sender_activity_window_;
   });
   return std::max<std::size_t>(1, static_cast<std::size_t>(active));
 }
 
-SlotVerdict SlotQueue::Offer(std::uint64_t run, const core::InstanceId& sender,
-                             core::TimePoint now) {
+SlotDecision SlotQueue::Offer(std::uint64_t run, const core::InstanceId& sender,
+                              core::TimePoint now) {
   std::erase_if(last_offer_, [&](const auto& held) {
-    return now - held.second > limits_.sender_memory_;
+    return now - held.second > limits_.sender_activity_window_;
   });
   last_offer_[sender] = now;
   if (in_use_ < limits_.capacity_ && waiting_ == 0) {
     ++in_use_;
-    return SlotVerdict::kStart;
+    return SlotDecision::kStart;
   }
   if (waiting_ >= limits_.max_waiting_) {
-    return SlotVerdict::kFull;
+    return SlotDecision::kFull;
   }
   auto& queue = queues_[sender];
   if (queue.empty()) {
@@ -32,7 +32,7 @@
   }
   queue.push_back(run);
   ++waiting_;
-  return SlotVerdict::kWait;
+  return SlotDecision::kWait;
 }
 
 std::optional<std::uint64_t> SlotQueue::Next() {
--- a/packages/chalkwell/src/chalkwell/routing/slot_queue.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/slot_queue.hpp
@@ -21,11 +21,11 @@
   /// Runs that may wait for a slot, of all senders together.
   std::size_t max_waiting_ = 32;
   /// A sender counts as active for this long after its last run.
-  core::Duration sender_memory_ = std::chrono::seconds(5);
+  core::Duration sender_activity_window_ = std::chrono::seconds(5);
 };
 
 /// @brief What becomes of a run that is offered.
-enum class SlotVerdict : std::uint8_t {
+enum class SlotDecision : std::uint8_t {
   /// It has a slot; release it at its end.
   kStart,
   /// It waits; `Next` names it when its turn comes.
@@ -47,9 +47,9 @@
   /// @brief Senders active of late; at least 1.
   [[nodiscard]] std::size_t active_senders(core::TimePoint now) const;
 
-  [[nodiscard]] SlotVerdict Offer(std::uint64_t run,
-                                  const core::InstanceId& sender,
-                                  core::TimePoint now);
+  [[nodiscard]] SlotDecision Offer(std::uint64_t run,
+                                   const core::InstanceId& sender,
+                                   core::TimePoint now);
   /// @brief Gives a free slot to the sender whose turn it is.
   [[nodiscard]] std::optional<std::uint64_t> Next();
   /// @brief A waiting run was given up.
--- a/packages/chalkwell/src/chalkwell/routing/stream_admission.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/stream_admission.cpp
@@ -34,8 +34,8 @@
 core::Duration LongReading(const config::EngineProfile& engine,
                            double prompt_tokens) {
   const std::chrono::duration<double> longer(
-      std::max(0.0, prompt_tokens - engine.usual_prompt_) /
-      engine.read_per_second_);
+      std::max(0.0, prompt_tokens - engine.mean_prompt_tokens_) /
+      engine.prefill_tokens_per_second_);
   return std::chrono::duration_cast<core::Duration>(longer);
 }
 
--- a/packages/chalkwell/src/chalkwell/swarm/assembly.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/assembly.cpp
@@ -5,7 +5,7 @@
 
 namespace chalkwell::swarm {
 
-bool IsChunk(const bundle::Chunk& chunk, std::string_view bytes) {
+bool MatchesChunk(const bundle::Chunk& chunk, std::string_view bytes) {
   return bytes.size() == chunk.size_ &&
          core::Digest::Of(bytes) == chunk.digest_;
 }
@@ -14,7 +14,7 @@
     : chunks_(std::move(chunks)), faults_(faults), held_(chunks_.size()) {}
 
 bool Assembly::complete() const noexcept {
-  if (faults_.whole_too_early_) {
+  if (faults_.complete_too_early_) {
     return held_.count() + 1 >= held_.size();
   }
   return held_.full();
@@ -24,7 +24,7 @@
   if (index >= chunks_.size()) {
     return false;
   }
-  if (!faults_.skip_digest_check_ && !IsChunk(chunks_[index], bytes)) {
+  if (!faults_.skip_digest_check_ && !MatchesChunk(chunks_[index], bytes)) {
     return false;
   }
   held_.Add(index);
--- a/packages/chalkwell/src/chalkwell/swarm/assembly.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/assembly.hpp
@@ -15,11 +15,12 @@
 /// @brief Faults that tests seed to show that the proofs can fail.
 struct AssemblyFaults {
   bool skip_digest_check_ = false;
-  bool whole_too_early_ = false;
+  bool complete_too_early_ = false;
 };
 
 /// @brief Whether the bytes are the chunk.
-[[nodiscard]] bool IsChunk(const bundle::Chunk& chunk, std::string_view bytes);
+[[nodiscard]] bool MatchesChunk(const bundle::Chunk& chunk,
+                                std::string_view bytes);
 
 /// @brief The verified chunks of one manifest.
 class Assembly {
--- a/packages/chalkwell/src/chalkwell/swarm/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/fwd.hpp
@@ -10,9 +10,9 @@
 class Pacer;
 class Assembly;
 class FetchWindow;
-class OlderPieces;
-class SourceProgress;
-struct FetchOrder;
+class OlderVersionChunks;
+class OriginProgress;
+struct FetchRequest;
 struct PlannerSettings;
 
 }  // namespace chalkwell::swarm
--- a/packages/chalkwell/src/chalkwell/swarm/older_pieces.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/older_pieces.cpp
@@ -5,24 +5,24 @@
 
 namespace chalkwell::swarm {
 
-void OlderPieces::Start(std::uint64_t version, ChunkSet staged) {
+void OlderVersionChunks::Start(std::uint64_t version, ChunkSet staged) {
   Clear();
   version_ = version;
   available_ = std::move(staged);
 }
 
-void OlderPieces::Clear() {
+void OlderVersionChunks::Clear() {
   version_ = 0;
   available_ = {};
   copies_.clear();
   bytes_ = 0;
 }
 
-bool OlderPieces::NeedsCopy(std::size_t piece) const {
+bool OlderVersionChunks::NeedsCopy(std::size_t piece) const {
   return available_.Has(piece) && !copies_.contains(piece);
 }
 
-void OlderPieces::SaveCopy(std::size_t piece, std::string bytes) {
+void OlderVersionChunks::SaveCopy(std::size_t piece, std::string bytes) {
   if (!NeedsCopy(piece)) {
     return;
   }
@@ -34,7 +34,7 @@
   copies_.emplace(piece, std::move(bytes));
 }
 
-void OlderPieces::Remove(std::size_t piece) {
+void OlderVersionChunks::Remove(std::size_t piece) {
   available_.Remove(piece);
   const auto copy = copies_.find(piece);
   if (copy != copies_.end()) {
@@ -43,7 +43,7 @@
   }
 }
 
-const std::string* OlderPieces::FindCopy(std::size_t piece) const {
+const std::string* OlderVersionChunks::FindCopy(std::size_t piece) const {
   const auto copy = copies_.find(piece);
   return copy == copies_.end() ? nullptr : &copy->second;
 }
--- a/packages/chalkwell/src/chalkwell/swarm/older_pieces.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/older_pieces.hpp
@@ -13,10 +13,11 @@
 
 /// @brief Pieces of one older version: staged ones, and copies of those that
 /// were overwritten.
-class OlderPieces {
+class OlderVersionChunks {
  public:
   /// @param most_bytes of all copies together.
-  explicit OlderPieces(std::size_t most_bytes) : most_bytes_(most_bytes) {}
+  explicit OlderVersionChunks(std::size_t most_bytes)
+      : most_bytes_(most_bytes) {}
 
   /// @brief Begins with what is staged of a version; forgets any other.
   void Start(std::uint64_t version, ChunkSet staged);
--- a/packages/chalkwell/src/chalkwell/swarm/pacer.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/pacer.cpp
@@ -17,7 +17,7 @@
   return std::chrono::duration_cast<core::Duration>(seconds);
 }
 
-void Pacer::OnLiveBytes(std::uint64_t bytes, core::TimePoint now) {
+void Pacer::OnRequestBytes(std::uint64_t bytes, core::TimePoint now) {
   free_at_ = std::max(free_at_, now - burst_) + TimeFor(bytes);
 }
 
--- a/packages/chalkwell/src/chalkwell/swarm/pacer.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/pacer.hpp
@@ -16,7 +16,7 @@
   Pacer(std::uint64_t bytes_per_second, core::Duration burst);
 
   /// @brief Live bytes were sent; they never wait, weights wait for them.
-  void OnLiveBytes(std::uint64_t bytes, core::TimePoint now);
+  void OnRequestBytes(std::uint64_t bytes, core::TimePoint now);
   /// @brief Reserves room for weights.
   /// @return how long to wait before sending them.
   [[nodiscard]] core::Duration Reserve(std::uint64_t bytes,
--- a/packages/chalkwell/src/chalkwell/swarm/planner.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/planner.cpp
@@ -11,8 +11,8 @@
 Planner::Planner(SwarmMember self, PlannerSettings settings, std::uint64_t seed)
     : self_(std::move(self)), settings_(settings), random_(seed) {}
 
-std::uint64_t Planner::origin_fetches(DrawCause cause) const noexcept {
-  return cause == DrawCause::kAssigned ? elected_draws_ : silence_draws_;
+std::uint64_t Planner::origin_fetches(OriginFetchCause cause) const noexcept {
+  return cause == OriginFetchCause::kAssigned ? elected_draws_ : silence_draws_;
 }
 
 void Planner::Start(std::vector<bundle::Chunk> chunks, const ChunkSet& held,
@@ -122,11 +122,11 @@
   std::size_t open = 0;
   std::size_t chunk = 0;
   for (; chunk < chunks_.size(); ++chunk) {
-    const bool lost = overtaken_[chunk] >= settings_.draw_window_;
+    const bool lost = overtaken_[chunk] >= settings_.origin_window_;
     if (seen_.Has(chunk) || lost) {
       continue;
     }
-    if (++open > settings_.draw_window_) {
+    if (++open > settings_.origin_window_) {
       break;
     }
   }
@@ -146,8 +146,8 @@
   TakeOutstanding(chunk, false, now);
 }
 
-std::vector<FetchOrder> Planner::TakeTimedOut(core::TimePoint now) {
-  std::vector<FetchOrder> late;
+std::vector<FetchRequest> Planner::ExpireRequests(core::TimePoint now) {
+  std::vector<FetchRequest> late;
   for (const auto& [chunk, request] : outstanding_) {
     if (now - request.since_ >= settings_.chunk_timeout_) {
       late.push_back({chunk, request.peer_});
@@ -182,7 +182,7 @@
     if (!held_.Has(chunk) && !outstanding_.contains(chunk)) {
       const auto holders = Holders(chunk);
       // What is drawn goes by the order that the window has.
-      const bool in_order = settings_.draw_window_ > 0 && holders.all_ == 0;
+      const bool in_order = settings_.origin_window_ > 0 && holders.all_ == 0;
       ranked.push_back({holders, in_order ? chunk : random_(), chunk});
     }
   }
@@ -210,7 +210,7 @@
     const bool near = peer.member_.domain_ == self_.domain_;
     const bool usable = peer.chunks_.Has(chunk) && (near || may_import) &&
                         peer.member_.slow_ == slow &&
-                        peer.outstanding_ < settings_.per_peer_ &&
+                        peer.outstanding_ < settings_.max_requests_per_peer_ &&
                         now >= peer.rests_until_;
     if (usable && (best == nullptr || cost(peer) < cost(*best))) {
       best = &peer;
@@ -220,13 +220,13 @@
 }
 
 bool Planner::MayImport(std::size_t chunk, core::TimePoint now) const {
-  if (settings_.import_silence_ == core::Duration{}) {
+  if (settings_.import_takeover_timeout_ == core::Duration{}) {
     return true;
   }
   const auto ahead = static_cast<int>(ImportRank(chunk));
   const auto known = now - seen_at_[chunk];
   const auto silence = std::min(known, now - near_progress_);
-  return silence >= settings_.import_silence_ * ahead ||
+  return silence >= settings_.import_takeover_timeout_ * ahead ||
          known >= settings_.import_patience_ * ahead;
 }
 
@@ -272,8 +272,8 @@
 }
 
 bool Planner::Overtaken(std::size_t chunk, std::size_t behind) const {
-  if (settings_.draw_window_ == 0 ||
-      overtaken_[chunk] < settings_.draw_window_ * behind) {
+  if (settings_.origin_window_ == 0 ||
+      overtaken_[chunk] < settings_.origin_window_ * behind) {
     return false;
   }
   // One that has several to draw is busy, not gone.
@@ -286,27 +286,28 @@
   return true;
 }
 
-std::optional<DrawCause> Planner::MayDraw(std::size_t chunk,
-                                          core::TimePoint now) const {
+std::optional<OriginFetchCause> Planner::MayDraw(std::size_t chunk,
+                                                 core::TimePoint now) const {
   const auto rank = DrawRank(chunk);
   if (rank < settings_.origin_copies_) {
-    return DrawCause::kAssigned;
+    return OriginFetchCause::kAssigned;
   }
   const auto behind = rank - settings_.origin_copies_ + 1;
   if (Overtaken(chunk, behind) && Holders(chunk).quick_ == 0) {
-    return DrawCause::kTakeover;
+    return OriginFetchCause::kTakeover;
   }
   const auto silence = now - last_progress_;
   if (Holders(chunk).quick_ == 0 &&
-      silence >= settings_.draw_silence_ * static_cast<int>(behind)) {
-    return DrawCause::kTakeover;
+      silence >=
+          settings_.origin_takeover_timeout_ * static_cast<int>(behind)) {
+    return OriginFetchCause::kTakeover;
   }
   return std::nullopt;
 }
 
 void Planner::Ask(std::size_t chunk, Peer* peer, core::TimePoint now,
-                  std::vector<FetchOrder>& orders) {
-  FetchOrder order{.chunk_ = chunk, .peer_ = std::nullopt};
+                  std::vector<FetchRequest>& orders) {
+  FetchRequest order{.chunk_ = chunk, .peer_ = std::nullopt};
   if (peer != nullptr) {
     order.peer_ = peer->member_.id_;
     ++peer->outstanding_;
@@ -317,10 +318,10 @@
   orders.push_back(std::move(order));
 }
 
-std::vector<FetchOrder> Planner::Next(core::TimePoint now) {
-  std::vector<FetchOrder> orders;
+std::vector<FetchRequest> Planner::Next(core::TimePoint now) {
+  std::vector<FetchRequest> orders;
   const auto window_end =
-      settings_.draw_window_ == 0 ? chunks_.size() : WindowEnd();
+      settings_.origin_window_ == 0 ? chunks_.size() : WindowEnd();
   for (const auto chunk : MissingRarestFirst()) {
     const auto from_peers = outstanding_.size() - origin_outstanding_;
     if (from_peers < settings_.max_peer_requests_) {
@@ -336,12 +337,13 @@
       }
     }
     if (!origin_open_ || chunk >= window_end ||
-        origin_outstanding_ >= settings_.origin_in_flight_) {
+        origin_outstanding_ >= settings_.max_origin_requests_) {
       continue;
     }
     const auto cause = MayDraw(chunk, now);
     if (cause && Holders(chunk).quick_ == 0) {
-      ++(*cause == DrawCause::kAssigned ? elected_draws_ : silence_draws_);
+      ++(*cause == OriginFetchCause::kAssigned ? elected_draws_
+                                               : silence_draws_);
       Ask(chunk, nullptr, now, orders);
     }
   }
@@ -350,7 +352,7 @@
 
 bool Planner::MayAskSlow(std::size_t chunk, core::TimePoint now) const {
   return Holders(chunk).quick_ == 0 &&
-         now - seen_at_[chunk] >= settings_.draw_silence_;
+         now - seen_at_[chunk] >= settings_.origin_takeover_timeout_;
 }
 
 }  // namespace chalkwell::swarm
--- a/packages/chalkwell/src/chalkwell/swarm/planner.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/planner.hpp
@@ -22,18 +22,18 @@
   /// Members that may draw each chunk from the origin at once.
   std::size_t origin_copies_ = 1;
   /// Requests outstanding at one peer.
-  std::size_t per_peer_ = 2;
+  std::size_t max_requests_per_peer_ = 2;
   /// Requests outstanding at all peers.
   std::size_t max_peer_requests_ = 8;
   /// Requests outstanding at the origin.
-  std::size_t origin_in_flight_ = 2;
+  std::size_t max_origin_requests_ = 2;
   /// Chunks in order that nobody is known to hold and that may be drawn at
   /// once, by all members together: the origin's link and connections are
   /// shared, and what it sent can spread while it sends the next. 0: any.
-  std::size_t draw_window_ = 0;
+  std::size_t origin_window_ = 0;
   /// The next in rank draws when the swarm made no progress for this long, or
   /// when a chunk that may be drawn was overtaken by a whole window of others.
-  core::Duration draw_silence_ = std::chrono::seconds(2);
+  core::Duration origin_takeover_timeout_ = std::chrono::seconds(2);
   /// A chunk request is given up after this.
   core::Duration chunk_timeout_ = std::chrono::seconds(5);
   /// Peers with this many failures in a row are left out for a while.
@@ -41,7 +41,7 @@
   /// A chunk that only other failure domains hold is asked for there by the
   /// first in rank of the own domain; the next one follows when the domain got
   /// nothing new for this time. Zero: anyone may ask at once.
-  core::Duration import_silence_{};
+  core::Duration import_takeover_timeout_{};
   /// It follows too when the chunk is known for this long: the first in rank
   /// may be gone while others go on.
   core::Duration import_patience_ = std::chrono::milliseconds(2500);
@@ -61,14 +61,14 @@
 };
 
 /// @brief One chunk to fetch now.
-struct FetchOrder {
+struct FetchRequest {
   std::size_t chunk_ = 0;
   /// Absent: from weight store or origin.
   std::optional<core::InstanceId> peer_;
 };
 
 /// @brief Why a chunk was drawn from the origin.
-enum class DrawCause : std::uint8_t {
+enum class OriginFetchCause : std::uint8_t {
   /// This member is among the first in rank.
   kAssigned,
   /// Those ahead in rank were silent.
@@ -90,7 +90,8 @@
     return seen_.count();
   }
   /// @brief Draws from the origin so far, by cause.
-  [[nodiscard]] std::uint64_t origin_fetches(DrawCause cause) const noexcept;
+  [[nodiscard]] std::uint64_t origin_fetches(
+      OriginFetchCause cause) const noexcept;
 
   /// @brief Begins a fetch; chunks already held are not asked again.
   void Start(std::vector<bundle::Chunk> chunks, const ChunkSet& held,
@@ -99,11 +100,11 @@
   /// which links are narrowed.
   void SetMembers(std::vector<SwarmMember> members);
   /// @brief Changes how many requests may be outstanding at all peers.
-  void SetInFlight(std::size_t most) noexcept {
+  void SetMaxPeerRequests(std::size_t most) noexcept {
     settings_.max_peer_requests_ = most;
   }
   /// @brief Whether the origin may be asked: not while it refuses.
-  void SetOriginOpen(bool open) noexcept { origin_open_ = open; }
+  void SetOriginAvailable(bool open) noexcept { origin_open_ = open; }
   /// @brief A peer with an open stream announces what it holds.
   void OnAnnounced(const SwarmMember& peer, const ChunkSet& chunks,
                    core::TimePoint now);
@@ -116,9 +117,9 @@
   /// not count as its holder until it announces the chunk again.
   void OnRequestFailed(std::size_t chunk, core::TimePoint now);
   /// @brief Requests whose time is up; they count as failed.
-  [[nodiscard]] std::vector<FetchOrder> TakeTimedOut(core::TimePoint now);
+  [[nodiscard]] std::vector<FetchRequest> ExpireRequests(core::TimePoint now);
   /// @brief What to ask for now.
-  [[nodiscard]] std::vector<FetchOrder> Next(core::TimePoint now);
+  [[nodiscard]] std::vector<FetchRequest> Next(core::TimePoint now);
 
  private:
   struct Peer {
@@ -149,8 +150,8 @@
   [[nodiscard]] bool MayAskSlow(std::size_t chunk, core::TimePoint now) const;
   /// @brief Members ahead of this one: quick ones first, then by score.
   [[nodiscard]] std::size_t Rank(std::size_t chunk, bool near) const;
-  [[nodiscard]] std::optional<DrawCause> MayDraw(std::size_t chunk,
-                                                 core::TimePoint now) const;
+  [[nodiscard]] std::optional<OriginFetchCause> MayDraw(
+      std::size_t chunk, core::TimePoint now) const;
   [[nodiscard]] std::size_t DrawRank(std::size_t chunk) const;
   [[nodiscard]] const core::InstanceId& FirstInRank(std::size_t chunk) const;
   /// @brief Whether those ahead of this member seem to be gone.
@@ -167,7 +168,7 @@
   [[nodiscard]] HolderCount Holders(std::size_t chunk) const;
   void TakeOutstanding(std::size_t chunk, bool good, core::TimePoint now);
   void Ask(std::size_t chunk, Peer* peer, core::TimePoint now,
-           std::vector<FetchOrder>& orders);
+           std::vector<FetchRequest>& orders);
 
   SwarmMember self_;
   PlannerSettings settings_;
@@ -182,7 +183,7 @@
   /// First in rank by chunk; emptied with the ranks.
   mutable std::vector<std::optional<core::InstanceId>> drawers_;
   std::map<core::InstanceId, Peer> peers_;
-  /// By chunk; at most `in_flight_` plus `origin_in_flight_`.
+  /// By chunk; at most `in_flight_` plus `max_origin_requests_`.
   std::map<std::size_t, Request> outstanding_;
   std::size_t origin_outstanding_ = 0;
   bool origin_open_ = true;
--- a/packages/chalkwell/src/chalkwell/swarm/source_progress.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/source_progress.cpp
@@ -12,13 +12,13 @@
 
 }  // namespace
 
-void SourceProgress::Start(std::size_t pieces, core::TimePoint now) {
+void OriginProgress::Start(std::size_t pieces, core::TimePoint now) {
   pieces_ = pieces;
   started_ = now;
   samples_.clear();
 }
 
-void SourceProgress::OnSeen(std::size_t seen, core::TimePoint now) {
+void OriginProgress::OnAvailable(std::size_t seen, core::TimePoint now) {
   if (samples_.empty() || seen != samples_.back().seen_) {
     samples_.push_back({now, seen});
   }
@@ -27,11 +27,11 @@
   }
 }
 
-bool SourceProgress::HasRate(core::TimePoint now) const {
+bool OriginProgress::HasRate(core::TimePoint now) const {
   return now - started_ >= kSpan;
 }
 
-std::optional<core::Duration> SourceProgress::TimeLeft(
+std::optional<core::Duration> OriginProgress::TimeLeft(
     core::TimePoint now) const {
   if (pieces_ == 0 || samples_.empty()) {
     return std::nullopt;
--- a/packages/chalkwell/src/chalkwell/swarm/source_progress.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/source_progress.hpp
@@ -11,13 +11,13 @@
 namespace chalkwell::swarm {
 
 /// @brief Pieces of one version that some member holds, over time.
-class SourceProgress {
+class OriginProgress {
  public:
   /// @brief A fetch begins: nothing is known of its pieces.
   /// @param pieces of the version; 0 while its manifest is not known.
   void Start(std::size_t pieces, core::TimePoint now);
   /// @param seen pieces that some member is known to hold.
-  void OnSeen(std::size_t seen, core::TimePoint now);
+  void OnAvailable(std::size_t seen, core::TimePoint now);
   /// @return until all pieces are held by some member; none when the time
   /// observed is too short, or nothing appeared in it.
   [[nodiscard]] std::optional<core::Duration> TimeLeft(
--- a/packages/cli/src/cli/bundle_commands.cpp
+++ b/packages/cli/src/cli/bundle_commands.cpp
@@ -154,7 +154,7 @@
   const auto root = nlohmann::json::parse(payload, nullptr, false);
   if (root.is_object() && root.contains("keys")) {
     std::uint64_t version = 0;
-    (void)config::ParseTrust(payload, version);
+    (void)config::ParseTrustedKeys(payload, version);
     return bundle::kTrustContext;
   }
   (void)bundle::ParseBundle(payload);
@@ -246,7 +246,7 @@
   }
   const auto text = nlohmann::json{{"version", version}, {"keys", list}}.dump();
   std::uint64_t parsed = 0;
-  (void)config::ParseTrust(text, parsed);
+  (void)config::ParseTrustedKeys(text, parsed);
   WriteFile(out, text, kPublicMode);
   std::cout << "list of " << keys.size() << " trusted key(s): " << out << "\n";
 }
--- a/packages/daemon/src/daemon/agent.cpp
+++ b/packages/daemon/src/daemon/agent.cpp
@@ -70,7 +70,7 @@
       process_, engine_.address(), NewIncarnation(), capacity_,
       [this] { return State(); },
       [this](std::size_t bytes) {
-        weights_->upload().OnLiveBytes(bytes, process_.loop().Now());
+        weights_->upload().OnRequestBytes(bytes, process_.loop().Now());
       },
       [this] { FinishDrain(); });
   peers_ = std::make_unique<PeerServer>(
@@ -342,10 +342,10 @@
 }
 
 void Agent::TakeTurnIfDue() {
-  if (activation_.phase() == rollout::Phase::kWaitingTurn &&
-      turns_.MayGo(process_.loop().Now())) {
+  if (activation_.phase() == rollout::Phase::kWaitingForSlot &&
+      turns_.MayDrain(process_.loop().Now())) {
     process_.log().Write(core::EventNumber::kTurnTaken);
-    Perform(activation_.OnTurn());
+    Perform(activation_.OnRolloutSlot());
   }
 }
 
--- a/packages/daemon/src/daemon/agent.hpp
+++ b/packages/daemon/src/daemon/agent.hpp
@@ -61,7 +61,7 @@
   EngineClient engine_;
   rollout::Activation activation_;
   rollout::RolloutSlots turns_;
-  membership::PauseDetector pause_;
+  membership::SuspensionDetector pause_;
   std::unique_ptr<WeightFetcher> weights_;
   std::unique_ptr<RunHandler> runs_;
   std::vector<std::shared_ptr<Attachment>> attachments_;
--- a/packages/daemon/src/daemon/agent_links.cpp
+++ b/packages/daemon/src/daemon/agent_links.cpp
@@ -72,7 +72,7 @@
     const auto limit =
         group.second ? settings_.attach_ : settings_.attach_foreign_;
     for (auto& id :
-         membership::FirstChoices(node_.self().value(), ids, limit)) {
+         membership::HighestRanked(node_.self().value(), ids, limit)) {
       chosen.insert(std::move(id));
     }
   }
--- a/packages/daemon/src/daemon/agent_links.hpp
+++ b/packages/daemon/src/daemon/agent_links.hpp
@@ -49,7 +49,7 @@
     std::shared_ptr<PeerConnection> connection_;
     OutgoingCallPtr call_;
     std::unique_ptr<FrameReader> reader_;
-    std::optional<routing::TicketMinter> minter_;
+    std::optional<routing::TicketIssuer> minter_;
     /// Fingerprint of the documents that the agent last said it holds.
     std::uint64_t config_ = 0;
     std::shared_ptr<Timer> retry_;
--- a/packages/daemon/src/daemon/config_spreader.cpp
+++ b/packages/daemon/src/daemon/config_spreader.cpp
@@ -156,7 +156,7 @@
   }
   const auto scale = std::max<std::size_t>(1, members.size() / kPeriodMembers);
   period_ = kExchangePeriod * static_cast<int>(scale);
-  const auto order = membership::FirstChoices(
+  const auto order = membership::HighestRanked(
       settings_.domain_.value() + "/watch", members, members.size());
   ahead_.clear();
   std::size_t alive = 0;
--- a/packages/daemon/src/daemon/direct/direct_agent.cpp
+++ b/packages/daemon/src/daemon/direct/direct_agent.cpp
@@ -295,7 +295,7 @@
   adapter_.weights_.incarnation_(health_path_,
                                  [this](const core::InstanceId& incarnation) {
                                    incarnation_ = incarnation;
-                                   audience_.TellFull();
+                                   audience_.RequestFullReports();
                                  });
 }
 
--- a/packages/daemon/src/daemon/direct/direct_agent.hpp
+++ b/packages/daemon/src/daemon/direct/direct_agent.hpp
@@ -64,7 +64,7 @@
   bool read_small_ = false;
   std::unique_ptr<HttpServer> admin_;
   /// Entries that use the engine.
-  membership::ReportAudience audience_;
+  membership::ReportSubscribers audience_;
   /// The last report that differed from the one before it.
   std::optional<LoadMessage> last_load_;
   bool engine_answers_ = false;
--- a/packages/daemon/src/daemon/direct/direct_entry.cpp
+++ b/packages/daemon/src/daemon/direct/direct_entry.cpp
@@ -226,11 +226,11 @@
 void DirectEntry::BeginStop() {
   mesh_.Leave();
   callers_->CloseAfterAnswers();
-  process_.stop().OnWorkTaken();
+  process_.stop().OnWorkAccepted();
   stop_timer_.Once(kStopListening, [this] {
     callers_->StopAccepting();
     callers_->CloseIdle();
-    process_.stop().OnWorkEnded();
+    process_.stop().OnWorkFinished();
   });
 }
 
@@ -348,13 +348,14 @@
   subscribed_ = std::move(subscribed);
 }
 
-routing::VersionRule DirectEntry::RuleFor(const std::string& model) const {
+routing::VersionConstraint DirectEntry::RuleFor(
+    const std::string& model) const {
   const auto found = weights_.find(model);
   if (found == weights_.end()) {
     return {};
   }
-  return found->second.RuleAt(version_bound_, kVersionMargin,
-                              process_.loop().Now());
+  return found->second.ConstraintAt(version_bound_, kVersionMargin,
+                                    process_.loop().Now());
 }
 
 void DirectEntry::OnLoad(const LoadMessage& message) {
@@ -367,10 +368,10 @@
       paths_[message.endpoint_].OnMessage(milliseconds(message.sent_ms_), now);
   const auto report = ToReport(message, outbound);
   if (!report.incarnation_.empty()) {
-    endpoints_.TakeLife(message.endpoint_,
-                        {report.incarnation_, report.started_}, now);
+    endpoints_.ApplyIncarnation(message.endpoint_,
+                                {report.incarnation_, report.started_}, now);
   }
-  endpoints_.TakeReport(message.endpoint_, report, now);
+  endpoints_.ApplyReport(message.endpoint_, report, now);
 }
 
 void DirectEntry::OnCaller(const HttpExchangePtr& exchange,
@@ -406,7 +407,7 @@
            "the request carries no id", std::nullopt);
     return;
   }
-  request.service_ = config::TrafficTable::ServiceFor(*route, caller.id_);
+  request.service_ = config::TrafficTable::SelectService(*route, caller.id_);
   if (const auto* service = rules_.FindService(request.service_)) {
     request.engine_ = service->engine_;
   }
@@ -484,12 +485,12 @@
     return;
   }
   ++in_flight_;
-  process_.stop().OnWorkTaken();
+  process_.stop().OnWorkAccepted();
   budget_.SetReserve(ReserveShare());
   std::make_shared<DirectRequest>(context_, exchange, std::move(request),
                                   [this] {
                                     --in_flight_;
-                                    process_.stop().OnWorkEnded();
+                                    process_.stop().OnWorkFinished();
                                   })
       ->Start();
 }
--- a/packages/daemon/src/daemon/direct/direct_entry.hpp
+++ b/packages/daemon/src/daemon/direct/direct_entry.hpp
@@ -66,7 +66,8 @@
                                                         std::string& reason);
   [[nodiscard]] HttpLimits Limits() const;
   [[nodiscard]] std::string NotReady() const;
-  [[nodiscard]] routing::VersionRule RuleFor(const std::string& model) const;
+  [[nodiscard]] routing::VersionConstraint RuleFor(
+      const std::string& model) const;
   [[nodiscard]] double ReserveShare();
   [[nodiscard]] std::uint32_t ConnectionShare(const std::string& service);
   void BeginStop();
@@ -77,8 +78,8 @@
   config::TrafficTable rules_;
   routing::EndpointTable endpoints_;
   routing::RetryBudget budget_;
-  routing::RetrySpread retry_spread_;
-  routing::RequestAge ages_;
+  routing::RetryJitter retry_spread_;
+  routing::RequestAgeEstimator ages_;
   /// By model.
   std::map<std::string, rollout::VersionBound> weights_;
   /// By address of the endpoint whose agent reports.
--- a/packages/daemon/src/daemon/direct/direct_request.cpp
+++ b/packages/daemon/src/daemon/direct/direct_request.cpp
@@ -154,7 +154,7 @@
   // quarantined.
   options.may_send_ = [this, self = shared_from_this(),
                        life = row.incarnation()] {
-    return context_.endpoints_.TakesWork(life, context_.loop_.Now()) &&
+    return context_.endpoints_.AcceptsRequests(life, context_.loop_.Now()) &&
            context_.quarantine_.MayRepeat(request_.digest_, std::nullopt);
   };
   options.is_ours_ = [this,
@@ -218,7 +218,7 @@
     return false;
   }
   attempt_.delivered_ = !attempt_.call_->undelivered();
-  return !attempt_.delivered_ && !context_.endpoints_.TakesWork(
+  return !attempt_.delivered_ && !context_.endpoints_.AcceptsRequests(
                                      attempt_.choice_.row_.incarnation(), now);
 }
 
@@ -238,7 +238,7 @@
     }
     return;
   }
-  routing::AwaitedAttempt awaited;
+  routing::PendingAttempt awaited;
   awaited.target_latency_ = request_.route_.target_latency_;
   awaited.predicted_first_byte_ = attempt_.choice_.time_to_first_byte_;
   awaited.on_time_ = request_.on_time_;
@@ -250,7 +250,7 @@
     awaited.version_constraint_ = attempt_.versions_;
   }
   const auto now = context_.loop_.Now();
-  const auto left = routing::GiveUpAt(awaited) - now;
+  const auto left = routing::FirstByteDeadline(awaited) - now;
   if (left <= core::Duration{}) {
     OnSilence();
     return;
@@ -305,7 +305,7 @@
     return;
   }
   const auto whole = events_.Append(bytes);
-  if (whole.count_ > 0 && tracker_.TakeAnswerBytes(number, whole.count_)) {
+  if (whole.count_ > 0 && tracker_.AcceptResponseBytes(number, whole.count_)) {
     Forward(whole.bytes_);
   }
   ExpectEvent();
@@ -318,7 +318,7 @@
     return;
   }
   const auto body = std::exchange(attempt_.body_, {});
-  if (tracker_.TakeAnswerBytes(attempt_.number_, 0)) {
+  if (tracker_.AcceptResponseBytes(attempt_.number_, 0)) {
     Forward(body);
   }
 }
@@ -431,7 +431,7 @@
                          {"after_ms", Millis(now - attempt_.sent_at_)}});
     context_.metrics_.Count("attempts_ended_total",
                             {{"end", std::string(routing::ToString(end))}});
-    events_.DropRest();
+    events_.DiscardPartialEvent();
   }
   ReportEnd(end);
   Perform(tracker_.OnEnded(attempt_.number_, end, now));
--- a/packages/daemon/src/daemon/direct/direct_request.hpp
+++ b/packages/daemon/src/daemon/direct/direct_request.hpp
@@ -28,13 +28,13 @@
   const Adapter& adapter_;
   routing::EndpointTable& endpoints_;
   routing::RetryBudget& budget_;
-  routing::RetrySpread& retry_spread_;
+  routing::RetryJitter& retry_spread_;
   QuarantineKeeper& quarantine_;
   EventLog& log_;
   Metrics& metrics_;
   Tracer& tracer_;
   /// Weights that a request of a model may begin on.
-  std::function<routing::VersionRule(const std::string& model)> versions_;
+  std::function<routing::VersionConstraint(const std::string& model)> versions_;
   /// Own requests that one endpoint of a service may have under way; 0 for any.
   std::function<std::uint32_t(const std::string& service)> max_in_flight_;
 };
@@ -77,7 +77,7 @@
     routing::EndpointChoice choice_;
     core::TimePoint sent_at_;
     /// Weights that it could begin on, as it was chosen.
-    routing::VersionRule versions_;
+    routing::VersionConstraint versions_;
     Span span_;
     std::shared_ptr<HttpCall> call_;
     int status_ = 0;
@@ -141,7 +141,7 @@
   Attempt attempt_;
   std::optional<routing::EndpointChoice> chosen_;
   /// Weights that were allowed as it was chosen.
-  routing::VersionRule versions_;
+  routing::VersionConstraint versions_;
   std::vector<core::InstanceId> tried_;
   /// Weights of the stream that the caller is being sent.
   std::optional<std::uint64_t> stream_version_;
--- a/packages/daemon/src/daemon/direct/endpoint_list.cpp
+++ b/packages/daemon/src/daemon/direct/endpoint_list.cpp
@@ -20,15 +20,15 @@
 /// The order of failure domains in reading; any fixed text.
 constexpr std::string_view kReadOrder = "read-list";
 
-membership::ReadDutySettings DutySettings(const EndpointListSettings& list) {
+membership::ReaderRoleSettings DutySettings(const EndpointListSettings& list) {
   const auto often = list.often_;
-  membership::ReadDutySettings settings;
+  membership::ReaderRoleSettings settings;
   settings.reader_interval_ = often;
   settings.max_age_ =
       core::FromMs(core::ToMs(list.leave_bound_) * kOldestShare);
   settings.takeover_timeout_ = often + often / 2;
   settings.rank_delay_ = often / 4;
-  settings.seldom_ = std::max(settings.seldom_, often);
+  settings.standby_interval_ = std::max(settings.standby_interval_, often);
   return settings;
 }
 
@@ -68,9 +68,9 @@
   const auto now = loop_.Now();
   const auto before = endpoints_.Rows();
   outage_.OnListReceived(published.asked_at_, now);
-  const bool complete = !outage_.MayHaveLapsed(now);
-  endpoints_.TakeList(published.endpoints_, published.revision_, complete, now,
-                      published.asked_at_);
+  const bool complete = !outage_.LeasesMayHaveExpired(now);
+  endpoints_.ApplyList(published.endpoints_, published.revision_, complete, now,
+                       published.asked_at_);
   endpoints_.ConfirmAsOf(published.asked_at_);
   const auto after = endpoints_.Rows();
   if (before != after) {
@@ -137,7 +137,7 @@
                             const ListMessage& message,
                             core::TimePoint sent_at) {
   if (message.tried_) {
-    duty_.OnTried(loop_.Now());
+    duty_.OnPeerReadFailed(loop_.Now());
     outage_.OnReadFailed();
     return;
   }
@@ -145,8 +145,9 @@
   auto change = ToChange(message, sent_at);
   // Whoever started during an outage does not know of it.
   outage_.OnListReceived(change.as_of_, loop_.Now());
-  change.complete_ = change.complete_ && !outage_.MayHaveLapsed(loop_.Now());
-  if (!endpoints_.TakeChange(change, loop_.Now())) {
+  change.complete_ =
+      change.complete_ && !outage_.LeasesMayHaveExpired(loop_.Now());
+  if (!endpoints_.ApplyChange(change, loop_.Now())) {
     // What was told before was lost.
     hooks_.read_();
     return;
@@ -197,7 +198,7 @@
   }
   // One that came back is in the next list that is read.
   for (const auto& life : departed.gone_) {
-    endpoints_.MarkGone(ToLife(life));
+    endpoints_.MarkTerminated(ToLife(life));
   }
 }
 
--- a/packages/daemon/src/daemon/direct/endpoint_list.hpp
+++ b/packages/daemon/src/daemon/direct/endpoint_list.hpp
@@ -88,7 +88,7 @@
   EndpointListSettings settings_;
   /// When a failed read was last told.
   core::TimePoint tried_told_at_;
-  membership::ReadDuty duty_;
+  membership::ReaderRole duty_;
   membership::StoreOutage outage_;
   /// Tasks that wait for a read.
   std::vector<std::function<void()>> waiting_;
--- a/packages/daemon/src/daemon/direct/mesh_messages.cpp
+++ b/packages/daemon/src/daemon/direct/mesh_messages.cpp
@@ -58,11 +58,11 @@
              : std::optional(core::StartTime(std::chrono::milliseconds(ms)));
 }
 
-LifeMessage ToMessage(const routing::EndpointLife& life) {
+LifeMessage ToMessage(const routing::EndpointIncarnation& life) {
   return {life.id_.value(), ToMs(life.started_)};
 }
 
-routing::EndpointLife ToLife(const LifeMessage& message) {
+routing::EndpointIncarnation ToLife(const LifeMessage& message) {
   return {core::InstanceId(message.id_), ToStart(message.started_ms_)};
 }
 
--- a/packages/daemon/src/daemon/direct/mesh_messages.hpp
+++ b/packages/daemon/src/daemon/direct/mesh_messages.hpp
@@ -188,8 +188,8 @@
 
 [[nodiscard]] MemberMessage ToMessage(const membership::Member& member);
 [[nodiscard]] membership::Member ToMember(const MemberMessage& message);
-[[nodiscard]] LifeMessage ToMessage(const routing::EndpointLife& life);
-[[nodiscard]] routing::EndpointLife ToLife(const LifeMessage& message);
+[[nodiscard]] LifeMessage ToMessage(const routing::EndpointIncarnation& life);
+[[nodiscard]] routing::EndpointIncarnation ToLife(const LifeMessage& message);
 /// @brief An age as it travels; any number may be told.
 [[nodiscard]] core::Duration ToAge(std::uint64_t ms);
 /// @return whole milliseconds, rounded up.
--- a/packages/daemon/src/daemon/direct/mesh_node.cpp
+++ b/packages/daemon/src/daemon/direct/mesh_node.cpp
@@ -119,7 +119,7 @@
   return Plan().local_members();
 }
 
-membership::SpreadPlan MeshNode::Plan() const {
+membership::PropagationPlan MeshNode::Plan() const {
   return {table_.self(), table_.Live()};
 }
 
@@ -201,9 +201,9 @@
   metrics_.Count("datagrams_unknown_total", {});
 }
 
-membership::MergeEnd MeshNode::Merge(const membership::Member& member) {
+membership::MergeOutcome MeshNode::Merge(const membership::Member& member) {
   const auto end = table_.Merge(member, loop_.Now());
-  if (end == membership::MergeEnd::kJoined) {
+  if (end == membership::MergeOutcome::kJoined) {
     LogMember(core::EventNumber::kMemberJoined, member);
   }
   return end;
@@ -264,14 +264,15 @@
     return;
   }
   // Newcomers ask some times: each time the one asked knows more.
-  const bool joined = Merge(sender) == membership::MergeEnd::kJoined;
+  const bool joined = Merge(sender) == membership::MergeOutcome::kJoined;
   if (IsEntry() && (joined || message.asks_)) {
     Answer(sender);
   }
   for (const auto& row : message.rows_) {
     const auto member = ToMember(row);
     const bool near = member.domain_ == self().domain_;
-    if (Merge(member) == membership::MergeEnd::kJoined && IsEntry() && near) {
+    if (Merge(member) == membership::MergeOutcome::kJoined && IsEntry() &&
+        near) {
       // It may not know this process yet: by rumour alone members that started
       // together knew each other only after several rounds.
       SendTo(TrafficKind::kGossip, {member}, Envelope());
@@ -344,7 +345,8 @@
   auto message = Envelope();
   message.departed_ = departed;
   SendTo(TrafficKind::kDeparted,
-         Plan().AnnounceTargets(membership::DelegateFanout::kSure), message);
+         Plan().AnnounceTargets(membership::DelegateFanout::kTwoDelegates),
+         message);
 }
 
 void MeshNode::TellList(const ListMessage& list) {
@@ -352,7 +354,7 @@
   message.list_ = list;
   told_domain_at_ = loop_.Now();
   SendTo(TrafficKind::kList,
-         Plan().AnnounceTargets(membership::DelegateFanout::kRepeated),
+         Plan().AnnounceTargets(membership::DelegateFanout::kOneDelegate),
          message);
 }
 
@@ -360,7 +362,8 @@
   auto message = Envelope();
   message.crashes_ = records;
   SendTo(TrafficKind::kCrashes,
-         Plan().AnnounceTargets(membership::DelegateFanout::kSure), message);
+         Plan().AnnounceTargets(membership::DelegateFanout::kTwoDelegates),
+         message);
 }
 
 void MeshNode::ForwardCrashes(const core::FailureDomainId& from,
@@ -383,7 +386,7 @@
 
 void MeshNode::TellNews() {
   told_domain_at_ = loop_.Now();
-  TellNews(Plan().AnnounceTargets(membership::DelegateFanout::kSure));
+  TellNews(Plan().AnnounceTargets(membership::DelegateFanout::kTwoDelegates));
 }
 
 void MeshNode::SendHeld(const std::string& agent,
--- a/packages/daemon/src/daemon/direct/mesh_node.hpp
+++ b/packages/daemon/src/daemon/direct/mesh_node.hpp
@@ -153,7 +153,7 @@
   /// @brief A delegate hands on what came from another failure domain.
   void PassOn(const MeshMessage& message, const membership::Member& sender,
               core::Duration delay);
-  membership::MergeEnd Merge(const membership::Member& member);
+  membership::MergeOutcome Merge(const membership::Member& member);
   void LogMember(core::EventNumber event, const membership::Member& member);
   void Answer(const membership::Member& asker);
   void Send(TrafficKind kind, const std::string& address,
@@ -163,7 +163,7 @@
   [[nodiscard]] MeshMessage Envelope() const;
   /// @brief An envelope with some records of crashes.
   [[nodiscard]] MeshMessage GossipEnvelope(std::size_t crash_records) const;
-  [[nodiscard]] membership::SpreadPlan Plan() const;
+  [[nodiscard]] membership::PropagationPlan Plan() const;
   [[nodiscard]] bool IsEntry() const noexcept {
     return self().kind_ == membership::MemberKind::kEntry;
   }
--- a/packages/daemon/src/daemon/direct/older_weights.hpp
+++ b/packages/daemon/src/daemon/direct/older_weights.hpp
@@ -45,7 +45,7 @@
 
  private:
   std::optional<WeightsManifest> manifest_;
-  swarm::OlderPieces pieces_;
+  swarm::OlderVersionChunks pieces_;
 };
 
 /// @brief Whether a peer announced that it can give a manifest.
--- a/packages/daemon/src/daemon/direct/quarantine_keeper.cpp
+++ b/packages/daemon/src/daemon/direct/quarantine_keeper.cpp
@@ -106,7 +106,7 @@
       .crashed_at_ = now,
       .elapsed_ = last->elapsed_,
       .cleared_ = !evidence_.ProbePending(request)};
-  return quarantine_.BlamesAfter(request, crash) <
+  return quarantine_.AttributedCrashesWith(request, crash) <
          quarantine_.suspected_after();
 }
 
@@ -141,12 +141,12 @@
     return;
   }
   switch (evidence_.OnLost(attempt, life, endpoint.address_, now)) {
-    case routing::LossVerdict::kProbe:
+    case routing::LossAction::kProbe:
       Probe(endpoint, kProbes);
       return;
-    case routing::LossVerdict::kWait:
+    case routing::LossAction::kWait:
       return;
-    case routing::LossVerdict::kCrashed:
+    case routing::LossAction::kCrashed:
       AddCrash(attempt, life, now);
   }
 }
@@ -189,7 +189,7 @@
   }
 }
 
-void QuarantineKeeper::OnCrashed(const routing::EndpointLife& endpoint,
+void QuarantineKeeper::OnCrashed(const routing::EndpointIncarnation& endpoint,
                                  const std::string& evidence) {
   const auto crash = evidence_.OnCrashed(endpoint);
   if (crash.attempts_.empty()) {
@@ -208,7 +208,7 @@
 }
 
 void QuarantineKeeper::AddCrash(const routing::LostAttempt& attempt,
-                                const routing::EndpointLife& endpoint,
+                                const routing::EndpointIncarnation& endpoint,
                                 core::TimePoint at) {
   const auto& request = attempt.request_;
   const auto before = quarantine_.StandingOf(request, loop_.Now());
@@ -354,7 +354,7 @@
     const bool trial = message.trial_ms_ >= 0;
     if (trial) {
       const auto length = ToAge(static_cast<std::uint64_t>(message.trial_ms_));
-      quarantine_.SetTrial(
+      quarantine_.SetTrialUntil(
           record->request_,
           sent_at + std::min<core::Duration>(length, kLongestTrial));
     }
--- a/packages/daemon/src/daemon/direct/quarantine_keeper.hpp
+++ b/packages/daemon/src/daemon/direct/quarantine_keeper.hpp
@@ -87,11 +87,12 @@
   void Probe(const routing::EndpointRow& endpoint, unsigned tries);
   void OnProbed(const routing::EndpointRow& endpoint, bool refused,
                 unsigned tries);
-  void OnCrashed(const routing::EndpointLife& endpoint,
+  void OnCrashed(const routing::EndpointIncarnation& endpoint,
                  const std::string& evidence);
   void CheckReplaced();
   void AddCrash(const routing::LostAttempt& attempt,
-                const routing::EndpointLife& endpoint, core::TimePoint at);
+                const routing::EndpointIncarnation& endpoint,
+                core::TimePoint at);
   /// @brief Publishes and logs that a request is blamed for less.
   /// @param before the request's standing before.
   void OnCleared(const routing::RequestDigest& request,
@@ -116,7 +117,7 @@
   MeshNode& mesh_;
   EventLog& log_;
   Metrics& metrics_;
-  routing::CrashEvidence evidence_;
+  routing::CrashDetector evidence_;
   routing::RequestQuarantine quarantine_;
   Token last_token_ = 0;
   std::map<Token, UnderWay> under_way_;
--- a/packages/daemon/src/daemon/direct/rules_exchange.cpp
+++ b/packages/daemon/src/daemon/direct/rules_exchange.cpp
@@ -84,7 +84,7 @@
   const auto packed =
       base == nullptr
           ? document.text_
-          : PackDelta(config::DeltaOf(base->document_.text_, document.text_));
+          : PackDelta(config::MakeDelta(base->document_.text_, document.text_));
   const RulesAnswer answer{document.version_,
                            document.revision_,
                            ToBytes(newest),
--- a/packages/daemon/src/daemon/direct/rules_keeper.cpp
+++ b/packages/daemon/src/daemon/direct/rules_keeper.cpp
@@ -39,7 +39,7 @@
       tick_(loop) {}
 
 void RulesKeeper::Start() {
-  duty_.OnFirstRead(loop_.Now());
+  duty_.OnFirstReadStarted(loop_.Now());
   for (const auto section : kWatched) {
     reader_.Watch(section);
   }
@@ -61,8 +61,8 @@
     return;
   }
   version_ = rules.version_;
-  duty_.OnDocument(document.text_.size());
-  catch_up_.OnHave(version_, loop_.Now());
+  duty_.OnDocumentReceived(document.text_.size());
+  catch_up_.OnApplied(version_, loop_.Now());
   if (source != kStoreSource) {
     reader_.Skip(Section::kRules, document.revision_);
   }
--- a/packages/daemon/src/daemon/direct/rules_keeper.hpp
+++ b/packages/daemon/src/daemon/direct/rules_keeper.hpp
@@ -65,7 +65,7 @@
   MeshNode& mesh_;
   EventLog& log_;
   Handler handler_;
-  membership::WatchDuty duty_;
+  membership::WatcherRole duty_;
   config::RulesPeerSelector catch_up_;
   RulesExchange exchange_;
   std::uint64_t version_ = 0;
--- a/packages/daemon/src/daemon/direct/weights_keeper.cpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper.cpp
@@ -43,12 +43,12 @@
 swarm::PlannerSettings PlannerSettingsOf() {
   swarm::PlannerSettings planner;
   planner.origin_copies_ = 1;
-  planner.per_peer_ = kPerPeer;
-  planner.origin_in_flight_ = kOriginInFlight;
-  planner.draw_window_ = kDrawWindow;
-  planner.draw_silence_ = kDrawSilence;
+  planner.max_requests_per_peer_ = kPerPeer;
+  planner.max_origin_requests_ = kOriginInFlight;
+  planner.origin_window_ = kDrawWindow;
+  planner.origin_takeover_timeout_ = kDrawSilence;
   planner.chunk_timeout_ = kPieceTimeout;
-  planner.import_silence_ = kImportSilence;
+  planner.import_takeover_timeout_ = kImportSilence;
   return planner;
 }
 
--- a/packages/daemon/src/daemon/direct/weights_keeper.hpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper.hpp
@@ -104,7 +104,7 @@
   void TakeManifest(const WeightsManifest& manifest);
   void ReadStaged(std::size_t piece);
   void Pump();
-  void Fetch(const swarm::FetchOrder& order);
+  void Fetch(const swarm::FetchRequest& order);
   /// @brief The source answered, or did not.
   void OnSource(bool answered, const std::string& what);
   void OnPiece(std::size_t piece, const std::optional<std::string>& bytes,
@@ -121,7 +121,7 @@
   [[nodiscard]] std::vector<swarm::SwarmMember> ManifestHolders() const;
   void AskPeerManifest(const core::InstanceId& peer);
   void AskOriginManifest();
-  void FetchFromPeer(const swarm::FetchOrder& order);
+  void FetchFromPeer(const swarm::FetchRequest& order);
   void FetchFromOrigin(std::size_t piece);
   void Verify();
   void VerifyNext(std::size_t piece);
@@ -152,7 +152,7 @@
   /// What is fetched, or was last: `wanted_`, or older weights first.
   NamedWeights goal_;
   OlderWeights older_;
-  swarm::SourceProgress progress_;
+  swarm::OriginProgress progress_;
   core::TimePoint considered_at_;
   /// The engine refused older weights, or they took too long; until it
   /// restarts.
--- a/packages/daemon/src/daemon/direct/weights_keeper_fetch.cpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper_fetch.cpp
@@ -70,7 +70,7 @@
       });
 }
 
-void WeightsKeeper::FetchFromPeer(const swarm::FetchOrder& order) {
+void WeightsKeeper::FetchFromPeer(const swarm::FetchRequest& order) {
   const PieceMessage ask{model_, goal_.version_,
                          static_cast<std::uint32_t>(order.chunk_)};
   peers_.AskPiece(
@@ -202,7 +202,7 @@
     return;
   }
   const auto now = process_.loop().Now();
-  for (const auto& late : planner_.TakeTimedOut(now)) {
+  for (const auto& late : planner_.ExpireRequests(now)) {
     peers_.CancelPiece(late.chunk_);
     process_.log().Write(
         core::EventNumber::kChunkFailed,
@@ -211,10 +211,10 @@
          {"reason", "timeout"}});
   }
   planner_.SetMembers(Lacking());
-  planner_.SetInFlight(window_.size());
+  planner_.SetMaxPeerRequests(window_.size());
   // Not knowing the others, each would draw everything.
-  planner_.SetOriginOpen(source_.IsReady(now) && peers_.knows_agents() &&
-                         !older_first());
+  planner_.SetOriginAvailable(source_.IsReady(now) && peers_.knows_agents() &&
+                              !older_first());
   for (const auto& order : planner_.Next(now)) {
     Fetch(order);
   }
@@ -222,16 +222,16 @@
     process_.log().Write(
         core::EventNumber::kFetchFinished,
         {{"version", std::to_string(goal_.version_)},
-         {"elected_draws",
-          std::to_string(planner_.origin_fetches(swarm::DrawCause::kAssigned))},
+         {"elected_draws", std::to_string(planner_.origin_fetches(
+                               swarm::OriginFetchCause::kAssigned))},
          {"silence_draws", std::to_string(planner_.origin_fetches(
-                               swarm::DrawCause::kTakeover))}});
+                               swarm::OriginFetchCause::kTakeover))}});
     turns_.StartRollout(goal_.version_, now);
     SetPhase(Phase::kStaged);
   }
 }
 
-void WeightsKeeper::Fetch(const swarm::FetchOrder& order) {
+void WeightsKeeper::Fetch(const swarm::FetchRequest& order) {
   if (order.peer_) {
     FetchFromPeer(order);
   } else {
--- a/packages/daemon/src/daemon/direct/weights_keeper_older.cpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper_older.cpp
@@ -99,19 +99,19 @@
       seen.Add(piece);
     }
   }
-  progress_.OnSeen(seen.count(), now);
+  progress_.OnAvailable(seen.count(), now);
   const auto older =
       OfferedBelow(peers_.peers(), wanted_.version_, usual_pieces_);
   const auto end = older ? EndOf(*older) : std::nullopt;
   if (!end || !progress_.HasRate(now)) {
     return;
   }
-  rollout::StartForecast forecast;
-  forecast.newest_out_ = progress_.TimeLeft(now);
-  forecast.newest_link_ = LinkTime(usual_pieces_ - held_.count());
-  forecast.older_link_ = LinkTime(usual_pieces_);
-  forecast.older_end_ = *end - now;
-  if (!rollout::OlderFirst(forecast)) {
+  rollout::FirstFetchForecast forecast;
+  forecast.newest_available_ = progress_.TimeLeft(now);
+  forecast.newest_transfer_ = LinkTime(usual_pieces_ - held_.count());
+  forecast.older_transfer_ = LinkTime(usual_pieces_);
+  forecast.older_expiry_ = *end - now;
+  if (!rollout::FetchOlderFirst(forecast)) {
     return;
   }
   process_.log().Write(
@@ -120,7 +120,7 @@
        {"newest", std::to_string(wanted_.version_)},
        {"newest_pieces_out", std::to_string(seen.count())},
        {"usable_ms", std::to_string(std::chrono::duration_cast<milliseconds>(
-                                        forecast.older_end_)
+                                        forecast.older_expiry_)
                                         .count())}});
   BeginWith({model_, *older});
 }
--- a/packages/daemon/src/daemon/direct/weights_keeper_switch.cpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper_switch.cpp
@@ -135,7 +135,7 @@
   }
   turns_.SetMembers(std::move(near));
   const bool urgent = Urgent(now);
-  if (serving_ != 0 && !urgent && !turns_.MayGo(now)) {
+  if (serving_ != 0 && !urgent && !turns_.MayDrain(now)) {
     return;
   }
   process_.log().Write(core::EventNumber::kTurnTaken,
--- a/packages/daemon/src/daemon/entry.cpp
+++ b/packages/daemon/src/daemon/entry.cpp
@@ -185,11 +185,11 @@
   exchange->OnAbort([this, number, &queue] {
     queue.Remove(number);
     if (waiting_.erase(number) != 0) {
-      process_.stop().OnWorkEnded();
+      process_.stop().OnWorkFinished();
     }
   });
   waiting_.emplace(number, Waiting{exchange, std::move(request)});
-  process_.stop().OnWorkTaken();
+  process_.stop().OnWorkAccepted();
   StartWaiting();
 }
 
@@ -233,9 +233,9 @@
           const auto end = process_.loop().Now();
           queue.Release(end);
           if (outcome == routing::Outcome::kAnswered) {
-            queue.OnServed(end - now);
+            queue.OnServiceTime(end - now);
           }
-          process_.stop().OnWorkEnded();
+          process_.stop().OnWorkFinished();
           process_.loop().Post([this] { StartWaiting(); });
         });
     runner->Start();
@@ -247,7 +247,7 @@
   for (auto& [role, queue] : queues_) {
     for (const auto& expired : queue.TakeExpired(now)) {
       auto held = waiting_.extract(expired.request_);
-      process_.stop().OnWorkEnded();
+      process_.stop().OnWorkFinished();
       Refuse(*held.mapped().exchange_, kServiceUnavailable,
              core::EventNumber::kRequestRefused,
              "it could no longer be answered within its deadline",
--- a/packages/daemon/src/daemon/process_base.hpp
+++ b/packages/daemon/src/daemon/process_base.hpp
@@ -33,7 +33,7 @@
   [[nodiscard]] Metrics& metrics() noexcept { return metrics_; }
   [[nodiscard]] HttpClient& http() noexcept { return http_; }
   [[nodiscard]] Tracer& tracer() noexcept { return tracer_; }
-  [[nodiscard]] membership::PlannedStop& stop() noexcept { return stop_; }
+  [[nodiscard]] membership::GracefulShutdown& stop() noexcept { return stop_; }
   [[nodiscard]] bool stopping() const noexcept { return stop_.draining(); }
 
   /// @brief Runs until a planned stop is finished or a second signal comes.
@@ -70,7 +70,7 @@
   std::function<void()> end_accepting_;
   std::function<void()> on_reload_;
   std::function<void()> on_resume_;
-  membership::PlannedStop stop_;
+  membership::GracefulShutdown stop_;
 };
 
 }  // namespace chalkwell::daemon
--- a/packages/daemon/src/daemon/request_runner.cpp
+++ b/packages/daemon/src/daemon/request_runner.cpp
@@ -268,7 +268,7 @@
   }
   if (stream) {
     ForwardEvents(attempt, frame.data_);
-  } else if (tracker_.TakeAnswerBytes(attempt)) {
+  } else if (tracker_.AcceptResponseBytes(attempt)) {
     StartStreaming();
     exchange_->Write(frame.data_);
   }
@@ -289,7 +289,7 @@
        at = whole.find(kEventEnd, at + kEventEnd.size())) {
     ++events;
   }
-  if (!tracker_.TakeAnswerBytes(attempt, events)) {
+  if (!tracker_.AcceptResponseBytes(attempt, events)) {
     return;
   }
   part_.erase(0, whole.size());
@@ -319,7 +319,7 @@
 /// Whether the request would go on if its attempt ended now.
 bool RequestRunner::CanGoOnElsewhere() {
   const auto kind = tracker_.forwarded() ? routing::RetryKind::kResume
-                                         : routing::RetryKind::kFresh;
+                                         : routing::RetryKind::kRestart;
   return tracker_.attempt() < request_.max_attempts_ &&
          services_.budget_.Available(kind, services_.loop_.Now()) >= 1 &&
          ChooseEndpoint(tracker_.forwarded()).has_value();
--- a/packages/daemon/src/daemon/run_handler.cpp
+++ b/packages/daemon/src/daemon/run_handler.cpp
@@ -118,11 +118,11 @@
     return false;
   }
   const auto verdict = guard_.Use(*ticket);
-  if (verdict == routing::TicketVerdict::kAccepted) {
+  if (verdict == routing::TicketStatus::kAccepted) {
     return true;
   }
-  if (verdict == routing::TicketVerdict::kAnswerHeld) {
-    call->Respond(200, *guard_.FindAnswer(*ticket));
+  if (verdict == routing::TicketStatus::kResponseCached) {
+    call->Respond(200, *guard_.FindCachedResponse(*ticket));
     return false;
   }
   process_.log().Write(
@@ -130,7 +130,7 @@
       {{"request", message.request_}, {"ticket", message.ticket_}});
   call->Respond(
       200, Pack(FrameOf(RunFrameKind::kUnknown,
-                        verdict == routing::TicketVerdict::kUsed
+                        verdict == routing::TicketStatus::kUsed
                             ? "this idempotency key was used before"
                             : "this idempotency key is of a process that is "
                               "gone, or too old")));
@@ -155,9 +155,9 @@
   const auto number = ++last_number_;
   const auto verdict = slots_.Offer(number, core::InstanceId(message.sender_),
                                     process_.loop().Now());
-  if (verdict == routing::SlotVerdict::kStart) {
+  if (verdict == routing::SlotDecision::kStart) {
     Forward(attempt);
-  } else if (verdict == routing::SlotVerdict::kWait) {
+  } else if (verdict == routing::SlotDecision::kWait) {
     Wait(number, attempt);
   } else {
     Refuse(call, "endpoint is full");
@@ -218,7 +218,7 @@
 
 void RunHandler::Forward(const AttemptPtr& attempt) {
   const auto& message = attempt->message_;
-  process_.stop().OnWorkTaken();
+  process_.stop().OnWorkAccepted();
   attempt->span_ =
       process_.tracer().Begin("agent " + message.path_, message.traceparent_);
   attempt->call_->OnClosed([this, attempt] {
@@ -330,7 +330,7 @@
   const bool complete =
       static_cast<RunFrameKind>(frame.kind_) == RunFrameKind::kComplete;
   if (complete && attempt->ticket_ && attempt->kept_.size() < kMaxKeptAnswer) {
-    guard_.KeepAnswer(*attempt->ticket_, attempt->kept_ + packed);
+    guard_.CacheResponse(*attempt->ticket_, attempt->kept_ + packed);
   }
   attempt->call_->Write(packed);
   attempt->call_->End();
@@ -340,7 +340,7 @@
   }
   process_.tracer().End(attempt->span_, complete);
   process_.loop().Post([attempt] { attempt->deadline_.reset(); });
-  process_.stop().OnWorkEnded();
+  process_.stop().OnWorkFinished();
   StartWaiting();
   if (slots_.in_use() == 0) {
     on_idle_();
--- a/packages/daemon/src/daemon/swarm_members.cpp
+++ b/packages/daemon/src/daemon/swarm_members.cpp
@@ -38,8 +38,8 @@
   std::set<core::InstanceId> chosen;
   const auto choose = [&](const std::vector<core::InstanceId>& from,
                           const char* key) {
-    for (auto& id : membership::FirstChoices(process.id().value(), from,
-                                             settings.Number("weights", key))) {
+    for (auto& id : membership::HighestRanked(
+             process.id().value(), from, settings.Number("weights", key))) {
       chosen.insert(std::move(id));
     }
   };
--- a/packages/daemon/src/daemon/weight_fetcher.cpp
+++ b/packages/daemon/src/daemon/weight_fetcher.cpp
@@ -65,9 +65,10 @@
   const auto& settings = process_.settings();
   return {
       .origin_copies_ = settings.Number("weights", "origin_copies"),
-      .per_peer_ = settings.Number("weights", "per_peer"),
+      .max_requests_per_peer_ = settings.Number("weights", "per_peer"),
       .max_peer_requests_ = settings.Number("weights", "in_flight"),
-      .draw_silence_ = settings.Milliseconds("weights", "draw_silence_ms"),
+      .origin_takeover_timeout_ =
+          settings.Milliseconds("weights", "draw_silence_ms"),
       .chunk_timeout_ = settings.Milliseconds("weights", "chunk_timeout_ms")};
 }
 
@@ -166,7 +167,7 @@
   }
   const auto now = process_.loop().Now();
   const std::size_t shift = job->has_manifest_ ? 1 : 0;
-  for (const auto& late : job->planner_->TakeTimedOut(now)) {
+  for (const auto& late : job->planner_->ExpireRequests(now)) {
     const auto index = late.chunk_ + shift;
     if (auto call = job->calls_.extract(index); !call.empty()) {
       call.mapped()->Cancel();
@@ -187,7 +188,8 @@
   }
 }
 
-void WeightFetcher::Request(const JobPtr& job, const swarm::FetchOrder& order) {
+void WeightFetcher::Request(const JobPtr& job,
+                            const swarm::FetchRequest& order) {
   const auto size =
       order.chunk_ == kManifestIndex ? 0 : SizeOf(*job, order.chunk_);
   (void)download_.Reserve(size, process_.loop().Now());
--- a/packages/daemon/src/daemon/weight_fetcher.hpp
+++ b/packages/daemon/src/daemon/weight_fetcher.hpp
@@ -73,7 +73,7 @@
   using JobPtr = std::shared_ptr<Job>;
 
   void Pump();
-  void Request(const JobPtr& job, const swarm::FetchOrder& order);
+  void Request(const JobPtr& job, const swarm::FetchRequest& order);
   void Draw(const JobPtr& job, std::size_t index, bool from_store);
   void AskPeer(const JobPtr& job, std::size_t index,
                const core::InstanceId& peer);
--- a/packages/emulator/src/emulator/engine.cpp
+++ b/packages/emulator/src/emulator/engine.cpp
@@ -54,7 +54,7 @@
 
 core::Duration Engine::Pass(std::vector<std::uint64_t>& firsts,
                             std::vector<std::uint64_t>& ends) {
-  const double stride = profile_.stride_;
+  const double stride = profile_.steps_per_pass_;
   double may_read = kReadChunk;
   double read = 0;
   for (auto& running : running_) {
@@ -75,8 +75,9 @@
   }
   const auto steps =
       routing::StepTime(profile_, static_cast<std::uint32_t>(running_.size()));
-  const std::chrono::duration<double> reading(read / profile_.read_per_second_);
-  return steps * profile_.stride_ +
+  const std::chrono::duration<double> reading(
+      read / profile_.prefill_tokens_per_second_);
+  return steps * profile_.steps_per_pass_ +
          std::chrono::duration_cast<core::Duration>(reading);
 }
 
--- a/packages/emulator/src/emulator/fleet.cpp
+++ b/packages/emulator/src/emulator/fleet.cpp
@@ -26,7 +26,7 @@
                                                             seed)) {}
 
   std::unique_ptr<routing::EndpointTable> endpoints_;
-  routing::RequestAge ages_;
+  routing::RequestAgeEstimator ages_;
 };
 
 /// @brief One caller's request through its tries.
@@ -124,7 +124,7 @@
 
   const FleetSpec& spec_;
   std::mt19937_64 random_;
-  routing::RetrySpread retry_spread_;
+  routing::RetryJitter retry_spread_;
   std::deque<Engine> engines_;
   std::vector<Entry> entries_;
   std::map<std::uint64_t, Call> calls_;
@@ -154,7 +154,7 @@
       settings.entry_ = core::InstanceId("entry-" + std::to_string(entry));
     }
     entries_.emplace_back(std::move(settings), random_());
-    entries_.back().endpoints_->TakeList(rows, 1, true, now_);
+    entries_.back().endpoints_->ApplyList(rows, 1, true, now_);
   }
 }
 
@@ -316,7 +316,7 @@
   const auto report = engines_[engine].Report(now_);
   At(now_ + spec_.report_delay_, [this, engine, report] {
     for (auto& entry : entries_) {
-      entry.endpoints_->TakeReport(IdOf(engine).value() + ":1", report, now_);
+      entry.endpoints_->ApplyReport(IdOf(engine).value() + ":1", report, now_);
     }
   });
 }
@@ -378,7 +378,7 @@
   for (const auto& kind : spec.kinds_) {
     requests += kind.requests_per_second_;
     engine_seconds += kind.requests_per_second_ *
-                      (kind.prompt_tokens_ / engine.read_per_second_ +
+                      (kind.prompt_tokens_ / engine.prefill_tokens_per_second_ +
                        kind.answer_tokens_ * step.count() / engine.slots_);
   }
   return static_cast<double>(spec.engines_) * requests / engine_seconds;
--- a/tests/config/catch_up_test.cpp
+++ b/tests/config/catch_up_test.cpp
@@ -21,7 +21,7 @@
     core::Duration after_;
     bool asked_;
   };
-  const CatchUpSettings settings;
+  const RulesPeerSelectorSettings settings;
   const auto row =
       GENERATE_COPY(Row{"a neighbour, at once", kNear, false, 0ms, true},
                     Row{"a neighbour, by one whose watch may bring it", kNear,
@@ -36,7 +36,7 @@
                         settings.watch_grace_, true});
   CAPTURE(row.name_);
   RulesPeerSelector catch_up(kSelf);
-  catch_up.OnHave(3, kStart);
+  catch_up.OnApplied(3, kStart);
   catch_up.OnAnnounced(row.source_, 4, kStart);
   CHECK(catch_up.Next(row.watches_, kStart + row.after_).has_value() ==
         row.asked_);
@@ -44,12 +44,12 @@
 
 TEST_CASE("nobody is asked for what is known", "[config]") {
   RulesPeerSelector catch_up(kSelf);
-  catch_up.OnHave(4, kStart);
+  catch_up.OnApplied(4, kStart);
   catch_up.OnAnnounced(kNear, 4, kStart);
   CHECK_FALSE(catch_up.Next(false, kStart + 1s));
   CHECK_FALSE(catch_up.IsOverdue(kStart + 1h));
   catch_up.OnAnnounced(kNear, 5, kStart);
-  catch_up.OnHave(5, kStart);
+  catch_up.OnApplied(5, kStart);
   CHECK_FALSE(catch_up.Next(false, kStart + 1s));
   CHECK_FALSE(catch_up.IsOverdue(kStart + 1h));
 }
@@ -61,13 +61,13 @@
   CHECK(catch_up.Next(true, kStart + 1s) == kNear.id_);
   CHECK_FALSE(catch_up.Next(true, kStart + 1s));
   catch_up.OnFetchEnded(kNear.id_, true, kStart + 1s);
-  catch_up.OnHave(4, kStart + 1s);
+  catch_up.OnApplied(4, kStart + 1s);
   CHECK(catch_up.Next(true, kStart + 2s) == kFar.id_);
 }
 
 TEST_CASE("one that fails or is silent is left for another", "[config]") {
   const bool silent = GENERATE(false, true);
-  const CatchUpSettings settings;
+  const RulesPeerSelectorSettings settings;
   RulesPeerSelector catch_up(kSelf);
   catch_up.OnAnnounced(kNear, 4, kStart);
   catch_up.OnAnnounced(kFar, 4, kStart);
@@ -84,7 +84,7 @@
 }
 
 TEST_CASE("the publisher is asked when nothing else helped", "[config]") {
-  const CatchUpSettings settings;
+  const RulesPeerSelectorSettings settings;
   RulesPeerSelector catch_up(kSelf);
   catch_up.OnAnnounced(kNear, 4, kStart);
   catch_up.OnPeerLost(kNear.id_);
@@ -93,7 +93,7 @@
   CHECK(catch_up.IsOverdue(kStart + settings.patience_));
   // In a series of changes each one that arrives is progress.
   catch_up.OnAnnounced(kNear, 9, kStart + settings.patience_);
-  catch_up.OnHave(8, kStart + settings.patience_);
+  catch_up.OnApplied(8, kStart + settings.patience_);
   CHECK_FALSE(catch_up.IsOverdue(kStart + settings.patience_));
 }
 
--- a/tests/config/document_delta_test.cpp
+++ b/tests/config/document_delta_test.cpp
@@ -32,7 +32,7 @@
 TEST_CASE("a delta makes the text that it was made for", "[config]") {
   rc::prop("for any two texts", [](const std::string& base,
                                    const std::string& target) {
-    RC_ASSERT(ApplyDelta(base, DeltaOf(base, target), kAnyLength) == target);
+    RC_ASSERT(ApplyDelta(base, MakeDelta(base, target), kAnyLength) == target);
   });
   rc::prop("for rows that are cut out of one another", [] {
     const auto text = [] {
@@ -46,7 +46,7 @@
     };
     const auto base = text();
     const auto target = text();
-    RC_ASSERT(ApplyDelta(base, DeltaOf(base, target), kAnyLength) == target);
+    RC_ASSERT(ApplyDelta(base, MakeDelta(base, target), kAnyLength) == target);
   });
 }
 
@@ -65,7 +65,7 @@
                Row{"without rows", std::string(9000, 'a'),
                    std::string(9000, 'a') + "b", 1100});
   CAPTURE(row.name_);
-  const auto delta = DeltaOf(row.base_, row.target_);
+  const auto delta = MakeDelta(row.base_, row.target_);
   CHECK(ApplyDelta(row.base_, delta, kAnyLength) == row.target_);
   CHECK(NewBytes(delta) <= row.most_);
   CHECK(delta.size() < 10);
--- a/tests/config/rules_spread_test.cpp
+++ b/tests/config/rules_spread_test.cpp
@@ -35,7 +35,7 @@
 struct Entry {
   core::InstanceId id_;
   std::size_t region_ = 0;
-  std::unique_ptr<membership::WatchDuty> duty_;
+  std::unique_ptr<membership::WatcherRole> duty_;
   std::unique_ptr<RulesPeerSelector> catch_up_;
   std::uint64_t version_ = 1;
   std::vector<Transfer> transfers_;
@@ -61,7 +61,7 @@
         ids.emplace_back("r" + std::to_string(region) + "-" +
                          std::to_string(i));
       }
-      members_.push_back(membership::WatchDuty::FirstInRank(ids, ids.size()));
+      members_.push_back(membership::WatcherRole::FirstInRank(ids, ids.size()));
       for (const auto& id : members_.back()) {
         Add(id, region);
       }
@@ -99,12 +99,12 @@
     Entry entry;
     entry.id_ = id;
     entry.region_ = region;
-    entry.duty_ = std::make_unique<membership::WatchDuty>(id);
+    entry.duty_ = std::make_unique<membership::WatcherRole>(id);
     entry.duty_->SetMembers(members_[region]);
-    entry.duty_->OnDocument(static_cast<std::size_t>(bytes_));
+    entry.duty_->OnDocumentReceived(static_cast<std::size_t>(bytes_));
     entry.duty_->OnWatcherAnnounced(members_[region].front(), now_);
     entry.catch_up_ = std::make_unique<RulesPeerSelector>(id);
-    entry.catch_up_->OnHave(1, now_);
+    entry.catch_up_->OnApplied(1, now_);
     entries_.push_back(std::move(entry));
   }
 
@@ -162,7 +162,7 @@
       return;
     }
     const bool watches = entry.duty_->IsWatcher(now_);
-    entry.catch_up_->OnHave(kChange, now_);
+    entry.catch_up_->OnApplied(kChange, now_);
     if (policy_ == Policy::kHandOn) {
       // What is still on its way is known.
       entry.transfers_.clear();
--- a/tests/config/traffic_rules_test.cpp
+++ b/tests/config/traffic_rules_test.cpp
@@ -74,8 +74,8 @@
   constexpr int kRequests = 4000;
   for (int i = 0; i < kRequests; ++i) {
     const auto id = std::to_string(i);
-    const auto& service = TrafficTable::ServiceFor(route, id);
-    CHECK(&service == &TrafficTable::ServiceFor(route, id));
+    const auto& service = TrafficTable::SelectService(route, id);
+    CHECK(&service == &TrafficTable::SelectService(route, id));
     to_y += service == "y" ? 1 : 0;
   }
   CHECK(to_y > kRequests / 10 - kRequests / 50);
--- a/tests/emulator/outage_test.cpp
+++ b/tests/emulator/outage_test.cpp
@@ -15,12 +15,12 @@
   FleetSpec spec;
   spec.engine_.slots_ = 16;
   spec.engine_.step_time_ = 6730us;
-  spec.engine_.step_per_request_ = 22us;
-  spec.engine_.step_per_kilotoken_ = 7us;
-  spec.engine_.read_per_second_ = 30'600;
-  spec.engine_.stride_ = 6;
-  spec.engine_.usual_prompt_ = 930;
-  spec.engine_.usual_answer_ = 122;
+  spec.engine_.step_time_per_request_ = 22us;
+  spec.engine_.step_time_per_kilotoken_ = 7us;
+  spec.engine_.prefill_tokens_per_second_ = 30'600;
+  spec.engine_.steps_per_pass_ = 6;
+  spec.engine_.mean_prompt_tokens_ = 930;
+  spec.engine_.mean_output_tokens_ = 122;
   spec.kinds_ = {{"draft", 75, 1290, 144, 0.9, 400ms, 6s},
                  {"explain", 53, 787, 144, 0.8, 400ms, 6s},
                  {"short", 62, 607, 72, 0.9, 300ms, 6s}};
--- a/tests/emulator/overload_test.cpp
+++ b/tests/emulator/overload_test.cpp
@@ -15,12 +15,12 @@
   FleetSpec spec;
   spec.engine_.slots_ = 12;
   spec.engine_.step_time_ = 8870us;
-  spec.engine_.step_per_request_ = 39us;
-  spec.engine_.step_per_kilotoken_ = 23us;
-  spec.engine_.read_per_second_ = 19'100;
-  spec.engine_.stride_ = 5;
-  spec.engine_.usual_prompt_ = 920;
-  spec.engine_.usual_answer_ = 98;
+  spec.engine_.step_time_per_request_ = 39us;
+  spec.engine_.step_time_per_kilotoken_ = 23us;
+  spec.engine_.prefill_tokens_per_second_ = 19'100;
+  spec.engine_.steps_per_pass_ = 5;
+  spec.engine_.mean_prompt_tokens_ = 920;
+  spec.engine_.mean_output_tokens_ = 98;
   spec.engines_ = 45;
   spec.entries_ = 40;
   spec.domains_ = 3;
--- a/tests/fuzz/oracle.cpp
+++ b/tests/fuzz/oracle.cpp
@@ -143,7 +143,7 @@
   }
 }
 
-void Oracle::OnInForce(int process, const config::DocumentStamp& stamp,
+void Oracle::OnInForce(int process, const config::DocumentVersion& stamp,
                        bool is_signed) {
   auto& held = in_force_[process];
   if (stamp < held) {
@@ -169,7 +169,7 @@
   }
 }
 
-void Oracle::OnSettled(const std::vector<config::DocumentStamp>& stamps) {
+void Oracle::OnSettled(const std::vector<config::DocumentVersion>& stamps) {
   for (const auto& stamp : stamps) {
     if (stamp != stamps.front()) {
       Violate(kConfigurationNeverReverts, "processes differ after healing");
--- a/tests/fuzz/oracle.hpp
+++ b/tests/fuzz/oracle.hpp
@@ -62,12 +62,12 @@
   void OnExit(std::size_t work, bool in_time);
 
   // Configuration.
-  void OnInForce(int process, const config::DocumentStamp& stamp,
+  void OnInForce(int process, const config::DocumentVersion& stamp,
                  bool is_signed);
   /// After everything was healed: an endpoint takes work.
   void OnServesAgain(bool serves);
   void OnRunsEverywhere(bool runs_newest);
-  void OnSettled(const std::vector<config::DocumentStamp>& stamps);
+  void OnSettled(const std::vector<config::DocumentVersion>& stamps);
 
  private:
   struct Delivery {
@@ -85,7 +85,7 @@
   std::set<std::uint64_t> told_not_run_;
   std::map<std::uint64_t, Delivery> delivered_;
   std::set<std::uint64_t> ended_;
-  std::map<int, config::DocumentStamp> in_force_;
+  std::map<int, config::DocumentVersion> in_force_;
 };
 
 }  // namespace chalkwell::fuzz
--- a/tests/fuzz/parts.hpp
+++ b/tests/fuzz/parts.hpp
@@ -53,7 +53,7 @@
         activation_({.lease_ = kLease, .tie_breaker_ = tie},
                     faults.activation_),
         guard_(core::InstanceId("endpoint-" + std::to_string(engine)),
-               incarnation, {.max_minters_ = 2, .max_answers_ = 2},
+               incarnation, {.max_issuers_ = 2, .max_cached_responses_ = 2},
                faults.guard_),
         pause_(kLease),
         stop_(kStopLimit, faults.stop_),
@@ -64,8 +64,8 @@
   config::AcceptedDocuments documents_;
   rollout::Activation activation_;
   routing::ExecutionGuard guard_;
-  membership::PauseDetector pause_;
-  membership::PlannedStop stop_;
+  membership::SuspensionDetector pause_;
+  membership::GracefulShutdown stop_;
   std::optional<swarm::Assembly> assembly_;
   rollout::Target fetching_;
   std::size_t engine_;
@@ -89,14 +89,14 @@
 
   struct Link {
     int agent_ = 0;
-    std::optional<routing::TicketMinter> minter_;
+    std::optional<routing::TicketIssuer> minter_;
     std::optional<core::TimePoint> knew_leaving_at_;
   };
 
   int id_ = 0;
   config::AcceptedDocuments documents_;
   membership::Roster roster_;
-  membership::PlannedStop stop_;
+  membership::GracefulShutdown stop_;
   bool alive_ = true;
   bool paused_ = false;
   std::map<core::InstanceId, Link> links_;
--- a/tests/fuzz/world.cpp
+++ b/tests/fuzz/world.cpp
@@ -253,7 +253,7 @@
   }
   OfferAllShown();
   RunCalm(kSettleRounds);
-  std::vector<config::DocumentStamp> stamps;
+  std::vector<config::DocumentVersion> stamps;
   for (const auto& agent : agents_) {
     if (agent->alive_) {
       stamps.push_back(agent->documents_.stamps().at(config::kBundleKey));
--- a/tests/fuzz/world.hpp
+++ b/tests/fuzz/world.hpp
@@ -32,7 +32,7 @@
   routing::RequestFaults request_;
   routing::GuardFaults guard_;
   swarm::AssemblyFaults assembly_;
-  membership::StopFaults stop_;
+  membership::ShutdownFaults stop_;
   membership::RosterFaults roster_;
 };
 
--- a/tests/fuzz/world_agents.cpp
+++ b/tests/fuzz/world_agents.cpp
@@ -52,9 +52,9 @@
     Send(query);
   }
   AskForChunk(agent);
-  if (agent->activation_.phase() == rollout::Phase::kWaitingTurn &&
+  if (agent->activation_.phase() == rollout::Phase::kWaitingForSlot &&
       (Chance(30) || settling_)) {
-    Perform(agent, agent->activation_.OnTurn());
+    Perform(agent, agent->activation_.OnRolloutSlot());
   }
   if (agent->stop_.pending() == 0) {
     Perform(agent, agent->activation_.OnDrained(now_));
@@ -97,7 +97,7 @@
     const bool attach = link.agent_ != agent->id_ && Chance(20);
     if (attach) {
       link = {.agent_ = agent->id_,
-              .minter_ = routing::TicketMinter(id, agent->incarnation_,
+              .minter_ = routing::TicketIssuer(id, agent->incarnation_,
                                                agent->guard_.RegisterIssuer()),
               .knew_leaving_at_ = std::nullopt};
       entry->listed_leaving_.erase(agent->engine_);
@@ -160,9 +160,9 @@
   std::swap(frame.from_, frame.to_);
   if (message.ticket_) {
     const auto verdict = agent->guard_.Use(*message.ticket_);
-    if (verdict == routing::TicketVerdict::kAnswerHeld) {
-      const auto weights =
-          core::Digest::FromHex(*agent->guard_.FindAnswer(*message.ticket_));
+    if (verdict == routing::TicketStatus::kResponseCached) {
+      const auto weights = core::Digest::FromHex(
+          *agent->guard_.FindCachedResponse(*message.ticket_));
       frame.weights_ = weights.value_or(core::Digest{});
       frame.frame_ = Message::Frame::kBegin;
       Send(frame);
@@ -175,7 +175,7 @@
       Send(frame);
       return;
     }
-    if (verdict != routing::TicketVerdict::kAccepted) {
+    if (verdict != routing::TicketStatus::kAccepted) {
       frame.frame_ = Message::Frame::kUnknown;
       Send(frame);
       return;
@@ -204,7 +204,7 @@
     Send(frame);
     return;
   }
-  agent->stop_.OnWorkTaken();
+  agent->stop_.OnWorkAccepted();
   oracle_.OnExecuted(run.order_, run.request_, run.repeatable_);
   engine.running_.push_back({.id_ = next_execution_++,
                              .agent_ = agent->id_,
@@ -218,7 +218,7 @@
   frame.weights_ = engine.state_.manifest_;
   Send(frame);
   if (run.ticket_) {
-    agent->guard_.KeepAnswer(*run.ticket_, engine.state_.manifest_.ToHex());
+    agent->guard_.CacheResponse(*run.ticket_, engine.state_.manifest_.ToHex());
   }
 }
 
@@ -253,7 +253,7 @@
     return;
   }
   if (done) {
-    (*agent)->stop_.OnWorkEnded();
+    (*agent)->stop_.OnWorkFinished();
   }
   Send(frame);
 }
@@ -308,7 +308,7 @@
     Send(frame);
     for (const auto& agent : agents_) {
       if (agent->id_ == execution.agent_) {
-        agent->stop_.OnWorkEnded();
+        agent->stop_.OnWorkFinished();
       }
     }
   }
--- a/tests/fuzz/world_entries.cpp
+++ b/tests/fuzz/world_entries.cpp
@@ -30,7 +30,7 @@
     return;
   }
   oracle_.OnTakenBy(entry->stop_.draining());
-  entry->stop_.OnWorkTaken();
+  entry->stop_.OnWorkAccepted();
   request->tracker_ = std::make_unique<routing::RequestTracker>(
       routing::RequestTraits{.repeatable_ = request->repeatable_,
                              .resumable_ = request->repeatable_,
@@ -58,7 +58,7 @@
     request->order_ = earlier->order_;
     request->entry_ = entry->id_;
     request->callers_ticket_ = earlier->ticket_;
-    entry->stop_.OnWorkTaken();
+    entry->stop_.OnWorkAccepted();
     request->tracker_ = std::make_unique<routing::RequestTracker>(
         routing::RequestTraits{.repeatable_ = false,
                                .deadline_ = now_ + std::chrono::seconds(30),
@@ -82,7 +82,7 @@
                    std::get_if<routing::FinishRequest>(&action)) {
       request.outcome_ = finish->outcome_;
       oracle_.OnOutcome(request.id_, finish->outcome_, kAnswerPieces);
-      entry->stop_.OnWorkEnded();
+      entry->stop_.OnWorkFinished();
     }
   }
 }
@@ -170,7 +170,7 @@
                   message.attempt_, message.weights_ == request.pinned_, now_));
       break;
     case Frame::kData:
-      if (tracker.TakeAnswerBytes(message.attempt_)) {
+      if (tracker.AcceptResponseBytes(message.attempt_)) {
         oracle_.OnDelivered(request.id_, message.request_, message.attempt_,
                             message.sequence_, request.pinned_,
                             engines_[message.engine_]->checks_fencing_
--- a/tests/membership/dissemination_test.cpp
+++ b/tests/membership/dissemination_test.cpp
@@ -187,14 +187,15 @@
       return;
     }
     const auto row = sender.table_->self();
-    const bool joined = receiver.table_->Merge(row, now_) == MergeEnd::kJoined;
+    const bool joined =
+        receiver.table_->Merge(row, now_) == MergeOutcome::kJoined;
     if (joined || asks) {
       receiver.table_->RaiseHeartbeat();
       Send(to, from, receiver.table_->Sample(kAnswerRows, row.domain_), false);
     }
     for (const auto& told : rows) {
       const bool near = told.domain_ == receiver.self_.domain_;
-      if (receiver.table_->Merge(told, now_) == MergeEnd::kJoined && near) {
+      if (receiver.table_->Merge(told, now_) == MergeOutcome::kJoined && near) {
         Send(to, Index(told), {}, false);
       }
     }
@@ -207,9 +208,10 @@
       return;
     }
     process.version_ = version;
-    const SpreadPlan plan(process.table_->self(), process.table_->Live());
+    const PropagationPlan plan(process.table_->self(), process.table_->Live());
     if (from_store || process.table_->IsDelegate()) {
-      for (const auto& target : plan.AnnounceTargets(DelegateFanout::kSure)) {
+      for (const auto& target :
+           plan.AnnounceTargets(DelegateFanout::kTwoDelegates)) {
         Send(i, Index(target), {}, false);
       }
     }
--- a/tests/membership/gossip_table_test.cpp
+++ b/tests/membership/gossip_table_test.cpp
@@ -33,21 +33,21 @@
   struct Case {
     std::string name_;
     Member row_;
-    MergeEnd end_;
+    MergeOutcome end_;
   };
   auto leaving = Row("a", 9);
   leaving.leaving_ = true;
   auto stranger = Row("z", 9);
   stranger.leaving_ = true;
   const auto row = GENERATE_COPY(
-      Case{"a new member", Row("b", 1), MergeEnd::kJoined},
-      Case{"a higher beat", Row("a", 6), MergeEnd::kUpdated},
-      Case{"the same beat", Row("a", 5), MergeEnd::kUnchanged},
-      Case{"an old beat", Row("a", 4), MergeEnd::kUnchanged},
-      Case{"another life", Row("a", 1, 2), MergeEnd::kJoined},
-      Case{"it leaves", leaving, MergeEnd::kUpdated},
-      Case{"a stranger leaves", stranger, MergeEnd::kUnchanged},
-      Case{"this process", Row("self", 99), MergeEnd::kUnchanged});
+      Case{"a new member", Row("b", 1), MergeOutcome::kJoined},
+      Case{"a higher beat", Row("a", 6), MergeOutcome::kUpdated},
+      Case{"the same beat", Row("a", 5), MergeOutcome::kUnchanged},
+      Case{"an old beat", Row("a", 4), MergeOutcome::kUnchanged},
+      Case{"another life", Row("a", 1, 2), MergeOutcome::kJoined},
+      Case{"it leaves", leaving, MergeOutcome::kUpdated},
+      Case{"a stranger leaves", stranger, MergeOutcome::kUnchanged},
+      Case{"this process", Row("self", 99), MergeOutcome::kUnchanged});
   CAPTURE(row.name_);
   auto table = Table();
   table.Merge(Row("a", 5), kStart);
@@ -68,7 +68,7 @@
   CHECK(table.Live().empty());
   table.Merge(Row("a", 5), kStart + 11s);
   CHECK(table.Live().empty());
-  CHECK(table.Merge(Row("a", 6), kStart + 12s) == MergeEnd::kJoined);
+  CHECK(table.Merge(Row("a", 6), kStart + 12s) == MergeOutcome::kJoined);
   CHECK(table.Live().size() == 1);
 }
 
@@ -104,7 +104,7 @@
     ids.push_back(row.id_);
     table.Merge(row, kStart);
   }
-  const auto first = FirstChoices(kWatchDutyName, ids, 3);
+  const auto first = HighestRanked(kWatcherRoleKey, ids, 3);
   std::set<core::InstanceId> kept;
   for (const auto& member : table.Live()) {
     kept.insert(member.id_);
@@ -114,7 +114,8 @@
   CHECK(table.DeploymentSize() == 21);
   // One that is lost makes place for the next in rank.
   table.Expire(kStart + 6s);
-  CHECK(table.Merge(Row("far3", 2, 1, "d2"), kStart + 7s) == MergeEnd::kJoined);
+  CHECK(table.Merge(Row("far3", 2, 1, "d2"), kStart + 7s) ==
+        MergeOutcome::kJoined);
 }
 
 TEST_CASE("members of a deployment find each other and are not lost by chance",
@@ -142,7 +143,7 @@
         for (const auto& target : targets) {
           auto& told = tables[index(target)];
           // A newcomer is answered at once, as the daemon does.
-          if (told.Merge(table.self(), now) == MergeEnd::kJoined) {
+          if (told.Merge(table.self(), now) == MergeOutcome::kJoined) {
             for (const auto& row : told.Sample(24, table.self().domain_)) {
               table.Merge(row, now);
             }
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -65,7 +65,7 @@
       Row{true, false, true, 299ms, true}, Row{true, false, true, 301ms, false},
       Row{true, true, true, 301ms, true}, Row{false, false, true, 301ms, true},
       Row{true, false, false, 301ms, true});
-  Roster roster({.suspicion_ = 300ms});
+  Roster roster({.probe_timeout_ = 300ms});
   auto other = Listed(false);
   other.id_ = core::InstanceId("b");
   roster.SetInstances({Listed(false), other});
@@ -169,7 +169,7 @@
 }
 
 TEST_CASE("a pause longer than the lease is noticed once", "[membership]") {
-  PauseDetector pause(1s);
+  SuspensionDetector pause(1s);
   CHECK_FALSE(pause.Tick(kStart));
   CHECK_FALSE(pause.Tick(kStart + 900ms));
   CHECK(pause.Tick(kStart + 2s));
@@ -180,24 +180,24 @@
           "[membership]") {
   const std::vector<core::InstanceId> members{
       core::InstanceId("a"), core::InstanceId("b"), core::InstanceId("c")};
-  const auto order = FirstChoices("watch", members, 3);
+  const auto order = HighestRanked("watch", members, 3);
   for (std::size_t rank = 0; rank < order.size(); ++rank) {
     CHECK(RankOf(order[rank], "watch", members) == rank);
   }
   CHECK(RankOf(core::InstanceId("z"), "watch", members) == members.size());
   const std::vector<core::InstanceId> fewer{order[1], order[2]};
-  CHECK(FirstChoices("watch", fewer, 1).front() == order[1]);
+  CHECK(HighestRanked("watch", fewer, 1).front() == order[1]);
 }
 
 TEST_CASE("a planned stop waits for work, but not for ever", "[membership]") {
-  PlannedStop stop(10s);
-  stop.OnWorkTaken();
+  GracefulShutdown stop(10s);
+  stop.OnWorkAccepted();
   CHECK_FALSE(stop.MayExit(kStart));
   stop.Begin(kStart);
   CHECK_FALSE(stop.accepting());
   CHECK_FALSE(stop.MayExit(kStart + 9s));
   CHECK(stop.MayExit(kStart + 10s));
-  stop.OnWorkEnded();
+  stop.OnWorkFinished();
   CHECK(stop.MayExit(kStart + 1s));
 }
 
--- a/tests/membership/read_duty_test.cpp
+++ b/tests/membership/read_duty_test.cpp
@@ -23,7 +23,7 @@
   }
   std::size_t elected = 0;
   for (const auto& member : members) {
-    ReadDuty duty(member, {});
+    ReaderRole duty(member, {});
     duty.SetMembers(members);
     duty.OnPeerRead(kStart);
     elected += duty.IsReader(kStart) ? 1 : 0;
@@ -45,8 +45,8 @@
   const std::vector<core::InstanceId> members{
       core::InstanceId("a"), core::InstanceId("b"), core::InstanceId("c"),
       core::InstanceId("d")};
-  const auto order = FirstChoices("read-list", members, members.size());
-  ReadDuty duty(order[row.rank_], {});
+  const auto order = HighestRanked("read-list", members, members.size());
+  ReaderRole duty(order[row.rank_], {});
   duty.SetMembers(members);
   if (row.told_before_) {
     duty.OnPeerRead(kStart - *row.told_before_);
@@ -62,7 +62,7 @@
   }
   int reads = 0;
   for (const auto& member : members) {
-    ReadDuty duty(member, {});
+    ReaderRole duty(member, {});
     duty.SetMembers(members);
     duty.OnRead(kStart);
     reads += duty.Interval(kStart + 100ms) == 600ms ? 1 : 0;
@@ -83,7 +83,7 @@
                Row{1, 300ms, 1050ms}, Row{4, 300ms, 1500ms},
                // Cut off from the others it reads as if it were alone.
                Row{4, std::nullopt, 600ms});
-  ReadDuty duty(core::InstanceId("a"), {});
+  ReaderRole duty(core::InstanceId("a"), {});
   duty.SetMembers(std::vector{core::InstanceId("a")});
   duty.SetDomainsAhead(row.domains_ahead_);
   duty.OnPeerRead(kStart - 5s);
@@ -111,11 +111,11 @@
   }
   std::size_t trying = 0;
   for (const auto& member : members) {
-    ReadDuty duty(member, {});
+    ReaderRole duty(member, {});
     duty.SetMembers(members);
     duty.OnPeerRead(kStart);
     for (core::Duration at{}; at <= row.away_; at += 600ms) {
-      duty.OnTried(kStart + at);
+      duty.OnPeerReadFailed(kStart + at);
     }
     const auto now = kStart + row.away_;
     trying += duty.IsReader(now) ? 1 : 0;
@@ -136,8 +136,8 @@
                             Row{1, 900ms, true}, Row{2, 600ms, true});
   const std::vector<core::InstanceId> all{core::InstanceId("a"),
                                           core::InstanceId("b")};
-  const auto first = FirstChoices("read-list", all, 1).front();
-  ReadDuty duty(first, {});
+  const auto first = HighestRanked("read-list", all, 1).front();
+  ReaderRole duty(first, {});
   duty.OnRead(kStart);
   duty.SetMembers(row.members_ == 1 ? std::vector{first} : all);
   CHECK(duty.IsReader(kStart + row.after_) == row.reads_);
@@ -154,7 +154,7 @@
     members.emplace_back(std::to_string(i));
   }
   for (const auto& member : members) {
-    ReadDuty duty(member, {});
+    ReaderRole duty(member, {});
     duty.SetMembers(members);
     duty.OnRead(kStart - 1s);
     duty.OnPeerRead(kStart);
@@ -176,8 +176,8 @@
                             Row{1300ms, true, false});
   const std::vector<core::InstanceId> members{
       core::InstanceId("a"), core::InstanceId("b"), core::InstanceId("c")};
-  const auto last = FirstChoices("read-list", members, 3).back();
-  ReadDuty duty(last, {});
+  const auto last = HighestRanked("read-list", members, 3).back();
+  ReaderRole duty(last, {});
   duty.SetMembers(members);
   duty.OnRead(kStart - 5s);
   duty.OnPeerRead(kStart - row.age_);
@@ -193,7 +193,7 @@
 
 TEST_CASE("one who tries in vain tries again as often as it reads",
           "[membership]") {
-  ReadDuty duty(core::InstanceId("a"), {});
+  ReaderRole duty(core::InstanceId("a"), {});
   duty.SetMembers(std::vector{core::InstanceId("a")});
   duty.SetDomainsAhead(3);
   duty.OnRead(kStart);
--- a/tests/membership/report_audience_test.cpp
+++ b/tests/membership/report_audience_test.cpp
@@ -24,7 +24,7 @@
   };
   const auto row = GENERATE(Row{3, 4, 9}, Row{9, 6, 9}, Row{15, 6, 4.4},
                             Row{40, 20, 2}, Row{400, 0, 2});
-  ReportAudience audience;
+  ReportSubscribers audience;
   std::map<std::string, int> got;
   int sent = 0;
   constexpr int kSeconds = 10;
@@ -63,7 +63,7 @@
                Row{"nothing new for long", 500ms, false, false, true},
                Row{"its subscription ended", 8000ms, true, true, false});
   CAPTURE(row.name_);
-  ReportAudience audience;
+  ReportSubscribers audience;
   CHECK(audience.Subscribe("e", true, kStart));
   CHECK_FALSE(audience.Subscribe("e", true, kStart));
   REQUIRE(audience.CollectDue(false, false, kStart).size() == 1);
@@ -74,7 +74,7 @@
 
 TEST_CASE("a change that was not told yet is told when it may be",
           "[membership]") {
-  ReportAudience audience;
+  ReportSubscribers audience;
   audience.Subscribe("e", true, kStart);
   CHECK(audience.CollectDue(false, false, kStart).size() == 1);
   CHECK(audience.CollectDue(true, false, kStart + 50ms).empty());
@@ -84,7 +84,7 @@
 
 TEST_CASE("what seldom changes is told first, each second, and when it did",
           "[membership]") {
-  ReportAudience audience;
+  ReportSubscribers audience;
   audience.Subscribe("e", true, kStart);
   const auto full = [&](core::Duration after) {
     return audience.CollectDue(true, false, kStart + after).at(0).full_;
@@ -92,7 +92,7 @@
   CHECK(full(0ms));
   CHECK_FALSE(full(200ms));
   CHECK(full(1000ms));
-  audience.TellFull();
+  audience.RequestFullReports();
   CHECK(full(1200ms));
 }
 
--- a/tests/membership/store_outage_test.cpp
+++ b/tests/membership/store_outage_test.cpp
@@ -39,29 +39,30 @@
     outage.OnReadFailed();
   }
   outage.OnListReceived(kStart + row.next_list_, kStart + row.next_list_);
-  CHECK(outage.MayHaveLapsed(kStart + row.asked_) == row.may_have_lapsed_);
+  CHECK(outage.LeasesMayHaveExpired(kStart + row.asked_) ==
+        row.may_have_lapsed_);
 }
 
 TEST_CASE("while the store is away lists stay incomplete", "[membership]") {
   StoreOutage outage({});
   outage.OnListReceived(kStart, kStart);
   outage.OnReadFailed();
-  CHECK_FALSE(outage.MayHaveLapsed(kStart + 1s));
-  CHECK(outage.MayHaveLapsed(kStart + 1200ms));
+  CHECK_FALSE(outage.LeasesMayHaveExpired(kStart + 1s));
+  CHECK(outage.LeasesMayHaveExpired(kStart + 1200ms));
   // A list from before, told late, shows nothing.
   outage.OnListReceived(kStart - 1s, kStart + 2s);
-  CHECK(outage.MayHaveLapsed(kStart + 2s));
+  CHECK(outage.LeasesMayHaveExpired(kStart + 2s));
 }
 
 TEST_CASE("a process that starts while the store is away learns of it",
           "[membership]") {
   StoreOutage outage({});
-  CHECK_FALSE(outage.MayHaveLapsed(kStart));
+  CHECK_FALSE(outage.LeasesMayHaveExpired(kStart));
   outage.OnReadFailed();
-  CHECK(outage.MayHaveLapsed(kStart));
+  CHECK(outage.LeasesMayHaveExpired(kStart));
   outage.OnListReceived(kStart + 1s, kStart + 1s);
-  CHECK(outage.MayHaveLapsed(kStart + 2s));
-  CHECK_FALSE(outage.MayHaveLapsed(kStart + 4s));
+  CHECK(outage.LeasesMayHaveExpired(kStart + 2s));
+  CHECK_FALSE(outage.LeasesMayHaveExpired(kStart + 4s));
 }
 
 }  // namespace
--- a/tests/membership/watch_duty_test.cpp
+++ b/tests/membership/watch_duty_test.cpp
@@ -19,12 +19,12 @@
   for (std::size_t i = 0; i < count; ++i) {
     members.emplace_back("e" + std::to_string(i));
   }
-  return WatchDuty::FirstInRank(members, count);
+  return WatcherRole::FirstInRank(members, count);
 }
 
-WatchDuty DutyOf(const std::vector<core::InstanceId>& members,
-                 std::size_t rank) {
-  WatchDuty duty(members[rank]);
+WatcherRole DutyOf(const std::vector<core::InstanceId>& members,
+                   std::size_t rank) {
+  WatcherRole duty(members[rank]);
   duty.SetMembers(members);
   return duty;
 }
@@ -44,7 +44,7 @@
   std::size_t watch = 0;
   for (std::size_t rank = 0; rank < members.size(); ++rank) {
     auto duty = DutyOf(members, rank);
-    duty.OnDocument(row.bytes_);
+    duty.OnDocumentReceived(row.bytes_);
     if (rank > 0) {
       duty.OnWatcherAnnounced(members[0], kStart);
     }
@@ -60,7 +60,7 @@
           "[membership]") {
   const auto members = Members(4);
   auto duty = DutyOf(members, 2);
-  duty.OnDocument(kLarge);
+  duty.OnDocumentReceived(kLarge);
   CHECK(duty.IsWatcher(kStart));
   duty.OnWatcherAnnounced(members[3], kStart);
   CHECK(duty.IsWatcher(kStart));
@@ -80,19 +80,19 @@
                             Row{2, 1500ms, true}, Row{3, 1500ms, false});
   const auto members = Members(4);
   auto duty = DutyOf(members, row.rank_);
-  duty.OnFirstRead(kStart);
+  duty.OnFirstReadStarted(kStart);
   // Until it has the document it goes on reading.
   CHECK(duty.IsWatcher(kStart));
-  duty.OnDocument(kSmall);
+  duty.OnDocumentReceived(kSmall);
   CHECK(duty.IsWatcher(kStart + row.after_) == row.watches_);
 }
 
 TEST_CASE("silence passes the duty on one after the other", "[membership]") {
   const auto members = Members(4);
-  const WatchDutySettings settings;
+  const WatcherRoleSettings settings;
   for (std::size_t rank = 1; rank < members.size(); ++rank) {
     auto duty = DutyOf(members, rank);
-    duty.OnDocument(kLarge);
+    duty.OnDocumentReceived(kLarge);
     duty.OnWatcherAnnounced(members[0], kStart);
     const auto due = kStart + settings.patience_ +
                      settings.step_ * (static_cast<int>(rank) - 1);
@@ -110,7 +110,7 @@
           "[membership]") {
   const auto members = Members(4);
   auto duty = DutyOf(members, 1);
-  duty.OnDocument(kLarge);
+  duty.OnDocumentReceived(kLarge);
   duty.OnWatcherAnnounced(members[0], kStart);
   CHECK_FALSE(duty.IsWatcher(kStart));
   const std::vector<core::InstanceId> left(members.begin() + 1, members.end());
@@ -129,7 +129,7 @@
                Row{2, 10ms, false}, Row{3, 1s, false});
   const auto members = Members(4);
   auto duty = DutyOf(members, row.rank_);
-  duty.OnFirstRead(kStart);
+  duty.OnFirstReadStarted(kStart);
   if (row.rank_ > 0) {
     duty.OnWatcherAnnounced(members[0], kStart + row.reading_);
   }
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -46,8 +46,8 @@
   CHECK(activation.accepting(now));
   CHECK(Find<FetchWeights>(activation.OnTarget(kSecond)).has_value());
   CHECK(activation.OnStaged(kSecond.manifest_, now).empty());
-  CHECK(activation.phase() == Phase::kWaitingTurn);
-  CHECK(Find<Drain>(activation.OnTurn()).has_value());
+  CHECK(activation.phase() == Phase::kWaitingForSlot);
+  CHECK(Find<Drain>(activation.OnRolloutSlot()).has_value());
   CHECK_FALSE(activation.accepting(now));
   const auto order = Find<SendOrder>(activation.OnDrained(now));
   REQUIRE(order.has_value());
@@ -67,7 +67,7 @@
   const auto now = kStart + 2s;
   (void)activation.OnTarget(kSecond);
   (void)activation.OnStaged(kSecond.manifest_, now);
-  (void)activation.OnTurn();
+  (void)activation.OnRolloutSlot();
   (void)activation.OnDrained(now);
   (void)activation.OnOrderAnswered(now + 100ms);
   const EngineState before{1, kFirst.manifest_, fence, 0};
@@ -143,7 +143,7 @@
   (void)activation.OnEngineState(busy, now, now);
   (void)activation.OnTarget(kSecond);
   (void)activation.OnStaged(kSecond.manifest_, now);
-  (void)activation.OnTurn();
+  (void)activation.OnRolloutSlot();
   CHECK(activation.OnDrained(now).empty());
   const EngineState idle{1, kFirst.manifest_, fence, 0};
   (void)activation.OnEngineState(idle, now, now);
@@ -167,7 +167,7 @@
     (void)activation.OnStaged(kSecond.manifest_, kStart + 2s);
   }
   if (stage > 1) {
-    (void)activation.OnTurn();
+    (void)activation.OnRolloutSlot();
   }
   const auto actions = activation.OnTarget(third);
   CHECK(Find<AbandonFetch>(actions)->manifest_ == kSecond.manifest_);
@@ -202,7 +202,7 @@
     (void)activation.OnStaged(kSecond.manifest_, now);
   }
   if (stage > 1) {
-    (void)activation.OnTurn();
+    (void)activation.OnRolloutSlot();
   }
   const auto dropped = Find<AbandonFetch>(row.strike_(activation, now));
   REQUIRE(dropped.has_value());
@@ -217,7 +217,7 @@
   const auto now = kStart + 2s;
   (void)activation.OnTarget(kSecond);
   (void)activation.OnStaged(kSecond.manifest_, now + 100ms);
-  (void)activation.OnTurn();
+  (void)activation.OnRolloutSlot();
   CHECK(activation.OnDrained(now + 100ms).empty());
   const EngineState same{1, kFirst.manifest_, fence, 0};
   (void)activation.OnEngineState(same, now + 200ms, now + 200ms);
@@ -238,7 +238,7 @@
   const auto free_now = [&](core::TimePoint now) {
     return std::count_if(
         turns.begin(), turns.end(),
-        [&](const RolloutSlots& turn) { return turn.MayGo(now); });
+        [&](const RolloutSlots& turn) { return turn.MayDrain(now); });
   };
   CHECK(free_now(kStart) == 3);
   CHECK(free_now(kStart + 10s) == 6);
--- a/tests/rollout/start_choice_test.cpp
+++ b/tests/rollout/start_choice_test.cpp
@@ -13,7 +13,7 @@
           "[rollout]") {
   struct Row {
     std::string what_;
-    StartForecast forecast_;
+    FirstFetchForecast forecast_;
     bool older_first_;
   };
   const auto row = GENERATE(values<Row>({
@@ -35,7 +35,7 @@
       {"the own link is the slower one", {4s, 20s, 20s, 60s}, false},
   }));
   INFO(row.what_);
-  CHECK(OlderFirst(row.forecast_) == row.older_first_);
+  CHECK(FetchOlderFirst(row.forecast_) == row.older_first_);
 }
 
 }  // namespace
--- a/tests/rollout/version_bound_test.cpp
+++ b/tests/rollout/version_bound_test.cpp
@@ -58,7 +58,7 @@
   VersionBound bound;
   bound.OnVersionPublished(2, kStart);
   bound.OnVersionPublished(3, kStart + 5s);
-  const auto rule = bound.RuleAt(8s, 1400ms, kStart + row.after_);
+  const auto rule = bound.ConstraintAt(8s, 1400ms, kStart + row.after_);
   CHECK(rule.min_version_ == row.least_);
   CHECK(rule.next_min_version_ == row.next_);
   if (row.next_ > 0) {
--- a/tests/routing/attempt_patience_test.cpp
+++ b/tests/routing/attempt_patience_test.cpp
@@ -13,11 +13,11 @@
 TEST_CASE("how long the first byte of an attempt is awaited", "[routing]") {
   struct Row {
     std::string name_;
-    AwaitedAttempt attempt_;
+    PendingAttempt attempt_;
     core::Duration patience_;
   };
   // The rule's time is 1.4 s before the bound.
-  const VersionRule ends{
+  const VersionConstraint ends{
       .min_version_ = 0, .next_min_version_ = 2, .next_min_at_ = kSent + 260ms};
   auto row = GENERATE_COPY(
       Row{"a short target", {.target_latency_ = 100ms}, 1200ms},
@@ -57,7 +57,7 @@
           1200ms});
   CAPTURE(row.name_);
   row.attempt_.sent_at_ = kSent;
-  CHECK(GiveUpAt(row.attempt_) == kSent + row.patience_);
+  CHECK(FirstByteDeadline(row.attempt_) == kSent + row.patience_);
 }
 
 }  // namespace
