--- a/tests/routing/choice_test.cpp
+++ b/tests/routing/choice_test.cpp
@@ -57,15 +57,16 @@
 }
 
 TEST_CASE("retries are a share of requests", "[routing]") {
-  RetryBudget budget({.share_ = 0.1, .reserve_ = 2, .kept_for_resumes_ = 0});
-  CHECK(budget.TryConsume(RetryKind::kFresh, kStart));
-  CHECK(budget.TryConsume(RetryKind::kFresh, kStart));
-  CHECK_FALSE(budget.TryConsume(RetryKind::kFresh, kStart));
+  RetryBudget budget(
+      {.share_ = 0.1, .reserve_ = 2, .resume_reserve_share_ = 0});
+  CHECK(budget.TryConsume(RetryKind::kRestart, kStart));
+  CHECK(budget.TryConsume(RetryKind::kRestart, kStart));
+  CHECK_FALSE(budget.TryConsume(RetryKind::kRestart, kStart));
   for (int i = 0; i < 11; ++i) {
     budget.OnRequest(kStart);
   }
-  CHECK(budget.TryConsume(RetryKind::kFresh, kStart));
-  CHECK_FALSE(budget.TryConsume(RetryKind::kFresh, kStart));
+  CHECK(budget.TryConsume(RetryKind::kRestart, kStart));
+  CHECK_FALSE(budget.TryConsume(RetryKind::kRestart, kStart));
 }
 
 TEST_CASE("answers under way come before fresh retries", "[routing]") {
@@ -76,11 +77,11 @@
   };
   // The reserve of 20 is free again when its window has passed.
   const auto row = GENERATE(
-      Row{RetryKind::kFresh, 0s, 0}, Row{RetryKind::kResume, 0s, 10},
-      Row{RetryKind::kFresh, 10s, 10}, Row{RetryKind::kResume, 10s, 20});
+      Row{RetryKind::kRestart, 0s, 0}, Row{RetryKind::kResume, 0s, 10},
+      Row{RetryKind::kRestart, 10s, 10}, Row{RetryKind::kResume, 10s, 20});
   RetryBudget budget({.share_ = 0, .reserve_ = 20});
   int fresh = 0;
-  while (budget.TryConsume(RetryKind::kFresh, kStart)) {
+  while (budget.TryConsume(RetryKind::kRestart, kStart)) {
     ++fresh;
   }
   CHECK(fresh == 10);
@@ -165,7 +166,7 @@
                             Row{300ms, 100ms, false}, Row{300ms, 160ms, true});
   FairQueue queue({.max_in_flight_ = 1, .max_waiting_ = 10});
   for (int i = 0; i < 50; ++i) {
-    queue.OnServed(200ms);
+    queue.OnServiceTime(200ms);
   }
   const core::ClientAccountId account("a");
   REQUIRE(queue.Offer({1, account, 1, kStart + 10s}, kStart));
@@ -179,10 +180,10 @@
 TEST_CASE("the usual service lies above nine in ten", "[routing]") {
   FairQueue queue({});
   for (int i = 0; i < 4000; ++i) {
-    queue.OnServed(std::chrono::milliseconds(100 + 10 * (i * 7 % 10)));
+    queue.OnServiceTime(std::chrono::milliseconds(100 + 10 * (i * 7 % 10)));
   }
-  CHECK(queue.usual_service() >= 160ms);
-  CHECK(queue.usual_service() <= 210ms);
+  CHECK(queue.service_time_p90() >= 160ms);
+  CHECK(queue.service_time_p90() <= 210ms);
 }
 
 }  // namespace
--- a/tests/routing/crash_evidence_test.cpp
+++ b/tests/routing/crash_evidence_test.cpp
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 
 const core::TimePoint kStart = core::TimePoint{} + 1h;
-const EndpointLife kLife{core::InstanceId("i-1"), {}};
+const EndpointIncarnation kLife{core::InstanceId("i-1"), {}};
 constexpr auto kAddress = "10.0.0.1:80";
 
 RequestDigest Request(const std::string& body) {
@@ -19,13 +19,13 @@
 
 TEST_CASE("all attempts that a crash ended are found by one probe",
           "[routing]") {
-  CrashEvidence evidence;
+  CrashDetector evidence;
   CHECK(evidence.OnLost({Request("x"), 1s}, kLife, kAddress, kStart) ==
-        LossVerdict::kProbe);
+        LossAction::kProbe);
   CHECK(evidence.OnLost({Request("y"), 2s}, kLife, kAddress, kStart + 1ms) ==
-        LossVerdict::kWait);
+        LossAction::kWait);
   CHECK(evidence.OnLost({Request("x"), 1s}, kLife, kAddress, kStart + 2ms) ==
-        LossVerdict::kWait);
+        LossAction::kWait);
   CHECK(evidence.ProbePending(Request("x")));
   const auto crash = evidence.OnCrashed(kLife);
   CHECK(crash.first_loss_at_ == kStart);
@@ -39,13 +39,13 @@
   }
   SECTION("a loss that is seen late counts at once") {
     CHECK(evidence.OnLost({Request("z"), 1s}, kLife, kAddress, kStart + 1s) ==
-          LossVerdict::kCrashed);
+          LossAction::kCrashed);
   }
 }
 
 TEST_CASE("a loss at an endpoint that answers waits for other evidence",
           "[routing]") {
-  CrashEvidence evidence;
+  CrashDetector evidence;
   (void)evidence.OnLost({Request("x"), 1s}, kLife, kAddress, kStart);
   CHECK(evidence.Unconfirmed(kStart).empty());
   evidence.OnInconclusive(kLife);
@@ -63,11 +63,11 @@
 
 TEST_CASE("a crash after a reset of the same endpoint's connections is seen",
           "[routing]") {
-  CrashEvidence evidence;
+  CrashDetector evidence;
   (void)evidence.OnLost({Request("reset"), 1s}, kLife, kAddress, kStart);
   evidence.OnInconclusive(kLife);
   CHECK(evidence.OnLost({Request("x"), 1s}, kLife, kAddress, kStart + 1s) ==
-        LossVerdict::kProbe);
+        LossAction::kProbe);
   const auto crash = evidence.OnCrashed(kLife);
   CHECK(crash.first_loss_at_ == kStart + 1s);
   REQUIRE(crash.attempts_.size() == 1);
@@ -75,12 +75,13 @@
 }
 
 TEST_CASE("the memory of losses is bounded", "[routing]") {
-  CrashEvidenceSettings settings;
+  CrashDetectorSettings settings;
   settings.max_endpoints_ = 2;
   settings.max_requests_ = 2;
-  CrashEvidence evidence(settings);
+  CrashDetector evidence(settings);
   for (int i = 0; i < 5; ++i) {
-    const EndpointLife life{core::InstanceId("i-" + std::to_string(i)), {}};
+    const EndpointIncarnation life{core::InstanceId("i-" + std::to_string(i)),
+                                   {}};
     for (int j = 0; j < 5; ++j) {
       (void)evidence.OnLost({Request(std::to_string(j)), 1s}, life, kAddress,
                             kStart);
--- a/tests/routing/endpoint_life_test.cpp
+++ b/tests/routing/endpoint_life_test.cpp
@@ -50,7 +50,7 @@
   Engines() : table_({}, 1) { List({RowOf(1000)}, 1); }
 
   void List(std::vector<EndpointRow> rows, std::uint64_t revision) {
-    table_.TakeList(std::move(rows), revision, true, kStart);
+    table_.ApplyList(std::move(rows), revision, true, kStart);
   }
   [[nodiscard]] bool Chosen(std::optional<std::uint64_t> version = {}) {
     ChoiceRequest request;
@@ -81,7 +81,7 @@
       Case{"it was leaving, and its agent reports another life",
            [](auto& engines) {
              engines.table_.MarkLeaving({kId, At(1000)});
-             engines.table_.TakeReport(kAddress, ReportOf(2000), kStart);
+             engines.table_.ApplyReport(kAddress, ReportOf(2000), kStart);
            },
            true},
       Case{"it was leaving, and the same life is listed as ready",
@@ -99,26 +99,26 @@
       Case{"that the earlier life is gone is heard late",
            [](auto& engines) {
              engines.List({RowOf(2000)}, 2);
-             engines.table_.MarkGone({kId, At(1000)});
+             engines.table_.MarkTerminated({kId, At(1000)});
            },
            true},
       Case{"it holds no weights before it says so",
            [](auto& engines) {
-             engines.table_.TakeReport(kAddress, ReportOf(1000), kStart);
+             engines.table_.ApplyReport(kAddress, ReportOf(1000), kStart);
              engines.List({RowOf(2000, 0)}, 2);
            },
            false},
       Case{"the row of a life between is read after the newest one's report",
            [](auto& engines) {
-             engines.table_.TakeReport(kAddress, ReportOf(3000), kStart);
+             engines.table_.ApplyReport(kAddress, ReportOf(3000), kStart);
              engines.List({RowOf(2000, 0)}, 2);
-             engines.table_.TakeReport(kAddress, ReportOf(3000), kStart + 1ms);
+             engines.table_.ApplyReport(kAddress, ReportOf(3000), kStart + 1ms);
              engines.List({RowOf(2000, 0)}, 3);
            },
            true},
       Case{"the earlier life's row is read after the new one's report",
            [](auto& engines) {
-             engines.table_.TakeReport(kAddress, ReportOf(2000, 0), kStart);
+             engines.table_.ApplyReport(kAddress, ReportOf(2000, 0), kStart);
              engines.List({RowOf(1000)}, 2);
            },
            false},
@@ -126,20 +126,20 @@
            [](auto& engines) {
              auto report = ReportOf(1000);
              report.accepting_ = false;
-             engines.table_.TakeReport(kAddress, report, kStart);
+             engines.table_.ApplyReport(kAddress, report, kStart);
              engines.List({RowOf(2000)}, 2);
            },
            true},
       Case{"the agent tells of a life after the list lost the one before",
            [](auto& engines) {
              engines.List({}, 2);
-             engines.table_.TakeTold(RowOf(2000), kStart);
+             engines.table_.ApplyAnnouncement(RowOf(2000), kStart);
            },
            true},
       Case{"the agent tells of the life that left the list",
            [](auto& engines) {
              engines.List({}, 2);
-             engines.table_.TakeTold(RowOf(1000), kStart);
+             engines.table_.ApplyAnnouncement(RowOf(1000), kStart);
            },
            false});
   CAPTURE(row.name_);
@@ -157,16 +157,16 @@
   // good.
   using Word = std::function<void(EndpointTable&)>;
   const Word early = [](EndpointTable& table) {
-    table.TakeReport(kAddress, ReportOf(1000), kStart + 10ms);
+    table.ApplyReport(kAddress, ReportOf(1000), kStart + 10ms);
   };
   const Word told_early = [](EndpointTable& table) {
-    table.TakeLife(kAddress, {kId, At(1000)}, kStart + 10ms);
+    table.ApplyIncarnation(kAddress, {kId, At(1000)}, kStart + 10ms);
   };
   const Word again = [](EndpointTable& table) {
-    table.TakeReport(kAddress, ReportOf(2000), kStart + 20ms);
+    table.ApplyReport(kAddress, ReportOf(2000), kStart + 20ms);
   };
   const Word told_again = [](EndpointTable& table) {
-    table.TakeLife(kAddress, {kId, At(2000)}, kStart + 20ms);
+    table.ApplyIncarnation(kAddress, {kId, At(2000)}, kStart + 20ms);
   };
   const auto marked_by_row = GENERATE(true, false);
   const auto before = GENERATE_COPY(early, told_early);
@@ -181,7 +181,7 @@
   CHECK_FALSE(engines.Chosen());
   before(engines.table_);
   after(engines.table_);
-  engines.table_.TakeReport(kAddress, ReportOf(2000), kStart + 30ms);
+  engines.table_.ApplyReport(kAddress, ReportOf(2000), kStart + 30ms);
   CHECK_FALSE(engines.Chosen());
   engines.List({RowOf(3000)}, 3);
   CHECK(engines.Chosen());
@@ -258,13 +258,13 @@
           ++revision;
           break;
         case Step::kReadList:
-          engines.table_.TakeList({written}, revision, true, now);
+          engines.table_.ApplyList({written}, revision, true, now);
           break;
         case Step::kReport: {
           reports.push_back(reports.back());
           const auto sent = *rc::gen::inRange<std::size_t>(0, reports.size());
           if (!order.CheckLate(std::chrono::milliseconds(sent))) {
-            engines.table_.TakeReport(kAddress, reports[sent], now);
+            engines.table_.ApplyReport(kAddress, reports[sent], now);
           }
           break;
         }
@@ -274,8 +274,8 @@
     now += 1ms;
     const std::chrono::milliseconds sent(reports.size() - 1);
     RC_ASSERT(!order.CheckLate(sent));
-    engines.table_.TakeReport(kAddress, reports.back(), now);
-    engines.table_.TakeList({living}, ++revision, true, now);
+    engines.table_.ApplyReport(kAddress, reports.back(), now);
+    engines.table_.ApplyList({living}, ++revision, true, now);
     const bool serves = living.weights_version_ && !living.leaving_;
     RC_ASSERT(engines.Chosen() == serves);
     if (serves) {
--- a/tests/routing/endpoint_silence_test.cpp
+++ b/tests/routing/endpoint_silence_test.cpp
@@ -29,10 +29,10 @@
   config::EngineProfile engine;
   engine.slots_ = 8;
   engine.step_time_ = 14ms;
-  engine.read_per_second_ = 14'000;
-  engine.stride_ = 5;
-  engine.usual_prompt_ = 1000;
-  engine.usual_answer_ = 70;
+  engine.prefill_tokens_per_second_ = 14'000;
+  engine.steps_per_pass_ = 5;
+  engine.mean_prompt_tokens_ = 1000;
+  engine.mean_output_tokens_ = 70;
   return engine;
 }
 
@@ -64,11 +64,11 @@
            "a"});
   CAPTURE(row.name_);
   EndpointTable table({.domain_ = core::FailureDomainId("d")}, 1);
-  table.TakeList({Row("a", "d"), Row("b", "d")}, 1, true, kStart);
-  table.TakeReport("a:1", Running(0), kStart);
+  table.ApplyList({Row("a", "d"), Row("b", "d")}, 1, true, kStart);
+  table.ApplyReport("a:1", Running(0), kStart);
   const auto now = kStart + row.silence_;
   for (auto at = kStart; at <= now; at += 100ms) {
-    table.TakeReport("b:1", Running(7), at);
+    table.ApplyReport("b:1", Running(7), at);
   }
   row.meanwhile_(table, now);
   const auto engine = Engine();
@@ -80,9 +80,9 @@
 
 TEST_CASE("a pause of the entry itself makes no endpoint silent", "[routing]") {
   EndpointTable table({.domain_ = core::FailureDomainId("d")}, 1);
-  table.TakeList({Row("a", "d"), Row("b", "d")}, 1, true, kStart);
-  table.TakeReport("a:1", Running(1), kStart);
-  table.TakeReport("b:1", Running(7), kStart + 50ms);
+  table.ApplyList({Row("a", "d"), Row("b", "d")}, 1, true, kStart);
+  table.ApplyReport("a:1", Running(1), kStart);
+  table.ApplyReport("b:1", Running(7), kStart + 50ms);
   const auto engine = Engine();
   const ChoiceRequest request{.service_ = "pool", .engine_ = &engine};
   const auto choice = table.Choose(request, kStart + 5s);
@@ -101,7 +101,7 @@
   for (int i = 0; i < 40; ++i) {
     rows.push_back(Row("i" + std::to_string(i), i < 30 ? "d" : "far"));
   }
-  table.TakeList(rows, 1, true, kStart);
+  table.ApplyList(rows, 1, true, kStart);
   std::set<core::InstanceId> subset;
   for (const auto& chosen : table.Subset()) {
     subset.insert(chosen.id_);
@@ -131,7 +131,7 @@
   for (int i = 0; i < 40; ++i) {
     rows.push_back(Row("i" + std::to_string(i), "d"));
   }
-  table.TakeList(rows, 1, true, kStart);
+  table.ApplyList(rows, 1, true, kStart);
   const auto before = table.Subset();
   table.MarkLeaving(before.front().incarnation());
   const auto after = table.Subset();
--- a/tests/routing/endpoint_table_test.cpp
+++ b/tests/routing/endpoint_table_test.cpp
@@ -24,7 +24,7 @@
 
 EndpointTable Table(std::vector<EndpointRow> rows) {
   EndpointTable table({.domain_ = core::FailureDomainId("near")}, 1);
-  table.TakeList(std::move(rows), 1, true, kStart);
+  table.ApplyList(std::move(rows), 1, true, kStart);
   return table;
 }
 
@@ -32,10 +32,10 @@
   config::EngineProfile engine;
   engine.slots_ = 16;
   engine.step_time_ = 10ms;
-  engine.read_per_second_ = 20'000;
-  engine.stride_ = 5;
-  engine.usual_prompt_ = 1000;
-  engine.usual_answer_ = 90;
+  engine.prefill_tokens_per_second_ = 20'000;
+  engine.steps_per_pass_ = 5;
+  engine.mean_prompt_tokens_ = 1000;
+  engine.mean_output_tokens_ = 90;
   return engine;
 }
 
@@ -61,7 +61,7 @@
            "far"},
       Case{"another incarnation has its address",
            [](auto& table, auto&) {
-             table.MarkGone({core::InstanceId("a"), std::nullopt});
+             table.MarkTerminated({core::InstanceId("a"), std::nullopt});
            },
            "far"},
       Case{"it was tried",
@@ -79,7 +79,7 @@
              LoadReport report;
              report.accepting_ = false;
              report.weights_version_ = 1;
-             table.TakeReport("a:1", report, kStart);
+             table.ApplyReport("a:1", report, kStart);
            },
            "far"},
       Case{"its weights are older than the bound",
@@ -93,7 +93,7 @@
              LoadReport report;
              report.weights_version_ = 1;
              report.path_delay_ = 800ms;
-             table.TakeReport("a:1", report, kStart);
+             table.ApplyReport("a:1", report, kStart);
              table.MarkVersion(core::InstanceId("far"), 2);
              request.version_constraint_ = {0, 2, kStart + 700ms};
            },
@@ -108,7 +108,7 @@
            [](auto& table, auto&) {
              LoadReport report;
              report.weights_version_ = 1;
-             table.TakeReport("far:1", report, kStart);
+             table.ApplyReport("far:1", report, kStart);
            },
            "far"},
       Case{"its path holds messages back",
@@ -116,7 +116,7 @@
              LoadReport report;
              report.weights_version_ = 1;
              report.path_delay_ = 600ms;
-             table.TakeReport("a:1", report, kStart);
+             table.ApplyReport("a:1", report, kStart);
            },
            "far"},
       Case{"other weights are pinned",
@@ -160,7 +160,7 @@
   auto table = Table({Row("a"), Row("far", "elsewhere")});
   LoadReport report;
   report.weights_version_ = 1;
-  table.TakeReport("a:1", report, kStart);
+  table.ApplyReport("a:1", report, kStart);
   table.MarkVersion(core::InstanceId("far"), 2);
   const auto engine = Engine();
   const auto now = kStart + row.age_;
@@ -183,9 +183,9 @@
   LoadReport report;
   report.weights_version_ = 1;
   report.active_ = row.near_;
-  table.TakeReport("a:1", report, kStart);
+  table.ApplyReport("a:1", report, kStart);
   report.active_ = row.far_;
-  table.TakeReport("far:1", report, kStart);
+  table.ApplyReport("far:1", report, kStart);
   const auto engine = Engine();
   CHECK(Chosen(table, {.service_ = "pool", .engine_ = &engine}, kStart) ==
         row.chosen_);
@@ -198,12 +198,12 @@
   LoadReport report;
   report.weights_version_ = 1;
   report.active_ = 3;
-  table.TakeReport("a:1", report, kStart);
+  table.ApplyReport("a:1", report, kStart);
   table.OnSent(core::InstanceId("a"), 1000, kStart + 1ms);
   table.OnSent(core::InstanceId("a"), 1000, kStart + 2ms);
   CHECK(table.Choose(request, kStart + 3ms)->requests_ahead_ == 5);
   report.active_ = 5;
-  table.TakeReport("a:1", report, kStart + 10ms);
+  table.ApplyReport("a:1", report, kStart + 10ms);
   CHECK(table.Choose(request, kStart + 11ms)->requests_ahead_ == 5);
 }
 
@@ -215,7 +215,7 @@
   LoadReport report;
   report.active_ = 3;
   report.queued_ = 2;
-  table.TakeReport("a:1", report, kStart);
+  table.ApplyReport("a:1", report, kStart);
   CHECK(table.LoadOf(id, kStart) == 5);
   table.OnSent(id, 10, kStart + 1ms);
   CHECK(table.LoadOf(id, kStart + 1ms) == 6);
@@ -225,9 +225,9 @@
   auto table = Table({Row("a")});
   LoadReport report;
   report.weights_version_ = 2;
-  table.TakeReport("a:1", report, kStart + 5ms);
+  table.ApplyReport("a:1", report, kStart + 5ms);
   report.weights_version_ = 1;
-  table.TakeReport("a:1", report, kStart);
+  table.ApplyReport("a:1", report, kStart);
   CHECK(table.NewestVersion("pool") == 2);
 }
 
@@ -247,10 +247,10 @@
   LoadReport busy;
   busy.weights_version_ = 1;
   busy.active_ = 16;
-  table.TakeReport("b:1", busy, kStart + 30s);
+  table.ApplyReport("b:1", busy, kStart + 30s);
   LoadReport idle;
   idle.weights_version_ = 1;
-  table.TakeReport("a:1", idle, kStart + 30s);
+  table.ApplyReport("a:1", idle, kStart + 30s);
   CHECK(Chosen(table, request, kStart + 30s) == "a");
 }
 
@@ -291,7 +291,7 @@
                             Case{"behind a gap", 7, 9, false, {"a", "b"}, 5});
   CAPTURE(row.name_);
   EndpointTable table({.domain_ = core::FailureDomainId("near")}, 1);
-  table.TakeList({Row("a"), Row("b")}, 5, true, kStart);
+  table.ApplyList({Row("a"), Row("b")}, 5, true, kStart);
   auto leaving = Row("b");
   leaving.leaving_ = true;
   EndpointListChange change;
@@ -299,7 +299,7 @@
   change.to_ = row.to_;
   change.rows_ = {leaving, Row("c")};
   change.removed_ = {core::InstanceId("a")};
-  CHECK(table.TakeChange(change, kStart) == row.taken_);
+  CHECK(table.ApplyChange(change, kStart) == row.taken_);
   std::vector<std::string> ids;
   for (const auto& known : table.Rows()) {
     ids.push_back(known.id_.value());
@@ -315,16 +315,16 @@
   // first read are in none of its reads.
   const bool complete = GENERATE(true, false);
   EndpointTable table({.domain_ = core::FailureDomainId("near")}, 1);
-  table.TakeList({Row("a"), Row("b")}, 5, true, kStart);
+  table.ApplyList({Row("a"), Row("b")}, 5, true, kStart);
   EndpointListChange change;
   change.to_ = 9;
   change.rows_ = {Row("b")};
   change.full_ = true;
   change.complete_ = complete;
-  CHECK(table.TakeChange(change, kStart));
+  CHECK(table.ApplyChange(change, kStart));
   CHECK(table.size() == (complete ? 1 : 2));
   change.to_ = 10;
-  CHECK(table.TakeChange(change, kStart + 3s));
+  CHECK(table.ApplyChange(change, kStart + 3s));
   CHECK(table.size() == 1);
 }
 
@@ -353,10 +353,10 @@
   change.rows_ = {Row("b")};
   change.full_ = true;
   change.complete_ = false;
-  CHECK(table.TakeChange(change, kStart));
+  CHECK(table.ApplyChange(change, kStart));
   if (row.told_complete_) {
     change.complete_ = true;
-    CHECK(table.TakeChange(change, kStart + 600ms));
+    CHECK(table.ApplyChange(change, kStart + 600ms));
   }
   const auto engine = Engine();
   const ChoiceRequest request{.service_ = "pool",
@@ -369,27 +369,27 @@
           "[routing]") {
   auto table = Table({Row("a"), Row("b")});
   SECTION("an older list is ignored") {
-    table.TakeList({Row("a")}, 5, true, kStart);
-    table.TakeList({Row("a"), Row("b")}, 4, true, kStart);
+    table.ApplyList({Row("a")}, 5, true, kStart);
+    table.ApplyList({Row("a"), Row("b")}, 4, true, kStart);
     CHECK(table.size() == 1);
   }
   SECTION("a complete list removes at once") {
-    table.TakeList({Row("a")}, 5, true, kStart);
+    table.ApplyList({Row("a")}, 5, true, kStart);
     CHECK(table.size() == 1);
   }
   SECTION("after the store was away a missing row stays for the grace time") {
-    table.TakeList({Row("a")}, 5, false, kStart);
+    table.ApplyList({Row("a")}, 5, false, kStart);
     CHECK(table.size() == 2);
-    table.TakeList({Row("a")}, 6, false, kStart + 2s);
+    table.ApplyList({Row("a")}, 6, false, kStart + 2s);
     CHECK(table.size() == 2);
-    table.TakeList({Row("a")}, 7, false, kStart + 3s);
+    table.ApplyList({Row("a")}, 7, false, kStart + 3s);
     CHECK(table.size() == 1);
   }
   SECTION("a row that leaves does not come back to work") {
     auto leaving = Row("b");
     leaving.leaving_ = true;
-    table.TakeList({Row("a"), leaving}, 5, true, kStart);
-    table.TakeList({Row("a"), Row("b")}, 6, true, kStart);
+    table.ApplyList({Row("a"), leaving}, 5, true, kStart);
+    table.ApplyList({Row("a"), Row("b")}, 6, true, kStart);
     const auto engine = Engine();
     CHECK(Chosen(table,
                  {.service_ = "pool",
@@ -410,7 +410,7 @@
   core::Duration before{};
   for (const std::uint32_t active : {0U, 8U, 15U, 16U, 24U, 40U}) {
     report.active_ = active;
-    table.TakeReport("a:1", report, kStart);
+    table.ApplyReport("a:1", report, kStart);
     const auto first_byte = table.Choose(request, kStart)->time_to_first_byte_;
     CHECK(first_byte >= before);
     before = first_byte;
@@ -437,7 +437,7 @@
   LoadReport report;
   report.weights_version_ = 1;
   report.active_ = 7;
-  table.TakeReport("shared:1", report, kStart);
+  table.ApplyReport("shared:1", report, kStart);
   CHECK(Chosen(table, request, kStart) == "b");
   CHECK(table.LoadOf(core::InstanceId("b"), kStart) == 7);
 }
@@ -447,17 +447,17 @@
   auto table = Table({RowAt("a", 3)});
   const auto engine = Engine();
   const ChoiceRequest request{.service_ = "pool", .engine_ = &engine};
-  table.TakeTold(RowAt("b", 0), kStart);
+  table.ApplyAnnouncement(RowAt("b", 0), kStart);
   LoadReport report;
   report.weights_version_ = 1;
-  table.TakeReport("shared:1", report, kStart);
+  table.ApplyReport("shared:1", report, kStart);
   CHECK(Chosen(table, request, kStart) == "b");
-  table.TakeList({RowAt("a", 3)}, 2, true, kStart + 1s);
+  table.ApplyList({RowAt("a", 3)}, 2, true, kStart + 1s);
   CHECK(Chosen(table, request, kStart + 1s) == "b");
   // Unlisted for too long it is gone, and is not told back.
-  table.TakeList({RowAt("a", 3)}, 3, true, kStart + 3s);
+  table.ApplyList({RowAt("a", 3)}, 3, true, kStart + 3s);
   CHECK(Chosen(table, request, kStart + 3s).empty());
-  table.TakeTold(RowAt("b", 0), kStart + 3s);
+  table.ApplyAnnouncement(RowAt("b", 0), kStart + 3s);
   CHECK(Chosen(table, request, kStart + 3s).empty());
 }
 
@@ -485,13 +485,13 @@
   auto table = Table({RowAt("a", 3)});
   const auto engine = Engine();
   const ChoiceRequest request{.service_ = "pool", .engine_ = &engine};
-  table.TakeTold(RowAt("b", 0), kStart);
+  table.ApplyAnnouncement(RowAt("b", 0), kStart);
   LoadReport report;
   report.weights_version_ = 1;
-  table.TakeReport("shared:1", report, kStart);
+  table.ApplyReport("shared:1", report, kStart);
   if (row.listed_before_) {
-    table.TakeList({RowAt("a", 3), RowAt("b", 4)}, 2, true, kStart + 50ms,
-                   kStart);
+    table.ApplyList({RowAt("a", 3), RowAt("b", 4)}, 2, true, kStart + 50ms,
+                    kStart);
   }
   EndpointListChange change;
   change.from_ = 1;
@@ -502,7 +502,7 @@
   if (row.whole_) {
     change.rows_ = {RowAt("a", 3)};
   }
-  CHECK(table.TakeChange(change, kStart + row.asked_ + 10ms));
+  CHECK(table.ApplyChange(change, kStart + row.asked_ + 10ms));
   CHECK(Chosen(table, request, kStart + row.asked_ + 10ms) ==
         (row.used_ ? "b" : ""));
 }
@@ -511,8 +511,8 @@
   auto table = Table({RowAt("a", 3)});
   const auto engine = Engine();
   const ChoiceRequest request{.service_ = "pool", .engine_ = &engine};
-  table.TakeList({}, 2, true, kStart + 1s);
-  table.TakeTold(RowAt("a", 0), kStart + 1s);
+  table.ApplyList({}, 2, true, kStart + 1s);
+  table.ApplyAnnouncement(RowAt("a", 0), kStart + 1s);
   CHECK(Chosen(table, request, kStart + 1s).empty());
 }
 
@@ -523,9 +523,9 @@
   table.MarkReplaced(core::InstanceId("a"), core::InstanceId("b"));
   CHECK(Chosen(table, request, kStart).empty());
   // Its lease goes on for seconds: each list still has it.
-  table.TakeList({RowAt("a", 3)}, 2, true, kStart + 1s);
+  table.ApplyList({RowAt("a", 3)}, 2, true, kStart + 1s);
   CHECK(Chosen(table, request, kStart + 1s).empty());
-  table.TakeList({RowAt("a", 3), RowAt("b", 8)}, 3, true, kStart + 1s);
+  table.ApplyList({RowAt("a", 3), RowAt("b", 8)}, 3, true, kStart + 1s);
   CHECK(Chosen(table, request, kStart + 1s) == "b");
 }
 
--- a/tests/routing/event_splitter_test.cpp
+++ b/tests/routing/event_splitter_test.cpp
@@ -37,7 +37,7 @@
   EventSplitter splitter;
   auto all = splitter.Append(Event(1) + Event(2) + "id: 3\nda").bytes_;
   CHECK(splitter.last_id() == 2);
-  splitter.DropRest();
+  splitter.DiscardPartialEvent();
   all += splitter.Append(Event(2) + Event(3) + Event(4)).bytes_;
   CHECK(all == Event(1) + Event(2) + Event(3) + Event(4));
 }
--- a/tests/routing/execution_guard_test.cpp
+++ b/tests/routing/execution_guard_test.cpp
@@ -21,7 +21,7 @@
 }
 
 TEST_CASE("a ticket runs once, here and now or never", "[routing]") {
-  using enum TicketVerdict;
+  using enum TicketStatus;
   ExecutionGuard guard(kId, 7);
   const auto minter = guard.RegisterIssuer();
   const ExecutionTicket ticket{kId, 7, minter, 5};
@@ -30,29 +30,29 @@
   CHECK(guard.Use({kId, 7, minter, 4}) == kAccepted);
   CHECK(guard.Use({kId, 6, minter, 1}) == kOtherIncarnation);
   CHECK(guard.Use({core::InstanceId("c"), 7, minter, 1}) == kOtherIncarnation);
-  CHECK(guard.Use({kId, 7, minter + 1, 1}) == kForgotten);
-  guard.KeepAnswer(ticket, "answer");
-  CHECK(guard.Use(ticket) == kAnswerHeld);
-  CHECK(*guard.FindAnswer(ticket) == "answer");
+  CHECK(guard.Use({kId, 7, minter + 1, 1}) == kExpired);
+  guard.CacheResponse(ticket, "answer");
+  CHECK(guard.Use(ticket) == kResponseCached);
+  CHECK(*guard.FindCachedResponse(ticket) == "answer");
   const auto far = 5 + ExecutionGuard::kWindow;
   CHECK(guard.Use({kId, 7, minter, far}) == kAccepted);
-  CHECK(guard.Use({kId, 7, minter, 3}) == kForgotten);
+  CHECK(guard.Use({kId, 7, minter, 3}) == kExpired);
 }
 
 TEST_CASE("the guard's memory is bounded", "[routing]") {
-  ExecutionGuard guard(kId, 7, {.max_minters_ = 4, .max_answers_ = 2});
+  ExecutionGuard guard(kId, 7, {.max_issuers_ = 4, .max_cached_responses_ = 2});
   const auto first = guard.RegisterIssuer();
   for (int i = 0; i < 100; ++i) {
     (void)guard.RegisterIssuer();
   }
-  CHECK(guard.minter_count() == 4);
-  CHECK(guard.Use({kId, 7, first, 1}) == TicketVerdict::kForgotten);
+  CHECK(guard.issuer_count() == 4);
+  CHECK(guard.Use({kId, 7, first, 1}) == TicketStatus::kExpired);
   const auto minter = guard.RegisterIssuer();
   for (std::uint64_t i = 1; i <= 3; ++i) {
-    guard.KeepAnswer({kId, 7, minter, i}, "x");
+    guard.CacheResponse({kId, 7, minter, i}, "x");
   }
-  CHECK(guard.FindAnswer({kId, 7, minter, 1}) == nullptr);
-  CHECK(guard.FindAnswer({kId, 7, minter, 3}) != nullptr);
+  CHECK(guard.FindCachedResponse({kId, 7, minter, 1}) == nullptr);
+  CHECK(guard.FindCachedResponse({kId, 7, minter, 3}) != nullptr);
 }
 
 /// The way not taken: the caller chooses the key, and the first endpoint in
@@ -61,7 +61,7 @@
           "[routing]") {
   const std::vector<core::InstanceId> before{
       core::InstanceId("a"), core::InstanceId("b"), core::InstanceId("c")};
-  const auto home = membership::FirstChoices("order-1", before, 1).front();
+  const auto home = membership::HighestRanked("order-1", before, 1).front();
   std::vector<core::InstanceId> after;
   for (const auto& id : before) {
     if (id != home) {
@@ -72,12 +72,12 @@
   // it; the caller asks again with the same key.
   std::map<core::InstanceId, int> runs;
   ++runs[home];
-  const auto next = membership::FirstChoices("order-1", after, 1).front();
+  const auto next = membership::HighestRanked("order-1", after, 1).front();
   ++runs[next];
   CHECK(runs.size() == 2);
   // By ticket: the same ticket names the home, and the next one refuses it.
   ExecutionGuard guard(next, 1);
-  CHECK(guard.Use({home, 1, 1, 1}) == TicketVerdict::kOtherIncarnation);
+  CHECK(guard.Use({home, 1, 1, 1}) == TicketStatus::kOtherIncarnation);
 }
 
 }  // namespace
--- a/tests/routing/incarnation_table_test.cpp
+++ b/tests/routing/incarnation_table_test.cpp
@@ -14,14 +14,14 @@
 }
 
 // Lives that do not tell when they started.
-const EndpointLife kOld{core::InstanceId("old"), std::nullopt};
-const EndpointLife kNew{core::InstanceId("new"), std::nullopt};
+const EndpointIncarnation kOld{core::InstanceId("old"), std::nullopt};
+const EndpointIncarnation kNew{core::InstanceId("new"), std::nullopt};
 // Lives of one id.
-const EndpointLife kFirst{core::InstanceId("id"), At(1000ms)};
-const EndpointLife kAgain{core::InstanceId("id"), At(9000ms)};
+const EndpointIncarnation kFirst{core::InstanceId("id"), At(1000ms)};
+const EndpointIncarnation kAgain{core::InstanceId("id"), At(9000ms)};
 /// Its clock was stepped back before it started.
-const EndpointLife kStepped{core::InstanceId("id"), At(500ms)};
-const EndpointLife kUntold{core::InstanceId("id"), std::nullopt};
+const EndpointIncarnation kStepped{core::InstanceId("id"), At(500ms)};
+const EndpointIncarnation kUntold{core::InstanceId("id"), std::nullopt};
 const std::string kAddress = "10.0.0.1:80";
 
 TEST_CASE("one incarnation answers at an address", "[routing]") {
@@ -90,8 +90,8 @@
   struct Case {
     std::string name_;
     std::function<void(IncarnationTable&)> act_;
-    EndpointLife living_;
-    EndpointLife dead_;
+    EndpointIncarnation living_;
+    EndpointIncarnation dead_;
   };
   const auto row =
       GENERATE(Case{"its row shows it",
--- a/tests/routing/request_quarantine_test.cpp
+++ b/tests/routing/request_quarantine_test.cpp
@@ -133,7 +133,7 @@
   const auto request = Request("x");
   (void)quarantine.AddCrash(request, Crash(1, 0s));
   (void)quarantine.AddCrash(request, Crash(2, 1s));
-  quarantine.SetTrial(request, kStart + 10s);
+  quarantine.SetTrialUntil(request, kStart + 10s);
   CHECK(quarantine.TrialActive(request, kStart + 9s));
   SECTION("time") {
     CHECK_FALSE(quarantine.TrialActive(request, kStart + 10s));
@@ -222,7 +222,7 @@
   }
   (void)quarantine.AddCrash(Request("x"), Crash(1, 0s));
   (void)quarantine.AddCrash(Request("x"), Crash(2, 1s));
-  for (unsigned i = 0; i < 6 * settings.clear_samples_; ++i) {
+  for (unsigned i = 0; i < 6 * settings.max_clear_samples_; ++i) {
     const auto sample = quarantine.Sample(2);
     REQUIRE_FALSE(sample.empty());
     CHECK(sample.front().request_ == Request("x"));
--- a/tests/routing/request_tracker_test.cpp
+++ b/tests/routing/request_tracker_test.cpp
@@ -28,7 +28,7 @@
     (void)tracker.OnChosen(core::InstanceId(std::to_string(++endpoint)),
                            kStart);
     if (forwarded) {
-      (void)tracker.TakeAnswerBytes(tracker.attempt());
+      (void)tracker.AcceptResponseBytes(tracker.attempt());
     }
     actions = tracker.OnEnded(tracker.attempt(), end, kStart);
   }
@@ -88,7 +88,7 @@
   CHECK_FALSE(
       std::get<ChooseEndpoint>(tracker.Start(kStart).back()).same_weights_);
   (void)tracker.OnChosen(core::InstanceId("a"), kStart);
-  CHECK(tracker.TakeAnswerBytes(1, 3));
+  CHECK(tracker.AcceptResponseBytes(1, 3));
   const auto actions = tracker.OnEnded(1, AttemptEnd::kLost, kStart);
   CHECK(std::get<ChooseEndpoint>(actions.back()).same_weights_);
   const auto sent = tracker.OnChosen(core::InstanceId("b"), kStart);
@@ -113,9 +113,9 @@
   (void)tracker.OnChosen(core::InstanceId("a"), kStart);
   (void)tracker.OnEnded(1, AttemptEnd::kLost, kStart);
   (void)tracker.OnChosen(core::InstanceId("b"), kStart);
-  CHECK_FALSE(tracker.TakeAnswerBytes(1));
+  CHECK_FALSE(tracker.AcceptResponseBytes(1));
   CHECK(tracker.OnEnded(1, AttemptEnd::kComplete, kStart).empty());
-  CHECK(tracker.TakeAnswerBytes(2));
+  CHECK(tracker.AcceptResponseBytes(2));
 }
 
 TEST_CASE("an answer from other weights is cancelled before a byte",
@@ -126,7 +126,7 @@
   const auto actions = tracker.OnResponseStarted(1, false, kStart);
   CHECK(std::holds_alternative<CancelAttempt>(actions.front()));
   CHECK(std::holds_alternative<ChooseEndpoint>(actions.back()));
-  CHECK_FALSE(tracker.TakeAnswerBytes(1));
+  CHECK_FALSE(tracker.AcceptResponseBytes(1));
 }
 
 TEST_CASE("giving up is final at once", "[routing]") {
--- a/tests/routing/retry_spread_test.cpp
+++ b/tests/routing/retry_spread_test.cpp
@@ -13,7 +13,7 @@
 
 TEST_CASE("a drawn time is between three quarters and the whole", "[routing]") {
   const core::Duration longest = GENERATE(0ms, 1ms, 500ms, 2000ms);
-  RetrySpread spread(1);
+  RetryJitter spread(1);
   for (int i = 0; i < 100; ++i) {
     const auto drawn = spread.Draw(longest);
     CHECK(drawn >= longest * 3 / 4);
@@ -23,8 +23,8 @@
 
 TEST_CASE("callers who were rejected together are not taken for fresh ones",
           "[routing]") {
-  RetrySpread spread(1);
-  RequestAge ages;
+  RetryJitter spread(1);
+  RequestAgeEstimator ages;
   int taken_for_fresh = 0;
   for (int i = 0; i < 300; ++i) {
     (void)ages.AddAndEstimate("route", 6000ms);
--- a/tests/routing/slot_queue_test.cpp
+++ b/tests/routing/slot_queue_test.cpp
@@ -22,12 +22,12 @@
 TEST_CASE("a run starts, waits or is refused", "[routing]") {
   struct Row {
     int before_;
-    SlotVerdict verdict_;
+    SlotDecision verdict_;
   };
   const auto row =
-      GENERATE(Row{0, SlotVerdict::kStart}, Row{1, SlotVerdict::kStart},
-               Row{2, SlotVerdict::kWait}, Row{4, SlotVerdict::kWait},
-               Row{5, SlotVerdict::kFull});
+      GENERATE(Row{0, SlotDecision::kStart}, Row{1, SlotDecision::kStart},
+               Row{2, SlotDecision::kWait}, Row{4, SlotDecision::kWait},
+               Row{5, SlotDecision::kFull});
   SlotQueue slots({.capacity_ = 2, .max_waiting_ = 3});
   std::uint64_t run = 0;
   for (int i = 0; i < row.before_; ++i) {
@@ -53,7 +53,7 @@
 }
 
 TEST_CASE("sharers are the senders of late, at least one", "[routing]") {
-  SlotQueue slots({.sender_memory_ = 5s});
+  SlotQueue slots({.sender_activity_window_ = 5s});
   CHECK(slots.active_senders(kStart) == 1);
   (void)slots.Offer(1, kNorth, kStart);
   (void)slots.Offer(2, kSouth, kStart + 3s);
@@ -90,10 +90,10 @@
         const auto verdict = slots.Offer(
             ++next, core::InstanceId(std::to_string(sender)), kStart);
         const bool full = oracle.running_.size() == kCapacity;
-        RC_ASSERT((verdict == SlotVerdict::kStart) == !full);
-        if (verdict == SlotVerdict::kStart) {
+        RC_ASSERT((verdict == SlotDecision::kStart) == !full);
+        if (verdict == SlotDecision::kStart) {
           oracle.running_.insert(next);
-        } else if (verdict == SlotVerdict::kWait) {
+        } else if (verdict == SlotDecision::kWait) {
           oracle.waiting_[next] = sender;
         } else {
           RC_ASSERT(oracle.waiting_.size() == kMaxWaiting);
--- a/tests/routing/stream_admission_test.cpp
+++ b/tests/routing/stream_admission_test.cpp
@@ -17,10 +17,10 @@
   config::EngineProfile engine;
   engine.slots_ = 16;
   engine.step_time_ = 7ms;
-  engine.read_per_second_ = 30'000;
-  engine.stride_ = 6;
-  engine.usual_prompt_ = 900;
-  engine.usual_answer_ = 120;
+  engine.prefill_tokens_per_second_ = 30'000;
+  engine.steps_per_pass_ = 6;
+  engine.mean_prompt_tokens_ = 900;
+  engine.mean_output_tokens_ = 120;
   return engine;
 }
 
@@ -31,12 +31,12 @@
   row.service_ = "pool";
   row.address_ = "a:1";
   row.weights_version_ = 1;
-  table.TakeList({row}, 1, true, kStart);
+  table.ApplyList({row}, 1, true, kStart);
   LoadReport report;
   report.weights_version_ = 1;
   report.active_ = active;
   report.queued_ = queued;
-  table.TakeReport("a:1", report, kStart);
+  table.ApplyReport("a:1", report, kStart);
   return table;
 }
 
@@ -116,12 +116,12 @@
   LoadReport report;
   report.weights_version_ = 1;
   report.active_ = 4;
-  table.TakeReport("a:1", report, kStart + 900ms);
+  table.ApplyReport("a:1", report, kStart + 900ms);
   CHECK(table.Choose(wanted, kStart + 901ms)->time_to_first_byte_ == before);
 }
 
 TEST_CASE("the age of a request shows in the time it has left", "[routing]") {
-  RequestAge ages;
+  RequestAgeEstimator ages;
   CHECK(ages.AddAndEstimate("r", 6000ms) == 0ms);
   CHECK(ages.AddAndEstimate("r", 5400ms) == 600ms);
   for (int i = 0; i < 200; ++i) {
@@ -137,7 +137,7 @@
 
 TEST_CASE("callers who each give a time of their own are not taken for old",
           "[routing]") {
-  RequestAge ages;
+  RequestAgeEstimator ages;
   core::Duration oldest{};
   for (int i = 0; i < 500; ++i) {
     const auto age =
@@ -167,7 +167,7 @@
   std::mt19937 random(7);
   std::uniform_int_distribution<> time(row.least_, row.most_);
   std::uniform_int_distribution<> pause(1500, 2000);
-  RequestAge ages;
+  RequestAgeEstimator ages;
   int fresh = 0;
   int fresh_late = 0;
   int back = 0;
--- a/tests/swarm/older_pieces_test.cpp
+++ b/tests/swarm/older_pieces_test.cpp
@@ -22,7 +22,7 @@
 
 TEST_CASE("older pieces that are overwritten can be given from copies",
           "[swarm]") {
-  OlderPieces older(8);
+  OlderVersionChunks older(8);
   older.Start(kVersion, AllOf(4));
   CHECK(older.NeedsCopy(1));
   older.SaveCopy(1, "abcd");
@@ -52,13 +52,13 @@
   // Ten pieces of 100 each second.
   const auto row =
       GENERATE(Row{0, std::nullopt}, Row{10, 9s}, Row{50, 5s}, Row{100, 0s});
-  SourceProgress progress;
+  OriginProgress progress;
   core::TimePoint now{1h};
   progress.Start(100, now);
-  progress.OnSeen(0, now);
+  progress.OnAvailable(0, now);
   for (std::size_t seen = 1; seen <= row.seen_; ++seen) {
     now += 100ms;
-    progress.OnSeen(seen, now);
+    progress.OnAvailable(seen, now);
   }
   const auto left = progress.TimeLeft(now);
   REQUIRE(left.has_value() == row.left_.has_value());
@@ -71,7 +71,7 @@
 }
 
 TEST_CASE("a source is not judged before it was observed", "[swarm]") {
-  SourceProgress progress;
+  OriginProgress progress;
   const core::TimePoint now{1h};
   progress.Start(0, now);
   CHECK_FALSE(progress.HasRate(now + 900ms));
--- a/tests/swarm/roll_play.cpp
+++ b/tests/swarm/roll_play.cpp
@@ -25,19 +25,19 @@
   return core::Duration(static_cast<std::int64_t>(bytes / rate * kSecond));
 }
 
-PlannerSettings PlannerOf(const RollPlaySettings& settings) {
+PlannerSettings PlannerOf(const RolloutSimulationSettings& settings) {
   PlannerSettings planner;
-  planner.draw_window_ = settings.draw_window_;
+  planner.origin_window_ = settings.origin_window_;
   planner.origin_copies_ = 1;
-  planner.per_peer_ = 1;
-  planner.origin_in_flight_ = 1;
-  planner.draw_silence_ = 900ms;
+  planner.max_requests_per_peer_ = 1;
+  planner.max_origin_requests_ = 1;
+  planner.origin_takeover_timeout_ = 900ms;
   planner.chunk_timeout_ = 2500ms;
-  planner.import_silence_ = 500ms;
+  planner.import_takeover_timeout_ = 500ms;
   return planner;
 }
 
-FetchWindowSettings WindowOf(const RollPlaySettings& settings) {
+FetchWindowSettings WindowOf(const RolloutSimulationSettings& settings) {
   FetchWindowSettings window;
   window.bytes_per_second_ = static_cast<std::uint64_t>(settings.link_rate_);
   return window;
@@ -45,8 +45,8 @@
 
 }  // namespace
 
-struct RollPlay::Agent {
-  Agent(const SwarmMember& member, const RollPlaySettings& settings,
+struct RolloutSimulation::Agent {
+  Agent(const SwarmMember& member, const RolloutSimulationSettings& settings,
         std::uint32_t seed)
       : member_(member),
         planner_(member, PlannerOf(settings), seed),
@@ -75,13 +75,13 @@
   std::size_t told_ = 0;
 };
 
-core::Duration RollResult::At(double share) const {
+core::Duration RolloutSimulationResult::At(double share) const {
   const auto index =
       static_cast<std::size_t>(share * static_cast<double>(whole_.size() - 1));
   return whole_.at(index);
 }
 
-RollPlay::RollPlay(RollPlaySettings settings)
+RolloutSimulation::RolloutSimulation(RolloutSimulationSettings settings)
     : settings_(settings), random_(settings.seed_) {
   for (std::size_t i = 0; i < settings_.chunks_; ++i) {
     manifest_.push_back({core::Digest::Of(std::to_string(settings.seed_) + "-" +
@@ -102,18 +102,19 @@
   }
 }
 
-RollPlay::~RollPlay() = default;
+RolloutSimulation::~RolloutSimulation() = default;
 
-void RollPlay::At(core::TimePoint at, std::function<void()> task) {
+void RolloutSimulation::At(core::TimePoint at, std::function<void()> task) {
   queue_.push({at, events_++, std::move(task)});
 }
 
-core::Duration RollPlay::Delay(const Agent& from, const Agent& to) const {
+core::Duration RolloutSimulation::Delay(const Agent& from,
+                                        const Agent& to) const {
   return from.member_.domain_ == to.member_.domain_ ? settings_.near_delay_
                                                     : settings_.far_delay_;
 }
 
-RollResult RollPlay::Run() {
+RolloutSimulationResult RolloutSimulation::Run() {
   for (auto& agent : agents_) {
     // The manifest, and the phase of the agent's tick.
     After(60ms + core::Duration(random_() % 100'000'000),
@@ -129,7 +130,7 @@
     now_ = event.at_;
     event.task_();
   }
-  RollResult result;
+  RolloutSimulationResult result;
   result.whole_ = whole_;
   result.dropped_connections_ = dropped_connections_;
   const auto chunks = static_cast<double>(settings_.chunks_);
@@ -153,7 +154,7 @@
   return result;
 }
 
-void RollPlay::Begin(Agent& agent) {
+void RolloutSimulation::Begin(Agent& agent) {
   agent.begun_ = true;
   agent.planner_.SetMembers(members_);
   agent.planner_.Start(manifest_, agent.held_, now_);
@@ -161,7 +162,7 @@
   Tick(agent);
 }
 
-void RollPlay::Tick(Agent& agent) {
+void RolloutSimulation::Tick(Agent& agent) {
   if (!agent.alive_) {
     return;
   }
@@ -176,13 +177,13 @@
   }
 }
 
-void RollPlay::Pump(Agent& agent) {
+void RolloutSimulation::Pump(Agent& agent) {
   if (!agent.begun_ || !agent.alive_ || agent.held_.full()) {
     return;
   }
-  (void)agent.planner_.TakeTimedOut(now_);
-  agent.planner_.SetInFlight(agent.window_.size());
-  agent.planner_.SetOriginOpen(agent.source_.IsReady(now_));
+  (void)agent.planner_.ExpireRequests(now_);
+  agent.planner_.SetMaxPeerRequests(agent.window_.size());
+  agent.planner_.SetOriginAvailable(agent.source_.IsReady(now_));
   for (const auto& order : agent.planner_.Next(now_)) {
     if (order.peer_) {
       AskPeer(agent, *by_id_.at(*order.peer_), order.chunk_);
@@ -192,7 +193,7 @@
   }
 }
 
-void RollPlay::AskPeer(Agent& agent, Agent& peer, std::size_t chunk) {
+void RolloutSimulation::AskPeer(Agent& agent, Agent& peer, std::size_t chunk) {
   const auto asked = now_;
   After(Delay(agent, peer) + settings_.stage_time_,
         [this, &agent, &peer, chunk, asked] {
@@ -202,8 +203,8 @@
         });
 }
 
-void RollPlay::Give(Agent& from, Agent& to, std::size_t chunk,
-                    core::TimePoint asked) {
+void RolloutSimulation::Give(Agent& from, Agent& to, std::size_t chunk,
+                             core::TimePoint asked) {
   const auto bytes = settings_.chunk_bytes_;
   const auto wait = from.upload_.Reserve(bytes, now_);
   ++from.given_;
@@ -227,13 +228,13 @@
   });
 }
 
-bool RollPlay::OriginAwayNow() const {
+bool RolloutSimulation::OriginAwayNow() const {
   const auto since = now_ - start_;
   return settings_.away_ && since >= settings_.away_->from_ &&
          since < settings_.away_->to_;
 }
 
-void RollPlay::AskOrigin(Agent& agent, std::size_t chunk) {
+void RolloutSimulation::AskOrigin(Agent& agent, std::size_t chunk) {
   After(kConnectTime, [this, &agent, chunk] {
     if (OriginAwayNow()) {
       OriginFailed(agent, chunk);
@@ -250,12 +251,12 @@
   });
 }
 
-void RollPlay::OriginFailed(Agent& agent, std::size_t chunk) {
+void RolloutSimulation::OriginFailed(Agent& agent, std::size_t chunk) {
   (void)agent.source_.OnFailure(now_);
   agent.planner_.OnRequestFailed(chunk, now_);
 }
 
-void RollPlay::ServeOrigin() {
+void RolloutSimulation::ServeOrigin() {
   if (origin_busy_ || draws_.empty()) {
     return;
   }
@@ -279,7 +280,7 @@
   });
 }
 
-void RollPlay::OnChunk(Agent& agent, std::size_t chunk, bool drawn) {
+void RolloutSimulation::OnChunk(Agent& agent, std::size_t chunk, bool drawn) {
   if (!agent.alive_) {
     return;
   }
@@ -299,7 +300,7 @@
   });
 }
 
-void RollPlay::Announce(Agent& agent) {
+void RolloutSimulation::Announce(Agent& agent) {
   agent.announced_at_ = now_;
   agent.announce_due_ = false;
   std::set<core::InstanceId> audience(agent.neighbours_.begin(),
@@ -313,7 +314,7 @@
   }
 }
 
-void RollPlay::TellOne(Agent& agent, Agent& other) {
+void RolloutSimulation::TellOne(Agent& agent, Agent& other) {
   ++agent.told_;
   After(Delay(agent, other), [this, &agent, &other, held = agent.held_] {
     other.planner_.OnAnnounced(agent.member_, held, now_);
--- a/tests/swarm/roll_play.hpp
+++ b/tests/swarm/roll_play.hpp
@@ -29,7 +29,7 @@
 };
 
 /// @brief Settings of a play.
-struct RollPlaySettings {
+struct RolloutSimulationSettings {
   std::size_t domains_ = 5;
   std::size_t agents_ = 204;
   std::size_t chunks_ = 96;
@@ -54,13 +54,13 @@
   std::size_t lost_ = 0;
   core::Duration lost_at_ = std::chrono::seconds(1);
   /// As the planner's.
-  std::size_t draw_window_ = 24;
+  std::size_t origin_window_ = 24;
   std::uint32_t seed_ = 1;
   core::Duration longest_ = std::chrono::seconds(30);
 };
 
 /// @brief What came of a play, from the naming on.
-struct RollResult {
+struct RolloutSimulationResult {
   /// Of the agents that live, in order; shorter when some are never whole.
   std::vector<core::Duration> whole_;
   /// Chunks that the origin sent, over the chunks of a version.
@@ -80,11 +80,11 @@
 };
 
 /// @brief One play.
-class RollPlay {
+class RolloutSimulation {
  public:
-  explicit RollPlay(RollPlaySettings settings);
-  ~RollPlay();
-  [[nodiscard]] RollResult Run();
+  explicit RolloutSimulation(RolloutSimulationSettings settings);
+  ~RolloutSimulation();
+  [[nodiscard]] RolloutSimulationResult Run();
 
  private:
   struct Agent;
@@ -120,7 +120,7 @@
   void Announce(Agent& agent);
   void TellOne(Agent& agent, Agent& other);
 
-  RollPlaySettings settings_;
+  RolloutSimulationSettings settings_;
   std::mt19937 random_;
   core::TimePoint now_{std::chrono::hours(1)};
   core::TimePoint start_ = now_;
--- a/tests/swarm/roll_test.cpp
+++ b/tests/swarm/roll_test.cpp
@@ -14,8 +14,8 @@
   return std::chrono::duration<double>(span).count();
 }
 
-RollResult Played(const RollPlaySettings& settings) {
-  auto result = RollPlay(settings).Run();
+RolloutSimulationResult Played(const RolloutSimulationSettings& settings) {
+  auto result = RolloutSimulation(settings).Run();
   if (!result.whole_.empty()) {
     std::cout << "figure: roll at " << settings.agents_ << " agents in "
               << settings.domains_ << " domains, whole after "
@@ -39,7 +39,7 @@
   // One copy takes 2.6 s of a link.
   const auto row =
       GENERATE(Row{3, 12, 3900ms}, Row{3, 45, 4200ms}, Row{5, 204, 4400ms});
-  RollPlaySettings settings;
+  RolloutSimulationSettings settings;
   settings.domains_ = row.domains_;
   settings.agents_ = row.agents_;
   const auto result = Played(settings);
@@ -53,7 +53,7 @@
           "[swarm][roll]") {
   // The origin is away before one copy is out. When those behind in rank took
   // its silence for that of the elected, it sent 1.11 copies.
-  RollPlaySettings settings;
+  RolloutSimulationSettings settings;
   settings.away_ = OriginAway{2300ms, 6300ms};
   const auto result = Played(settings);
   REQUIRE(result.whole_.size() == settings.agents_);
@@ -64,7 +64,7 @@
 TEST_CASE("agents that all wait for a slow origin leave it room",
           "[swarm][roll]") {
   // It sends 22 chunks a second; what finds no connection waits for 1.5 s.
-  RollPlaySettings settings;
+  RolloutSimulationSettings settings;
   settings.domains_ = 3;
   settings.agents_ = 76;
   settings.origin_rate_ = 4.38e6 / 8;
@@ -78,7 +78,7 @@
 
 TEST_CASE("agents that die in the middle of a roll keep nobody from it",
           "[swarm][roll]") {
-  RollPlaySettings settings;
+  RolloutSimulationSettings settings;
   settings.lost_ = 20;
   const auto result = Played(settings);
   REQUIRE(result.whole_.size() == settings.agents_ - settings.lost_);
--- a/tests/swarm/swarm_test.cpp
+++ b/tests/swarm/swarm_test.cpp
@@ -68,7 +68,7 @@
   CAPTURE(row.name_);
   const core::FailureDomainId domain("d");
   Planner planner({core::InstanceId("me"), domain},
-                  {.origin_copies_ = 1, .per_peer_ = 1}, 1);
+                  {.origin_copies_ = 1, .max_requests_per_peer_ = 1}, 1);
   planner.Start(Chunks(1), ChunkSet(1), kStart);
   ChunkSet whole(1);
   whole.Add(0);
@@ -92,7 +92,7 @@
   const bool other_slow = GENERATE(false, true);
   // Whatever the scores say: of many chunks each would get a share.
   Planner planner({core::InstanceId("me"), domain},
-                  {.origin_copies_ = 1, .origin_in_flight_ = 50}, 1);
+                  {.origin_copies_ = 1, .max_origin_requests_ = 50}, 1);
   planner.Start(Chunks(50), ChunkSet(50), kStart);
   planner.SetMembers({{core::InstanceId("me"), domain, true},
                       {core::InstanceId("other"), domain, other_slow}});
@@ -133,7 +133,8 @@
       core::RendezvousScore(chunks[0].digest_.ToHex(), "b");
   const auto& self = first_is_a ? members[1] : members[0];
   const auto& neighbour = first_is_a ? members[0] : members[1];
-  Planner planner(self, {.origin_copies_ = 0, .import_silence_ = 500ms}, 1);
+  Planner planner(self,
+                  {.origin_copies_ = 0, .import_takeover_timeout_ = 500ms}, 1);
   planner.SetMembers(members);
   planner.Start(chunks, ChunkSet(2), kStart);
   ChunkSet wanted(2);
@@ -145,7 +146,7 @@
   planner.OnAnnounced(neighbour, other, kStart + row.progress_);
   const auto orders = planner.Next(kStart + row.after_);
   const bool asks = std::ranges::any_of(
-      orders, [](const FetchOrder& order) { return order.chunk_ == 0; });
+      orders, [](const FetchRequest& order) { return order.chunk_ == 0; });
   CHECK(asks == row.asks_);
 }
 
@@ -154,9 +155,11 @@
   // imported them too, and twice the bytes crossed between regions.
   const core::FailureDomainId near("d");
   const core::FailureDomainId far("e");
-  Planner planner(
-      {core::InstanceId("me"), near},
-      {.origin_copies_ = 0, .per_peer_ = 2, .max_peer_requests_ = 1}, 1);
+  Planner planner({core::InstanceId("me"), near},
+                  {.origin_copies_ = 0,
+                   .max_requests_per_peer_ = 2,
+                   .max_peer_requests_ = 1},
+                  1);
   planner.SetMembers({{core::InstanceId("me"), near}});
   planner.Start(Chunks(2), ChunkSet(2), kStart);
   ChunkSet first(2);
@@ -180,7 +183,7 @@
     std::uint64_t sent = 0;
     for (const auto size : sizes) {
       const std::uint64_t live = size / 4;
-      pacer.OnLiveBytes(live, now);
+      pacer.OnRequestBytes(live, now);
       const auto wait = pacer.Reserve(size, now);
       now += wait;
       sent += size + live;
@@ -231,7 +234,7 @@
       if (!alive_[i]) {
         continue;
       }
-      (void)planners_[i].TakeTimedOut(now);
+      (void)planners_[i].ExpireRequests(now);
       for (const auto& order : planners_[i].Next(now)) {
         if (fails()) {
           planners_[i].OnRequestFailed(order.chunk_, now);
@@ -299,7 +302,7 @@
       RC_ASSERT(drawn <= static_cast<int>(copies));
     }
     for (const auto& planner : swarm.planners_) {
-      RC_ASSERT(planner.origin_fetches(DrawCause::kTakeover) == 0U);
+      RC_ASSERT(planner.origin_fetches(OriginFetchCause::kTakeover) == 0U);
     }
   }));
 }
@@ -323,8 +326,8 @@
                                          {core::InstanceId("b"), {}},
                                          {core::InstanceId("c"), {}}};
   PlannerSettings settings;
-  settings.origin_in_flight_ = chunks.size();
-  settings.draw_window_ = kWindow;
+  settings.max_origin_requests_ = chunks.size();
+  settings.origin_window_ = kWindow;
   std::set<std::size_t> asked;
   for (const auto& member : members) {
     Planner planner(member, settings, 1);
@@ -344,8 +347,8 @@
   const std::vector<SwarmMember> members{{core::InstanceId("gone"), {}},
                                          {core::InstanceId("self"), {}}};
   PlannerSettings settings;
-  settings.origin_in_flight_ = chunks.size();
-  settings.draw_window_ = kWindow;
+  settings.max_origin_requests_ = chunks.size();
+  settings.origin_window_ = kWindow;
   Planner planner(members[1], settings, 1);
   planner.SetMembers(members);
   planner.Start(chunks, ChunkSet(chunks.size()), kStart);
@@ -395,8 +398,8 @@
   planner.OnAnnounced({core::InstanceId("c"), {}}, all, kStart);
   REQUIRE(planner.Next(kStart).size() == 1);
   CHECK(planner.Next(kStart).empty());
-  CHECK(planner.TakeTimedOut(kStart + 4s).empty());
-  CHECK(planner.TakeTimedOut(kStart + 5s).size() == 1);
+  CHECK(planner.ExpireRequests(kStart + 4s).empty());
+  CHECK(planner.ExpireRequests(kStart + 5s).size() == 1);
   CHECK(planner.Next(kStart + 5s).size() == 1);
 }
 
@@ -412,9 +415,9 @@
       {core::InstanceId("b"), core::FailureDomainId("home")},
       {core::InstanceId("c"), core::FailureDomainId("home")}};
   PlannerSettings settings;
-  settings.per_peer_ = 100;
+  settings.max_requests_per_peer_ = 100;
   settings.max_peer_requests_ = 100;
-  settings.import_silence_ = 300ms;
+  settings.import_takeover_timeout_ = 300ms;
   ChunkSet all(chunks.size());
   for (std::size_t i = 0; i < chunks.size(); ++i) {
     all.Add(i);
