--- a/packages/chalkwell/src/chalkwell/config/accepted_documents.cpp
+++ b/packages/chalkwell/src/chalkwell/config/accepted_documents.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "chalkwell/config/fleet.hpp"
+#include "chalkwell/config/published_lists.hpp"
 #include "chalkwell/core/error.hpp"
 #include "chalkwell/core/json.hpp"
 
--- a/packages/chalkwell/src/chalkwell/config/fleet.cpp
+++ b/packages/chalkwell/src/chalkwell/config/published_lists.cpp
@@ -1,5 +1,5 @@
 // JSON of the published documents.
-#include "chalkwell/config/fleet.hpp"
+#include "chalkwell/config/published_lists.hpp"
 
 #include <set>
 
--- a/packages/chalkwell/src/chalkwell/config/catch_up.cpp
+++ b/packages/chalkwell/src/chalkwell/config/rules_peer_selector.cpp
@@ -1,5 +1,5 @@
 // Among several that have the rules, each process asks another one first.
-#include "chalkwell/config/catch_up.hpp"
+#include "chalkwell/config/rules_peer_selector.hpp"
 
 #include <algorithm>
 #include <tuple>
--- a/packages/chalkwell/src/chalkwell/membership/gossip_table.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/gossip_table.cpp
@@ -6,7 +6,7 @@
 #include <tuple>
 #include <utility>
 
-#include "chalkwell/membership/duties.hpp"
+#include "chalkwell/membership/role_assignment.hpp"
 
 namespace chalkwell::membership {
 namespace {
--- a/packages/chalkwell/src/chalkwell/membership/planned_stop.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/graceful_shutdown.cpp
@@ -1,5 +1,5 @@
 // Decisions of a planned stop.
-#include "chalkwell/membership/planned_stop.hpp"
+#include "chalkwell/membership/graceful_shutdown.hpp"
 
 namespace chalkwell::membership {
 
--- a/packages/chalkwell/src/chalkwell/membership/spread_plan.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/propagation_plan.cpp
@@ -1,11 +1,11 @@
 // Delegates are those who watch what is published: they hear first.
-#include "chalkwell/membership/spread_plan.hpp"
+#include "chalkwell/membership/propagation_plan.hpp"
 
 #include <algorithm>
 #include <map>
 #include <utility>
 
-#include "chalkwell/membership/duties.hpp"
+#include "chalkwell/membership/role_assignment.hpp"
 
 namespace chalkwell::membership {
 namespace {
--- a/packages/chalkwell/src/chalkwell/membership/read_duty.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/reader_role.cpp
@@ -1,11 +1,11 @@
 // The first in rendezvous order has the duty; silence passes it on, rank by
 // rank.
-#include "chalkwell/membership/read_duty.hpp"
+#include "chalkwell/membership/reader_role.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "chalkwell/membership/duties.hpp"
+#include "chalkwell/membership/role_assignment.hpp"
 
 namespace chalkwell::membership {
 namespace {
--- a/packages/chalkwell/src/chalkwell/membership/report_audience.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/report_subscribers.cpp
@@ -1,5 +1,5 @@
 // The budget goes to the own failure domain first.
-#include "chalkwell/membership/report_audience.hpp"
+#include "chalkwell/membership/report_subscribers.hpp"
 
 #include <algorithm>
 
--- a/packages/chalkwell/src/chalkwell/membership/duties.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/role_assignment.cpp
@@ -1,5 +1,5 @@
 // Rendezvous order of members.
-#include "chalkwell/membership/duties.hpp"
+#include "chalkwell/membership/role_assignment.hpp"
 
 #include <algorithm>
 
--- a/packages/chalkwell/src/chalkwell/membership/roster.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/roster.hpp
@@ -7,7 +7,7 @@
 #include <optional>
 #include <vector>
 
-#include "chalkwell/config/fleet.hpp"
+#include "chalkwell/config/published_lists.hpp"
 #include "chalkwell/core/digest.hpp"
 #include "chalkwell/core/fwd.hpp"
 #include "chalkwell/membership/fwd.hpp"
--- a/packages/chalkwell/src/chalkwell/membership/watch_duty.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/watcher_role.cpp
@@ -2,12 +2,12 @@
 // on, rank by rank. Who has just read the document waits that long for a first
 // word, too: after a start of 149 members all watched for some 200 ms, 298
 // calls, before the first two of each domain had told them.
-#include "chalkwell/membership/watch_duty.hpp"
+#include "chalkwell/membership/watcher_role.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "chalkwell/membership/duties.hpp"
+#include "chalkwell/membership/role_assignment.hpp"
 
 namespace chalkwell::membership {
 WatcherRole::WatcherRole(core::InstanceId self, WatcherRoleSettings settings)
--- a/packages/chalkwell/src/chalkwell/membership/watch_duty.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/watcher_role.hpp
@@ -11,7 +11,7 @@
 
 #include "chalkwell/core/fwd.hpp"
 #include "chalkwell/core/identifier.hpp"
-#include "chalkwell/membership/duties.hpp"
+#include "chalkwell/membership/role_assignment.hpp"
 
 namespace chalkwell::membership {
 
--- a/packages/chalkwell/src/chalkwell/rollout/start_choice.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/first_fetch.cpp
@@ -1,5 +1,5 @@
 // Both ways are compared by the time in which the engine can serve.
-#include "chalkwell/rollout/start_choice.hpp"
+#include "chalkwell/rollout/first_fetch.hpp"
 
 #include <algorithm>
 
--- a/packages/chalkwell/src/chalkwell/rollout/turns.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/rollout_slots.cpp
@@ -1,5 +1,5 @@
 // Turns by rendezvous rank of (version, instance).
-#include "chalkwell/rollout/turns.hpp"
+#include "chalkwell/rollout/rollout_slots.hpp"
 
 #include <algorithm>
 #include <string>
--- a/packages/chalkwell/src/chalkwell/routing/crash_evidence.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/crash_detector.cpp
@@ -1,5 +1,5 @@
 // One loss an endpoint life: the same crash breaks all attempts there.
-#include "chalkwell/routing/crash_evidence.hpp"
+#include "chalkwell/routing/crash_detector.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/packages/chalkwell/src/chalkwell/routing/crash_evidence.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/crash_detector.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "chalkwell/core/fwd.hpp"
-#include "chalkwell/routing/endpoint_life.hpp"
+#include "chalkwell/routing/endpoint_incarnation.hpp"
 #include "chalkwell/routing/request_digest.hpp"
 
 namespace chalkwell::routing {
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_table.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_table.hpp
@@ -15,7 +15,7 @@
 #include "chalkwell/config/traffic_rules.hpp"
 #include "chalkwell/core/fwd.hpp"
 #include "chalkwell/core/identifier.hpp"
-#include "chalkwell/routing/endpoint_life.hpp"
+#include "chalkwell/routing/endpoint_incarnation.hpp"
 #include "chalkwell/routing/fwd.hpp"
 #include "chalkwell/routing/incarnation_table.hpp"
 
--- a/packages/chalkwell/src/chalkwell/routing/attempt_patience.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/first_byte_timeout.cpp
@@ -1,5 +1,5 @@
 // Weights that end set a bound of their own.
-#include "chalkwell/routing/attempt_patience.hpp"
+#include "chalkwell/routing/first_byte_timeout.hpp"
 
 #include <algorithm>
 #include <chrono>
--- a/packages/chalkwell/src/chalkwell/routing/incarnation_table.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/incarnation_table.hpp
@@ -7,7 +7,7 @@
 #include <map>
 #include <string>
 
-#include "chalkwell/routing/endpoint_life.hpp"
+#include "chalkwell/routing/endpoint_incarnation.hpp"
 #include "chalkwell/routing/fwd.hpp"
 
 namespace chalkwell::routing {
--- a/packages/chalkwell/src/chalkwell/routing/request_age.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_age_estimator.cpp
@@ -1,6 +1,6 @@
 // The last times of each route, counted by value and, where they do not repeat,
 // in bins.
-#include "chalkwell/routing/request_age.hpp"
+#include "chalkwell/routing/request_age_estimator.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
@@ -14,7 +14,7 @@
 
 #include "chalkwell/core/fwd.hpp"
 #include "chalkwell/core/identifier.hpp"
-#include "chalkwell/routing/endpoint_life.hpp"
+#include "chalkwell/routing/endpoint_incarnation.hpp"
 #include "chalkwell/routing/fwd.hpp"
 #include "chalkwell/routing/request_digest.hpp"
 
--- a/packages/chalkwell/src/chalkwell/routing/retry_spread.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/retry_jitter.cpp
@@ -1,5 +1,5 @@
 // Uniform times.
-#include "chalkwell/routing/retry_spread.hpp"
+#include "chalkwell/routing/retry_jitter.hpp"
 
 #include <algorithm>
 
--- a/packages/chalkwell/src/chalkwell/swarm/older_pieces.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/older_version_chunks.cpp
@@ -1,5 +1,5 @@
 // Copies are made one by one as pieces are overwritten.
-#include "chalkwell/swarm/older_pieces.hpp"
+#include "chalkwell/swarm/older_version_chunks.hpp"
 
 #include <utility>
 
--- a/packages/chalkwell/src/chalkwell/swarm/source_progress.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/origin_progress.cpp
@@ -1,5 +1,5 @@
 // The rate is that of the last second.
-#include "chalkwell/swarm/source_progress.hpp"
+#include "chalkwell/swarm/origin_progress.hpp"
 
 #include <chrono>
 
--- a/packages/daemon/src/daemon/agent.hpp
+++ b/packages/daemon/src/daemon/agent.hpp
@@ -8,7 +8,7 @@
 
 #include "chalkwell/membership/roster.hpp"
 #include "chalkwell/rollout/activation.hpp"
-#include "chalkwell/rollout/turns.hpp"
+#include "chalkwell/rollout/rollout_slots.hpp"
 #include "daemon/engine_client.hpp"
 #include "daemon/process.hpp"
 #include "daemon/run_handler.hpp"
--- a/packages/daemon/src/daemon/agent_links.cpp
+++ b/packages/daemon/src/daemon/agent_links.cpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <utility>
 
-#include "chalkwell/membership/duties.hpp"
+#include "chalkwell/membership/role_assignment.hpp"
 #include "daemon/config_spreader.hpp"
 
 namespace chalkwell::daemon {
--- a/packages/daemon/src/daemon/config_node.hpp
+++ b/packages/daemon/src/daemon/config_node.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "chalkwell/config/accepted_documents.hpp"
-#include "chalkwell/config/fleet.hpp"
+#include "chalkwell/config/published_lists.hpp"
 #include "daemon/event_log.hpp"
 #include "daemon/messages.hpp"
 #include "daemon/metrics.hpp"
--- a/packages/daemon/src/daemon/config_spreader.cpp
+++ b/packages/daemon/src/daemon/config_spreader.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "chalkwell/membership/duties.hpp"
+#include "chalkwell/membership/role_assignment.hpp"
 
 namespace chalkwell::daemon {
 namespace {
--- a/packages/daemon/src/daemon/direct/direct_agent.hpp
+++ b/packages/daemon/src/daemon/direct/direct_agent.hpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "chalkwell/core/backoff.hpp"
-#include "chalkwell/membership/report_audience.hpp"
+#include "chalkwell/membership/report_subscribers.hpp"
 #include "daemon/direct/engine_facts.hpp"
 #include "daemon/direct/hooks.hpp"
 #include "daemon/direct/mesh_node.hpp"
--- a/packages/daemon/src/daemon/direct/direct_request.cpp
+++ b/packages/daemon/src/daemon/direct/direct_request.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "chalkwell/routing/attempt_patience.hpp"
+#include "chalkwell/routing/first_byte_timeout.hpp"
 #include "chalkwell/routing/stream_admission.hpp"
 
 namespace chalkwell::daemon::direct {
--- a/packages/daemon/src/daemon/direct/direct_request.hpp
+++ b/packages/daemon/src/daemon/direct/direct_request.hpp
@@ -12,7 +12,7 @@
 #include "chalkwell/routing/request_digest.hpp"
 #include "chalkwell/routing/request_tracker.hpp"
 #include "chalkwell/routing/retry_budget.hpp"
-#include "chalkwell/routing/retry_spread.hpp"
+#include "chalkwell/routing/retry_jitter.hpp"
 #include "daemon/direct/hooks.hpp"
 #include "daemon/direct/quarantine_keeper.hpp"
 #include "daemon/event_log.hpp"
--- a/packages/daemon/src/daemon/direct/endpoint_list.hpp
+++ b/packages/daemon/src/daemon/direct/endpoint_list.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "chalkwell/membership/read_duty.hpp"
+#include "chalkwell/membership/reader_role.hpp"
 #include "chalkwell/membership/store_outage.hpp"
 #include "chalkwell/routing/endpoint_table.hpp"
 #include "chalkwell/routing/list_history.hpp"
--- a/packages/daemon/src/daemon/direct/mesh_node.hpp
+++ b/packages/daemon/src/daemon/direct/mesh_node.hpp
@@ -14,8 +14,8 @@
 
 #include "chalkwell/membership/gossip_table.hpp"
 #include "chalkwell/membership/path_delay.hpp"
-#include "chalkwell/membership/report_audience.hpp"
-#include "chalkwell/membership/spread_plan.hpp"
+#include "chalkwell/membership/propagation_plan.hpp"
+#include "chalkwell/membership/report_subscribers.hpp"
 #include "daemon/direct/mesh_messages.hpp"
 #include "daemon/direct/traffic_count.hpp"
 #include "daemon/event_log.hpp"
--- a/packages/daemon/src/daemon/direct/older_weights.hpp
+++ b/packages/daemon/src/daemon/direct/older_weights.hpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "chalkwell/swarm/chunk_set.hpp"
-#include "chalkwell/swarm/older_pieces.hpp"
+#include "chalkwell/swarm/older_version_chunks.hpp"
 #include "daemon/direct/hooks.hpp"
 #include "daemon/direct/mesh_messages.hpp"
 #include "daemon/direct/piece_exchange.hpp"
--- a/packages/daemon/src/daemon/direct/quarantine_keeper.hpp
+++ b/packages/daemon/src/daemon/direct/quarantine_keeper.hpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "chalkwell/routing/crash_evidence.hpp"
+#include "chalkwell/routing/crash_detector.hpp"
 #include "chalkwell/routing/endpoint_table.hpp"
 #include "chalkwell/routing/request_quarantine.hpp"
 #include "daemon/direct/mesh_node.hpp"
--- a/packages/daemon/src/daemon/direct/rules_keeper.hpp
+++ b/packages/daemon/src/daemon/direct/rules_keeper.hpp
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "chalkwell/config/catch_up.hpp"
-#include "chalkwell/membership/watch_duty.hpp"
+#include "chalkwell/config/rules_peer_selector.hpp"
+#include "chalkwell/membership/watcher_role.hpp"
 #include "daemon/direct/hooks.hpp"
 #include "daemon/direct/mesh_node.hpp"
 #include "daemon/direct/published_reader.hpp"
--- a/packages/daemon/src/daemon/direct/weights_keeper.hpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper.hpp
@@ -9,13 +9,13 @@
 #include <vector>
 
 #include "chalkwell/core/backoff.hpp"
-#include "chalkwell/rollout/turns.hpp"
+#include "chalkwell/rollout/rollout_slots.hpp"
 #include "chalkwell/rollout/version_bound.hpp"
 #include "chalkwell/swarm/chunk_set.hpp"
 #include "chalkwell/swarm/fetch_window.hpp"
 #include "chalkwell/swarm/manifest_search.hpp"
+#include "chalkwell/swarm/origin_progress.hpp"
 #include "chalkwell/swarm/planner.hpp"
-#include "chalkwell/swarm/source_progress.hpp"
 #include "daemon/direct/hooks.hpp"
 #include "daemon/direct/mesh_node.hpp"
 #include "daemon/direct/older_weights.hpp"
--- a/packages/daemon/src/daemon/direct/weights_keeper_older.cpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper_older.cpp
@@ -1,6 +1,6 @@
 // Older weights: kept for others while newer ones are fetched, and fetched for
 // an engine without any while the newest can't be had.
-#include "chalkwell/rollout/start_choice.hpp"
+#include "chalkwell/rollout/first_fetch.hpp"
 #include "daemon/direct/direct_settings.hpp"
 #include "daemon/direct/weights_keeper.hpp"
 
--- a/packages/daemon/src/daemon/process_base.hpp
+++ b/packages/daemon/src/daemon/process_base.hpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "chalkwell/core/identifier.hpp"
-#include "chalkwell/membership/planned_stop.hpp"
+#include "chalkwell/membership/graceful_shutdown.hpp"
 #include "daemon/event_log.hpp"
 #include "daemon/http_client.hpp"
 #include "daemon/loop.hpp"
--- a/packages/daemon/src/daemon/request_runner.hpp
+++ b/packages/daemon/src/daemon/request_runner.hpp
@@ -7,7 +7,7 @@
 #include <set>
 #include <string>
 
-#include "chalkwell/config/fleet.hpp"
+#include "chalkwell/config/published_lists.hpp"
 #include "chalkwell/routing/endpoint_chooser.hpp"
 #include "chalkwell/routing/execution_ticket.hpp"
 #include "chalkwell/routing/request_tracker.hpp"
--- a/packages/daemon/src/daemon/swarm_members.cpp
+++ b/packages/daemon/src/daemon/swarm_members.cpp
@@ -6,7 +6,7 @@
 #include <set>
 #include <utility>
 
-#include "chalkwell/membership/duties.hpp"
+#include "chalkwell/membership/role_assignment.hpp"
 
 namespace chalkwell::daemon {
 
--- a/packages/daemon/src/daemon/swarm_members.hpp
+++ b/packages/daemon/src/daemon/swarm_members.hpp
@@ -4,7 +4,7 @@
 
 #include <vector>
 
-#include "chalkwell/config/fleet.hpp"
+#include "chalkwell/config/published_lists.hpp"
 #include "chalkwell/swarm/planner.hpp"
 #include "daemon/process.hpp"
 
--- a/packages/emulator/src/emulator/fleet.cpp
+++ b/packages/emulator/src/emulator/fleet.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "chalkwell/routing/engine_model.hpp"
-#include "chalkwell/routing/retry_spread.hpp"
+#include "chalkwell/routing/retry_jitter.hpp"
 #include "chalkwell/routing/stream_admission.hpp"
 
 namespace chalkwell::emulator {
--- a/packages/emulator/src/emulator/fleet.hpp
+++ b/packages/emulator/src/emulator/fleet.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "chalkwell/routing/endpoint_table.hpp"
-#include "chalkwell/routing/request_age.hpp"
+#include "chalkwell/routing/request_age_estimator.hpp"
 #include "emulator/engine.hpp"
 
 namespace chalkwell::emulator {
--- a/tests/config/fleet_test.cpp
+++ b/tests/config/published_lists_test.cpp
@@ -1,5 +1,5 @@
 // Published lists: what is refused, with which field.
-#include "chalkwell/config/fleet.hpp"
+#include "chalkwell/config/published_lists.hpp"
 
 #include <catch2/catch.hpp>
 
--- a/tests/config/catch_up_test.cpp
+++ b/tests/config/rules_peer_selector_test.cpp
@@ -1,5 +1,5 @@
 // From whom newer rules are taken.
-#include "chalkwell/config/catch_up.hpp"
+#include "chalkwell/config/rules_peer_selector.hpp"
 
 #include <catch2/catch.hpp>
 
--- a/tests/config/rules_spread_test.cpp
+++ b/tests/config/rules_spread_test.cpp
@@ -7,8 +7,8 @@
 #include <memory>
 #include <vector>
 
-#include "chalkwell/config/catch_up.hpp"
-#include "chalkwell/membership/watch_duty.hpp"
+#include "chalkwell/config/rules_peer_selector.hpp"
+#include "chalkwell/membership/watcher_role.hpp"
 
 namespace chalkwell::config {
 namespace {
--- a/tests/fuzz/world.hpp
+++ b/tests/fuzz/world.hpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "chalkwell/config/accepted_documents.hpp"
-#include "chalkwell/membership/planned_stop.hpp"
+#include "chalkwell/membership/graceful_shutdown.hpp"
 #include "chalkwell/membership/roster.hpp"
 #include "chalkwell/rollout/activation.hpp"
 #include "chalkwell/routing/execution_guard.hpp"
--- a/tests/membership/dissemination_test.cpp
+++ b/tests/membership/dissemination_test.cpp
@@ -12,9 +12,9 @@
 #include <random>
 #include <set>
 
-#include "chalkwell/membership/duties.hpp"
 #include "chalkwell/membership/gossip_table.hpp"
-#include "chalkwell/membership/spread_plan.hpp"
+#include "chalkwell/membership/propagation_plan.hpp"
+#include "chalkwell/membership/role_assignment.hpp"
 
 namespace chalkwell::membership {
 namespace {
--- a/tests/membership/gossip_table_test.cpp
+++ b/tests/membership/gossip_table_test.cpp
@@ -7,7 +7,7 @@
 #include <catch2/catch.hpp>
 #include <set>
 
-#include "chalkwell/membership/duties.hpp"
+#include "chalkwell/membership/role_assignment.hpp"
 
 namespace chalkwell::membership {
 namespace {
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -2,8 +2,8 @@
 #include <algorithm>
 #include <catch2/catch.hpp>
 
-#include "chalkwell/membership/duties.hpp"
-#include "chalkwell/membership/planned_stop.hpp"
+#include "chalkwell/membership/graceful_shutdown.hpp"
+#include "chalkwell/membership/role_assignment.hpp"
 #include "chalkwell/membership/roster.hpp"
 
 namespace chalkwell::membership {
--- a/tests/membership/read_duty_test.cpp
+++ b/tests/membership/reader_role_test.cpp
@@ -1,11 +1,11 @@
 // Who reads a published list, and how often.
-#include "chalkwell/membership/read_duty.hpp"
+#include "chalkwell/membership/reader_role.hpp"
 
 #include <catch2/catch.hpp>
 #include <optional>
 #include <vector>
 
-#include "chalkwell/membership/duties.hpp"
+#include "chalkwell/membership/role_assignment.hpp"
 
 namespace chalkwell::membership {
 namespace {
--- a/tests/membership/report_audience_test.cpp
+++ b/tests/membership/report_subscribers_test.cpp
@@ -1,5 +1,5 @@
 // Who is told an endpoint's reports, how often, and what that costs.
-#include "chalkwell/membership/report_audience.hpp"
+#include "chalkwell/membership/report_subscribers.hpp"
 
 #include <catch2/catch.hpp>
 #include <iostream>
--- a/tests/membership/watch_duty_test.cpp
+++ b/tests/membership/watcher_role_test.cpp
@@ -1,5 +1,5 @@
 // Who takes a published document from its publisher.
-#include "chalkwell/membership/watch_duty.hpp"
+#include "chalkwell/membership/watcher_role.hpp"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
--- a/tests/rollout/start_choice_test.cpp
+++ b/tests/rollout/first_fetch_test.cpp
@@ -1,5 +1,5 @@
 // Which weights an empty engine fetches first.
-#include "chalkwell/rollout/start_choice.hpp"
+#include "chalkwell/rollout/first_fetch.hpp"
 
 #include <catch2/catch.hpp>
 #include <string>
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "chalkwell/rollout/activation.hpp"
-#include "chalkwell/rollout/turns.hpp"
+#include "chalkwell/rollout/rollout_slots.hpp"
 
 namespace chalkwell::rollout {
 namespace {
--- a/tests/routing/crash_evidence_test.cpp
+++ b/tests/routing/crash_detector_test.cpp
@@ -1,5 +1,5 @@
 // Which lost attempts count as crashes of their endpoints.
-#include "chalkwell/routing/crash_evidence.hpp"
+#include "chalkwell/routing/crash_detector.hpp"
 
 #include <catch2/catch.hpp>
 
--- a/tests/routing/execution_guard_test.cpp
+++ b/tests/routing/execution_guard_test.cpp
@@ -4,7 +4,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "chalkwell/membership/duties.hpp"
+#include "chalkwell/membership/role_assignment.hpp"
 
 namespace chalkwell::routing {
 namespace {
--- a/tests/routing/attempt_patience_test.cpp
+++ b/tests/routing/first_byte_timeout_test.cpp
@@ -1,5 +1,5 @@
 // How long a first byte is awaited.
-#include "chalkwell/routing/attempt_patience.hpp"
+#include "chalkwell/routing/first_byte_timeout.hpp"
 
 #include <catch2/catch.hpp>
 
--- a/tests/routing/retry_spread_test.cpp
+++ b/tests/routing/retry_jitter_test.cpp
@@ -1,10 +1,10 @@
 // When rejected callers come back, and whether they are recognised then.
-#include "chalkwell/routing/retry_spread.hpp"
+#include "chalkwell/routing/retry_jitter.hpp"
 
 #include <catch2/catch.hpp>
 #include <chrono>
 
-#include "chalkwell/routing/request_age.hpp"
+#include "chalkwell/routing/request_age_estimator.hpp"
 
 namespace chalkwell::routing {
 namespace {
--- a/tests/routing/stream_admission_test.cpp
+++ b/tests/routing/stream_admission_test.cpp
@@ -4,7 +4,7 @@
 #include <catch2/catch.hpp>
 #include <random>
 
-#include "chalkwell/routing/request_age.hpp"
+#include "chalkwell/routing/request_age_estimator.hpp"
 
 namespace chalkwell::routing {
 namespace {
--- a/tests/swarm/older_pieces_test.cpp
+++ b/tests/swarm/older_version_chunks_test.cpp
@@ -1,9 +1,9 @@
 // Pieces of served weights, and how soon the newest are out.
-#include "chalkwell/swarm/older_pieces.hpp"
+#include "chalkwell/swarm/older_version_chunks.hpp"
 
 #include <catch2/catch.hpp>
 
-#include "chalkwell/swarm/source_progress.hpp"
+#include "chalkwell/swarm/origin_progress.hpp"
 
 namespace chalkwell::swarm {
 namespace {
--- a/tests/swarm/roll_play.cpp
+++ b/tests/swarm/rollout_simulation.cpp
@@ -1,13 +1,12 @@
 // Links are busy until a time; a chunk passes the sender's, the domains' and
 // the receiver's link one behind the other without waiting to be whole.
-#include "roll_play.hpp"
-
 #include <algorithm>
 #include <numeric>
 #include <string>
 #include <utility>
 
 #include "chalkwell/swarm/neighbours.hpp"
+#include "roll_play.hpp"
 
 namespace chalkwell::swarm {
 namespace {
