--- a/packages/chalkwell/src/chalkwell/core/backoff.cpp
+++ b/packages/chalkwell/src/chalkwell/core/backoff.cpp
@@ -1,4 +1,4 @@
-// The pause grows from 1x to 2^n x its first length.
+// The delay grows from 1x to 2^n x the initial delay; its upper half is random.
 #include "chalkwell/core/backoff.hpp"
 
 #include <algorithm>
@@ -6,7 +6,8 @@
 namespace chalkwell::core {
 namespace {
 
-/// More doublings than any pause here needs to reach its longest.
+/// Enough doublings to reach the largest delay of any settings in use; bounds
+/// the shift.
 constexpr unsigned kMaxDoublings = 10;
 
 }  // namespace
@@ -15,13 +16,14 @@
     : settings_(settings), random_(seed) {}
 
 Duration Backoff::OnFailure(TimePoint now) {
-  const auto whole = std::min(settings_.initial_delay_ * (1U << failures_),
-                              settings_.max_delay_);
+  const auto full_delay = std::min(settings_.initial_delay_ * (1U << failures_),
+                                   settings_.max_delay_);
   failures_ = std::min(failures_ + 1, kMaxDoublings);
-  std::uniform_int_distribution<Duration::rep> jitter(0, whole.count() / 2);
-  const auto wait = whole / 2 + Duration(jitter(random_));
-  ready_at_ = now + wait;
-  return wait;
+  std::uniform_int_distribution<Duration::rep> jitter(0,
+                                                      full_delay.count() / 2);
+  const auto delay = full_delay / 2 + Duration(jitter(random_));
+  ready_at_ = now + delay;
+  return delay;
 }
 
 }  // namespace chalkwell::core
--- a/packages/chalkwell/src/chalkwell/core/backoff.hpp
+++ b/packages/chalkwell/src/chalkwell/core/backoff.hpp
@@ -1,4 +1,4 @@
-// Pause between tries at something that others ask too.
+// Delay between retries of a call to a shared resource.
 #pragma once
 
 #include <cstdint>
@@ -10,22 +10,22 @@
 
 /// @brief Settings of a backoff.
 struct BackoffSettings {
-  /// After the first failure; doubled with each further one in a row.
+  /// Delay after the first failure; doubled by each consecutive one.
   Duration initial_delay_ = std::chrono::milliseconds(100);
   Duration max_delay_ = std::chrono::milliseconds(1000);
 };
 
-/// @brief Exponential backoff with jitter. Many who fail together do not come
-/// back together: half of each pause is drawn by chance.
+/// @brief Exponential backoff with jitter. The upper half of each delay is
+/// random, so that callers that fail together do not retry together.
 class Backoff {
  public:
   Backoff(BackoffSettings settings, std::uint64_t seed);
 
   void OnSuccess() noexcept { failures_ = 0; }
-  /// @brief Counts a failure.
-  /// @return how long to wait before the next try.
+  /// @brief Records a failure.
+  /// @return the delay before the next attempt.
   Duration OnFailure(TimePoint now);
-  /// @brief Whether the pause after the last failure is over.
+  /// @brief Whether the delay after the last failure has elapsed.
   [[nodiscard]] bool IsReady(TimePoint now) const noexcept {
     return failures_ == 0 || now >= ready_at_;
   }
@@ -33,7 +33,7 @@
  private:
   BackoffSettings settings_;
   std::mt19937_64 random_;
-  /// In a row; bounded, since the pause is.
+  /// Consecutive failures, up to the number that reaches the largest delay.
   unsigned failures_ = 0;
   TimePoint ready_at_;
 };
--- a/packages/chalkwell/src/chalkwell/core/digest.cpp
+++ b/packages/chalkwell/src/chalkwell/core/digest.cpp
@@ -1,4 +1,4 @@
-// Digests by libsodium (BLAKE2b), rendezvous scores by xxHash.
+// Digests use libsodium (BLAKE2b, SHA-256), rendezvous scores use xxHash.
 #include "chalkwell/core/digest.hpp"
 
 #include <sodium.h>
--- a/packages/chalkwell/src/chalkwell/core/digest.hpp
+++ b/packages/chalkwell/src/chalkwell/core/digest.hpp
@@ -1,5 +1,5 @@
-// Content digests: BLAKE2b-256, the name by which weights are known here, and
-// SHA-256 where a platform names them so.
+// Content digests: BLAKE2b-256, which identifies weights in this system, and
+// SHA-256 for platforms that identify weights by it.
 #pragma once
 
 #include <array>
@@ -13,7 +13,7 @@
 
 namespace chalkwell::core {
 
-/// @brief A 256-bit content digest; the default value names nothing.
+/// @brief A 256-bit content digest; the default value means no content.
 class Digest {
  public:
   static constexpr std::size_t kSize = 32;
@@ -22,12 +22,12 @@
   constexpr Digest() = default;
   explicit constexpr Digest(const Bytes& bytes) : bytes_(bytes) {}
 
-  /// @brief Digest of the given content.
+  /// @brief BLAKE2b-256 of the given content.
   [[nodiscard]] static Digest Of(std::string_view content);
-  /// @brief SHA-256 of the given content, for weights that are named so.
+  /// @brief SHA-256 of the given content, for weights identified by SHA-256.
   [[nodiscard]] static Digest Sha256Of(std::string_view content);
   /// @brief Parses 64 hexadecimal digits.
-  /// @return nothing when the text has another length or other characters.
+  /// @return std::nullopt if the text has another length or other characters.
   [[nodiscard]] static std::optional<Digest> FromHex(std::string_view text);
 
   [[nodiscard]] std::string ToHex() const;
@@ -41,8 +41,8 @@
   Bytes bytes_{};
 };
 
-/// @brief Score of `member` for `item`: the member with the highest score of a
-/// set is its first choice (rendezvous hashing).
+/// @brief Rendezvous hashing score of `member` for `item`; the member of a set
+/// with the highest score has rank 0.
 [[nodiscard]] std::uint64_t RendezvousScore(std::string_view item,
                                             std::string_view member) noexcept;
 
--- a/packages/chalkwell/src/chalkwell/core/error.cpp
+++ b/packages/chalkwell/src/chalkwell/core/error.cpp
@@ -1,4 +1,4 @@
-// Text of errors: "step peer: message".
+// Formats error messages as "step peer: message".
 #include "chalkwell/core/error.hpp"
 
 #include <utility>
--- a/packages/chalkwell/src/chalkwell/core/error.hpp
+++ b/packages/chalkwell/src/chalkwell/core/error.hpp
@@ -1,4 +1,4 @@
-// Errors carry the step and the peer at which they arose.
+// Errors with the processing step and the peer at which they occurred.
 #pragma once
 
 #include <stdexcept>
@@ -9,7 +9,7 @@
 
 namespace chalkwell::core {
 
-/// @brief The step of work in which an error arose.
+/// @brief The processing step in which an error occurred.
 enum class Step : std::uint8_t {
   kSettings,
   kParse,
@@ -24,13 +24,14 @@
   kReadPlatform,
 };
 
-/// @brief Stable lower-case name of a step, as written in logs.
+/// @brief Stable lower-case name of a step, as written to logs.
 [[nodiscard]] std::string_view ToString(Step step) noexcept;
 
-/// @brief An error with its step and the peer concerned.
+/// @brief An error with its processing step and the peer involved.
 class Error : public std::runtime_error {
  public:
-  /// @param peer who was being spoken to or whose data was read; may be empty.
+  /// @param peer the remote side of the connection or the origin of the data;
+  /// may be empty.
   Error(Step step, std::string peer, const std::string& message);
 
   [[nodiscard]] Step step() const noexcept { return step_; }
--- a/packages/chalkwell/src/chalkwell/core/event.hpp
+++ b/packages/chalkwell/src/chalkwell/core/event.hpp
@@ -1,4 +1,4 @@
-// Numbered events: every log line, problem document and alarm names one.
+// Numbered events; every log line, problem document and alarm carries one.
 #pragma once
 
 #include <span>
@@ -8,7 +8,7 @@
 
 namespace chalkwell::core {
 
-/// @brief Numbers are never reused; docs/EVENTS.md is the catalogue.
+/// @brief Event numbers; they are never reused. docs/EVENTS.md lists them.
 enum class EventNumber : std::uint16_t {
   kStarted = 100,
   kStopping = 101,
@@ -72,24 +72,23 @@
   kRequestQuarantined = 615,
 };
 
-/// @brief How urgent an event is.
 enum class Severity : std::uint8_t { kDebug, kInfo, kWarning, kError };
 
-/// @brief One row of the catalogue.
+/// @brief One entry of the event catalogue.
 struct EventDescription {
   EventNumber number_;
   Severity severity_;
   std::string_view name_;
   /// What happened, in one sentence.
   std::string_view meaning_;
-  /// What it asks of an operator.
+  /// What an operator should do.
   std::string_view action_;
 };
 
-/// @brief The whole catalogue in order of number.
+/// @brief The whole catalogue, ordered by number.
 [[nodiscard]] std::span<const EventDescription> EventCatalogue() noexcept;
-/// @brief The row of one event.
-/// @throws std::out_of_range for a number that is not in the catalogue.
+/// @brief The catalogue entry of an event.
+/// @throws std::out_of_range if the number is not in the catalogue.
 [[nodiscard]] const EventDescription& Describe(EventNumber number);
 
 }  // namespace chalkwell::core
--- a/packages/chalkwell/src/chalkwell/core/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/core/fwd.hpp
@@ -1,4 +1,4 @@
-// Vocabulary of the core module: identifiers, digests, time and errors.
+// Forward declarations and time types of the core module.
 #pragma once
 
 #include <chrono>
@@ -15,14 +15,13 @@
 enum class Step : std::uint8_t;
 enum class EventNumber : std::uint16_t;
 
-/// @brief Monotonic time; every function that decides takes it as an argument.
-/// Callers pass a time that goes on while the machine is suspended, so that
-/// what is known ages meanwhile.
+/// @brief Monotonic time, passed to all time-dependent functions as an
+/// argument. Callers use a clock that advances while the machine is suspended,
+/// so that known state ages during a suspension.
 using TimePoint = std::chrono::steady_clock::time_point;
-/// @brief Time of day at which a process started, by its own clock: a name for
-/// one of its lives, never compared with other clocks.
+/// @brief Wall-clock start time of a process, by its own clock. It identifies
+/// one incarnation and is never compared with other clocks.
 using StartTime = std::chrono::sys_time<std::chrono::milliseconds>;
-/// @brief Span of monotonic time.
 using Duration = std::chrono::steady_clock::duration;
 
 }  // namespace chalkwell::core
--- a/packages/chalkwell/src/chalkwell/core/identifier.hpp
+++ b/packages/chalkwell/src/chalkwell/core/identifier.hpp
@@ -1,4 +1,4 @@
-// Strongly typed identifiers, so that an instance is never passed for a domain.
+// Strongly typed identifiers; identifiers of different kinds do not convert.
 #pragma once
 
 #include <compare>
@@ -10,7 +10,7 @@
 
 namespace chalkwell::core {
 
-/// @brief An opaque name that only compares with names of the same kind.
+/// @brief An opaque name, comparable only with names of the same kind.
 template <typename Tag>
 class Identifier {
  public:
@@ -32,13 +32,11 @@
 struct ClientAccountTag {};
 struct RoleTag {};
 
-/// @brief Name of one instance (entry or endpoint) in the published list.
+/// @brief Name of an instance (entry or endpoint) in the published list.
 using InstanceId = Identifier<InstanceTag>;
-/// @brief Name of a failure domain.
 using FailureDomainId = Identifier<FailureDomainTag>;
-/// @brief Name of a client account.
 using ClientAccountId = Identifier<ClientAccountTag>;
-/// @brief Name of the role an endpoint plays.
+/// @brief Name of the role that an endpoint serves.
 using Role = Identifier<RoleTag>;
 
 }  // namespace chalkwell::core
--- a/packages/chalkwell/src/chalkwell/core/json.cpp
+++ b/packages/chalkwell/src/chalkwell/core/json.cpp
@@ -1,12 +1,12 @@
-// Checked access to JSON fields.
+// Checked access to the fields of JSON documents.
 #include "chalkwell/core/json.hpp"
 
 #include "chalkwell/core/error.hpp"
 
 namespace chalkwell::core::internal {
 
-void ThrowFieldError(const std::string& field, const std::string& fix) {
-  throw Error(Step::kParse, "", "field '" + field + "' " + fix);
+void ThrowFieldError(const std::string& field, const std::string& problem) {
+  throw Error(Step::kParse, "", "field '" + field + "' " + problem);
 }
 
 nlohmann::json ParseObject(std::string_view text, const std::string& what) {
@@ -25,7 +25,7 @@
 const nlohmann::json& Require(const nlohmann::json& object,
                               const std::string& field) {
   if (!object.is_object()) {
-    ThrowFieldError(field, "must stand in a JSON object");
+    ThrowFieldError(field, "must be a member of a JSON object");
   }
   const auto found = object.find(field);
   if (found == object.end()) {
--- a/packages/chalkwell/src/chalkwell/core/json.hpp
+++ b/packages/chalkwell/src/chalkwell/core/json.hpp
@@ -1,4 +1,5 @@
-// Shared checks for JSON documents: each failure names the field and the fix.
+// Checked access to JSON documents; each error names the field and the rule
+// that it violates.
 #pragma once
 
 #include <cstdint>
@@ -8,10 +9,10 @@
 
 namespace chalkwell::core::internal {
 
-/// @throws core::Error always, with the field and what it must be.
+/// @throws core::Error always, with the field and the rule that it violates.
 [[noreturn]] void ThrowFieldError(const std::string& field,
-                                  const std::string& fix);
-/// @throws core::Error unless the text is one JSON object.
+                                  const std::string& problem);
+/// @throws core::Error unless the text is a single JSON object.
 [[nodiscard]] nlohmann::json ParseObject(std::string_view text,
                                          const std::string& what);
 [[nodiscard]] std::string RequireString(const nlohmann::json& object,
@@ -20,7 +21,7 @@
                                             const std::string& field);
 [[nodiscard]] const nlohmann::json& RequireArray(const nlohmann::json& object,
                                                  const std::string& field);
-/// @brief A flag that may be left out.
+/// @return the flag, or `fallback` if the field is absent.
 [[nodiscard]] bool OptionalFlag(const nlohmann::json& object,
                                 const std::string& field, bool fallback);
 
--- a/packages/chalkwell/src/chalkwell/core/milliseconds.hpp
+++ b/packages/chalkwell/src/chalkwell/core/milliseconds.hpp
@@ -1,4 +1,4 @@
-// Spans of time in arithmetic with other quantities.
+// Conversion between durations and fractional milliseconds.
 #pragma once
 
 #include <chrono>
@@ -7,12 +7,10 @@
 
 namespace chalkwell::core {
 
-/// @brief A span as a number of milliseconds.
-[[nodiscard]] inline double ToMs(Duration span) {
-  return std::chrono::duration<double, std::milli>(span).count();
+[[nodiscard]] inline double ToMs(Duration duration) {
+  return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-/// @brief The span of a number of milliseconds.
 [[nodiscard]] inline Duration FromMs(double milliseconds) {
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double, std::milli>(milliseconds));
