--- a/packages/chalkwell/src/chalkwell/membership/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/fwd.hpp
@@ -1,4 +1,5 @@
-// Vocabulary of the membership module: who is there and may take work.
+// Forward declarations of the membership module: known processes and whether
+// they accept work.
 #pragma once
 
 #include <cstdint>
--- a/packages/chalkwell/src/chalkwell/membership/gossip_table.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/gossip_table.cpp
@@ -1,4 +1,5 @@
-// Beats order the rows of one life; two lives never compare.
+// Heartbeat counters order the rows of one incarnation; rows of different
+// incarnations are not ordered.
 #include "chalkwell/membership/gossip_table.hpp"
 
 #include <algorithm>
@@ -11,7 +12,7 @@
 namespace chalkwell::membership {
 namespace {
 
-std::uint64_t Rank(const Member& member) { return WatcherScore(member.id_); }
+std::uint64_t Score(const Member& member) { return WatcherScore(member.id_); }
 
 }  // namespace
 
@@ -24,7 +25,7 @@
   self_.local_members_ = static_cast<std::uint32_t>(LocalMembers().size() + 1);
 }
 
-bool GossipTable::MakePlace(const Member& member) {
+bool GossipTable::MakeRoom(const Member& member) {
   if (member.domain_ == self_.domain_) {
     return true;
   }
@@ -36,14 +37,14 @@
     }
     ++live;
     if (last == rows_.end() ||
-        Rank(row->second.member_) < Rank(last->second.member_)) {
+        Score(row->second.member_) < Score(last->second.member_)) {
       last = row;
     }
   }
-  if (live < settings_.far_rows_) {
+  if (live < settings_.remote_rows_per_domain_) {
     return true;
   }
-  if (Rank(member) <= Rank(last->second.member_)) {
+  if (Score(member) <= Score(last->second.member_)) {
     return false;
   }
   rows_.erase(last);
@@ -57,7 +58,7 @@
   const Key key{member.id_, member.incarnation_};
   const auto found = rows_.find(key);
   if (found == rows_.end()) {
-    if (member.leaving_ || !MakePlace(member)) {
+    if (member.leaving_ || !MakeRoom(member)) {
       return MergeOutcome::kUnchanged;
     }
     rows_.emplace(key, Row{member, now});
@@ -67,41 +68,42 @@
   if (member.heartbeat_ <= row.member_.heartbeat_) {
     return MergeOutcome::kUnchanged;
   }
-  const bool back = row.lost_ && !member.leaving_;
+  const bool rejoined = row.lost_ && !member.leaving_;
   row = Row{member, now, member.leaving_, 0};
-  return back ? MergeOutcome::kJoined : MergeOutcome::kUpdated;
+  return rejoined ? MergeOutcome::kJoined : MergeOutcome::kUpdated;
 }
 
 std::vector<Member> GossipTable::Expire(core::TimePoint now) {
   std::vector<Member> lost;
   for (auto& [key, row] : rows_) {
-    if (!row.lost_ && now - row.heard_ >= settings_.lease_) {
+    if (!row.lost_ && now - row.last_heartbeat_ >= settings_.lease_) {
       row.lost_ = true;
       lost.push_back(row.member_);
     }
   }
   std::erase_if(rows_, [&](const auto& entry) {
-    return entry.second.lost_ && now - entry.second.heard_ >= settings_.memory_;
+    return entry.second.lost_ &&
+           now - entry.second.last_heartbeat_ >= settings_.tombstone_retention_;
   });
   return lost;
 }
 
-std::vector<Member> GossipTable::Unresponsive(std::size_t most,
+std::vector<Member> GossipTable::Unresponsive(std::size_t limit,
                                               core::TimePoint now) const {
   std::vector<const Row*> rows;
   for (const auto& [key, row] : rows_) {
-    if (!row.lost_ && now - row.heard_ >= settings_.lease_ / 2) {
+    if (!row.lost_ && now - row.last_heartbeat_ >= settings_.lease_ / 2) {
       rows.push_back(&row);
     }
   }
-  std::ranges::sort(rows, {}, &Row::heard_);
-  std::vector<Member> silent;
+  std::ranges::sort(rows, {}, &Row::last_heartbeat_);
+  std::vector<Member> unresponsive;
   for (const auto* row : rows) {
-    if (silent.size() < most) {
-      silent.push_back(row->member_);
+    if (unresponsive.size() < limit) {
+      unresponsive.push_back(row->member_);
     }
   }
-  return silent;
+  return unresponsive;
 }
 
 std::vector<Member> GossipTable::Live() const {
@@ -111,7 +113,7 @@
       continue;
     }
     auto& known = newest[row.member_.address_];
-    if (known == nullptr || row.heard_ > known->heard_) {
+    if (known == nullptr || row.last_heartbeat_ > known->last_heartbeat_) {
       known = &row;
     }
   }
@@ -132,7 +134,7 @@
 }
 
 std::size_t GossipTable::DeploymentSize() const {
-  std::map<core::FailureDomainId, std::size_t> told;
+  std::map<core::FailureDomainId, std::size_t> reported;
   std::map<core::FailureDomainId, std::size_t> known;
   std::size_t count = 1;
   for (const auto& member : Live()) {
@@ -140,20 +142,21 @@
       ++count;
       continue;
     }
-    auto& most = told[member.domain_];
-    most = std::max<std::size_t>(most, member.local_members_);
+    auto& size = reported[member.domain_];
+    size = std::max<std::size_t>(size, member.local_members_);
     ++known[member.domain_];
   }
-  for (const auto& [domain, most] : told) {
-    count += std::max(most, known[domain]);
+  for (const auto& [domain, size] : reported) {
+    count += std::max(size, known[domain]);
   }
   return count;
 }
 
 bool GossipTable::IsDelegate() const {
-  const auto own = Rank(self_);
+  const auto own_score = Score(self_);
   const auto ahead = std::ranges::count_if(
-      LocalMembers(), [&](const Member& member) { return Rank(member) > own; });
+      LocalMembers(),
+      [&](const Member& member) { return Score(member) > own_score; });
   return static_cast<std::size_t>(ahead) < kWatchersPerDomain;
 }
 
@@ -161,60 +164,62 @@
   std::ranges::shuffle(members, random_);
 }
 
-std::vector<Member> GossipTable::Sample(std::size_t most,
+std::vector<Member> GossipTable::Sample(std::size_t limit,
                                         const core::FailureDomainId& domain) {
-  struct Ranked {
-    bool foreign_;
-    unsigned told_;
-    std::uint64_t tie_;
+  struct Candidate {
+    bool other_domain_;
+    unsigned times_sent_;
+    std::uint64_t tie_breaker_;
     Row* row_;
   };
-  // Whoever is of another domain keeps few rows of this one.
-  std::vector<std::uint64_t> ranks;
+  // Members of remote failure domains keep only a few rows of this one.
+  std::vector<std::uint64_t> scores;
   for (const auto& member : LocalMembers()) {
-    ranks.push_back(Rank(member));
-  }
-  std::ranges::sort(ranks, std::ranges::greater{});
-  const bool far = domain != self_.domain_;
-  const auto least = far && ranks.size() > settings_.far_rows_
-                         ? ranks[settings_.far_rows_ - 1]
-                         : 0;
-  std::vector<Ranked> ranked;
+    scores.push_back(Score(member));
+  }
+  std::ranges::sort(scores, std::ranges::greater{});
+  const bool remote = domain != self_.domain_;
+  const auto min_score =
+      remote && scores.size() > settings_.remote_rows_per_domain_
+          ? scores[settings_.remote_rows_per_domain_ - 1]
+          : 0;
+  std::vector<Candidate> candidates;
   for (auto& [key, row] : rows_) {
-    const bool own = row.member_.domain_ == self_.domain_;
-    if (!row.lost_ && (!own || Rank(row.member_) >= least)) {
-      const bool foreign = far && row.member_.domain_ != domain;
-      ranked.push_back({foreign, row.told_, random_(), &row});
+    const bool local = row.member_.domain_ == self_.domain_;
+    if (!row.lost_ && (!local || Score(row.member_) >= min_score)) {
+      const bool other_domain = remote && row.member_.domain_ != domain;
+      candidates.push_back({other_domain, row.times_sent_, random_(), &row});
     }
   }
-  std::ranges::sort(ranked, {}, [](const Ranked& entry) {
-    return std::tuple(entry.foreign_, entry.told_, entry.tie_);
+  std::ranges::sort(candidates, {}, [](const Candidate& candidate) {
+    return std::tuple(candidate.other_domain_, candidate.times_sent_,
+                      candidate.tie_breaker_);
   });
-  ranked.resize(std::min(ranked.size(), most));
+  candidates.resize(std::min(candidates.size(), limit));
   std::vector<Member> members{self_};
-  for (auto& entry : ranked) {
-    ++entry.row_->told_;
-    members.push_back(entry.row_->member_);
+  for (auto& candidate : candidates) {
+    ++candidate.row_->times_sent_;
+    members.push_back(candidate.row_->member_);
   }
   return members;
 }
 
-std::vector<Member> GossipTable::GossipTargets(std::size_t most) {
+std::vector<Member> GossipTable::GossipTargets(std::size_t limit) {
   auto live = Live();
   Shuffle(live);
   std::vector<Member> targets;
   for (const auto& member : live) {
-    if (member.domain_ == self_.domain_ && targets.size() < most) {
+    if (member.domain_ == self_.domain_ && targets.size() < limit) {
       targets.push_back(member);
     }
   }
-  // Alone in its domain, a member is its delegate.
+  // The only member of a failure domain is its delegate.
   if (!IsDelegate()) {
     return targets;
   }
-  std::set<core::FailureDomainId> told{self_.domain_};
+  std::set<core::FailureDomainId> covered{self_.domain_};
   for (const auto& member : live) {
-    if (told.insert(member.domain_).second) {
+    if (covered.insert(member.domain_).second) {
       targets.push_back(member);
     }
   }
--- a/packages/chalkwell/src/chalkwell/membership/gossip_table.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/gossip_table.hpp
@@ -1,8 +1,9 @@
-// Who is there, without a published list: rows with a beat that only their
-// owner raises, passed on by chance; a row that stays behind its lease is lost.
-// All members of the own failure domain are kept, and few of each other one:
-// what a process keeps and tells does not grow with the number of domains'
-// members.
+// Membership by gossip, without a published list: each member owns a row whose
+// heartbeat counter only it raises, and rows are exchanged with random members.
+// A row whose counter does not rise within the lease is lost. All members of
+// the local failure domain are kept, and a few of each remote one, so that the
+// state and the traffic of a process do not grow with the size of remote
+// domains.
 #pragma once
 
 #include <cstdint>
@@ -17,83 +18,83 @@
 
 namespace chalkwell::membership {
 
-/// @brief What a member is.
+/// @brief Kind of process.
 enum class MemberKind : std::uint8_t { kEntry, kAgent };
 
-/// @brief One life of a process.
+/// @brief One incarnation of a process.
 struct Member {
   core::InstanceId id_;
-  /// Drawn at random at each start.
+  /// Random, chosen at each start.
   std::uint64_t incarnation_ = 0;
   MemberKind kind_ = MemberKind::kEntry;
   core::FailureDomainId domain_;
-  /// Where it hears others, "ip:port".
+  /// Address at which it receives datagrams, "ip:port".
   std::string address_;
-  /// Raised by the member itself; orders its rows.
+  /// Heartbeat counter, raised only by the member itself; orders its rows.
   std::uint64_t heartbeat_ = 0;
-  /// It is about to end and should be forgotten.
+  /// The member is shutting down and is to be removed.
   bool leaving_ = false;
-  /// Live members that it knows in its own failure domain, itself included; 0
-  /// when it does not say.
+  /// Live members that it knows in its own failure domain, including itself; 0
+  /// if it does not report them.
   std::uint32_t local_members_ = 0;
 };
 
-/// @brief Settings of the table.
 struct GossipSettings {
-  /// A row whose beat does not rise for this long is lost. From half of it on
-  /// the member is asked directly, so that none is lost by the chance of
-  /// gossip alone.
+  /// A row whose heartbeat counter does not rise for this long is lost. After
+  /// half of the lease the member is probed directly, so that no member is lost
+  /// only because random gossip did not reach it.
   core::Duration lease_ = std::chrono::milliseconds(6000);
-  /// How long a lost row is remembered, so that a late copy does not bring it
-  /// back.
-  core::Duration memory_ = std::chrono::seconds(60);
-  /// Rows kept of each other failure domain, the first in rank of those heard
-  /// of. The first two are the ones who pass news on there; the others stand by
-  /// for when these are lost, which takes a lease to notice.
-  std::size_t far_rows_ = 3;
+  /// How long a lost row is kept as a tombstone, so that a delayed copy does
+  /// not restore it; counted from its last heartbeat.
+  core::Duration tombstone_retention_ = std::chrono::seconds(60);
+  /// Rows kept of each remote failure domain: those with the lowest ranks among
+  /// the received ones. The first two are the delegates of that domain; the
+  /// others replace them once they are lost, which takes a lease to detect.
+  std::size_t remote_rows_per_domain_ = 3;
 };
 
-/// @brief What a merge changed.
+/// @brief Outcome of merging a received row.
 enum class MergeOutcome : std::uint8_t { kUnchanged, kUpdated, kJoined };
 
-/// @brief Members known to one process.
+/// @brief Membership as known to one process.
 class GossipTable {
  public:
   GossipTable(Member self, GossipSettings settings, std::uint64_t seed);
 
   [[nodiscard]] const Member& self() const noexcept { return self_; }
-  /// @brief Raises the own beat.
+  /// @brief Raises the own heartbeat counter.
   void RaiseHeartbeat();
   void SetLeaving() noexcept { self_.leaving_ = true; }
-  /// @brief Takes a row heard from anyone.
+  /// @brief Merges a row received from any member.
   MergeOutcome Merge(const Member& member, core::TimePoint now);
-  /// @brief Forgets members past their lease.
-  /// @return those lost since the last call.
+  /// @brief Marks members past their lease as lost and drops old tombstones.
+  /// @return the members lost since the last call.
   std::vector<Member> Expire(core::TimePoint now);
 
-  /// @brief Members of whom nothing was heard for half their lease, the longest
-  /// silent first.
-  /// @param most each is asked directly, which is to cost little.
-  [[nodiscard]] std::vector<Member> Unresponsive(std::size_t most,
+  /// @brief Members whose heartbeat counter did not rise for half of the lease,
+  /// the oldest first.
+  /// @param limit largest number returned; each of them costs a probe.
+  [[nodiscard]] std::vector<Member> Unresponsive(std::size_t limit,
                                                  core::TimePoint now) const;
-  /// @brief Live members, this one left out; one row an address.
+  /// @brief Live members without this one, at most one row per address.
   [[nodiscard]] std::vector<Member> Live() const;
-  /// @brief Live members of the own failure domain, this one left out.
+  /// @brief Live members of the local failure domain, without this one.
   [[nodiscard]] std::vector<Member> LocalMembers() const;
-  /// @brief Live members of the whole deployment, this one included: those of
-  /// other failure domains as these tell it.
+  /// @brief Number of live members of the whole deployment, including this one;
+  /// for remote failure domains, the number that their members report.
   [[nodiscard]] std::size_t DeploymentSize() const;
-  /// @brief Whether this member is one of those who pass news on between
+  /// @brief Whether this member is a delegate, which forwards changes between
   /// failure domains.
   [[nodiscard]] bool IsDelegate() const;
-  /// @brief The own row and some others, those told least first; for a member
-  /// of another failure domain those of its domain before all others, and of
-  /// the own domain only the first in rank.
-  [[nodiscard]] std::vector<Member> Sample(std::size_t most,
+  /// @brief The own row and some others, the least often sent first. For a
+  /// receiver in a remote failure domain, rows of its domain precede all
+  /// others, and of the local domain only those with the lowest ranks are
+  /// included.
+  [[nodiscard]] std::vector<Member> Sample(std::size_t limit,
                                            const core::FailureDomainId& domain);
-  /// @brief Members to tell next: some of the own failure domain by chance, and
-  /// by delegates one of each other domain.
-  [[nodiscard]] std::vector<Member> GossipTargets(std::size_t most);
+  /// @brief Receivers of the next gossip round: random members of the local
+  /// failure domain and, on delegates, one member of each remote domain.
+  [[nodiscard]] std::vector<Member> GossipTargets(std::size_t limit);
 
  private:
   struct Key {
@@ -103,17 +104,18 @@
   };
   struct Row {
     Member member_;
-    /// When its beat last rose here.
-    core::TimePoint heard_;
+    /// When its heartbeat counter last rose here.
+    core::TimePoint last_heartbeat_;
     bool lost_ = false;
-    /// How often it was passed on since its beat rose; those told least go
-    /// first, so that no news wait long by chance.
-    unsigned told_ = 0;
+    /// How often it was sent since its heartbeat counter rose. The least often
+    /// sent rows go first, so that random choice delays no update for long.
+    unsigned times_sent_ = 0;
   };
 
-  /// @brief Whether a row of another failure domain has a place; one that ranks
-  /// behind it gives way.
-  bool MakePlace(const Member& member);
+  /// @brief Makes room for a row of a remote failure domain, if necessary by
+  /// removing one of a higher rank.
+  /// @return whether there is room.
+  bool MakeRoom(const Member& member);
   void Shuffle(std::vector<Member>& members);
 
   Member self_;
--- a/packages/chalkwell/src/chalkwell/membership/graceful_shutdown.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/graceful_shutdown.cpp
@@ -1,29 +1,29 @@
-// Decisions of a planned stop.
+// State of a graceful shutdown.
 #include "chalkwell/membership/graceful_shutdown.hpp"
 
 namespace chalkwell::membership {
 
 bool GracefulShutdown::MayExit(core::TimePoint now) const noexcept {
-  if (!began_) {
+  if (!began_at_) {
     return false;
   }
-  return work_ == 0 || faults_.exit_with_pending_work_ ||
-         now - *began_ >= limit_;
+  return pending_ == 0 || faults_.exit_with_pending_work_ ||
+         now - *began_at_ >= limit_;
 }
 
 void GracefulShutdown::Begin(core::TimePoint now) noexcept {
-  if (began_) {
+  if (began_at_) {
     return;
   }
-  began_ = now;
+  began_at_ = now;
   if (faults_.drop_work_on_shutdown_) {
-    work_ = 0;
+    pending_ = 0;
   }
 }
 
 void GracefulShutdown::OnWorkFinished() noexcept {
-  if (work_ > 0) {
-    --work_;
+  if (pending_ > 0) {
+    --pending_;
   }
 }
 
--- a/packages/chalkwell/src/chalkwell/membership/graceful_shutdown.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/graceful_shutdown.hpp
@@ -1,5 +1,5 @@
-// Planned stop of a process: no new work at once, all work at hand finished,
-// bounded by the longest deadline.
+// Graceful shutdown of a process: new work is refused at once and accepted
+// work is finished, bounded by the longest request deadline.
 #pragma once
 
 #include <cstddef>
@@ -10,41 +10,40 @@
 
 namespace chalkwell::membership {
 
-/// @brief Faults that tests seed to show that the proofs can fail.
+/// @brief Faults that tests inject to show that their checks detect them.
 struct ShutdownFaults {
   bool accept_while_draining_ = false;
   bool exit_with_pending_work_ = false;
   bool drop_work_on_shutdown_ = false;
 };
 
-/// @brief Counts work and decides when the process may exit.
+/// @brief Counts accepted work and decides when the process may exit.
 class GracefulShutdown {
  public:
-  /// @param limit longest time a stop may wait.
+  /// @param limit longest time to wait for accepted work.
   explicit GracefulShutdown(core::Duration limit,
                             ShutdownFaults faults = {}) noexcept
       : limit_(limit), faults_(faults) {}
 
-  [[nodiscard]] bool draining() const noexcept { return began_.has_value(); }
-  /// @brief Whether new work may be taken.
+  [[nodiscard]] bool draining() const noexcept { return began_at_.has_value(); }
+  /// @brief Whether new work may be accepted.
   [[nodiscard]] bool accepting() const noexcept {
     return !draining() || faults_.accept_while_draining_;
   }
-  [[nodiscard]] std::size_t pending() const noexcept { return work_; }
-  /// @brief Whether the process may exit.
+  [[nodiscard]] std::size_t pending() const noexcept { return pending_; }
   [[nodiscard]] bool MayExit(core::TimePoint now) const noexcept;
 
   void Begin(core::TimePoint now) noexcept;
-  void OnWorkAccepted() noexcept { ++work_; }
+  void OnWorkAccepted() noexcept { ++pending_; }
   void OnWorkFinished() noexcept;
 
  private:
   core::Duration limit_;
   ShutdownFaults faults_;
-  /// Work taken and not ended.
-  std::size_t work_ = 0;
-  /// Set once.
-  std::optional<core::TimePoint> began_;
+  /// Accepted and not finished.
+  std::size_t pending_ = 0;
+  /// Set by the first Begin().
+  std::optional<core::TimePoint> began_at_;
 };
 
 }  // namespace chalkwell::membership
--- a/packages/chalkwell/src/chalkwell/membership/message_order.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/message_order.cpp
@@ -1,17 +1,19 @@
-// A clock that fell far was started anew.
+// A clock that went back by more than the largest delay belongs to a machine
+// that was rebooted.
 #include "chalkwell/membership/message_order.hpp"
 
 namespace chalkwell::membership {
 namespace {
 
-/// No datagram is on its way for longer; a machine that lost power was up for
-/// longer before, or its messages are taken again after this.
-constexpr auto kLongestWay = std::chrono::seconds(5);
+/// No datagram is delayed for longer. After a power failure, messages of a
+/// machine that was up for less than this before count as late for at most this
+/// long.
+constexpr auto kMaxDelay = std::chrono::seconds(5);
 
 }  // namespace
 
 bool MessageOrder::CheckLate(std::chrono::milliseconds sent) {
-  const bool late = newest_ && sent < *newest_ && *newest_ - sent < kLongestWay;
+  const bool late = newest_ && sent < *newest_ && *newest_ - sent < kMaxDelay;
   if (!late) {
     newest_ = sent;
   }
--- a/packages/chalkwell/src/chalkwell/membership/message_order.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/message_order.hpp
@@ -1,5 +1,5 @@
-// Datagrams overtake each other: what one sender said before its last word
-// heard is late, and must not be believed any more.
+// Detects reordered datagrams: a message that was sent before the newest one
+// received from the same sender is late and must not be applied.
 #pragma once
 
 #include <chrono>
@@ -7,13 +7,13 @@
 
 namespace chalkwell::membership {
 
-/// @brief Order of the messages of one sender.
+/// @brief Order of the messages from one sender.
 class MessageOrder {
  public:
-  /// @brief Takes a message that arrived.
-  /// @param sent by the sender's steady clock, which begins anew with its
-  /// machine.
-  /// @return whether a later one arrived before.
+  /// @brief Records a received message.
+  /// @param sent time by the sender's steady clock, which restarts when its
+  /// machine boots.
+  /// @return whether a message sent later was received before.
   bool CheckLate(std::chrono::milliseconds sent);
 
  private:
--- a/packages/chalkwell/src/chalkwell/membership/path_delay.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/path_delay.cpp
@@ -1,4 +1,4 @@
-// One-way delay without synchronized clocks.
+// Windowed minimum filters for one-way delay.
 #include "chalkwell/membership/path_delay.hpp"
 
 #include <algorithm>
@@ -7,30 +7,30 @@
 namespace chalkwell::membership {
 namespace {
 
-/// A queue on the own link grows and drains within this time.
+/// Time scale on which a queue on the own link grows and drains.
 constexpr auto kShortWindow = std::chrono::milliseconds(250);
-/// Messages that the short window must hold: one alone may show the delay of
+/// Messages required in the short window: a single one may show the delay of
 /// its sender's link.
-constexpr std::size_t kFewSamples = 3;
-/// At rest a process hears some two messages a second.
+constexpr std::size_t kMinSamples = 3;
+/// An idle process receives some two messages per second.
 constexpr auto kLongWindow = std::chrono::seconds(1);
-/// How long the least way counts, once or twice: steady clocks drift by less
-/// than 30 ms in it, and no queue lasts as long.
-constexpr auto kPeriod = std::chrono::minutes(5);
-/// A full link loses datagrams: what the last one showed counts for this long.
-constexpr auto kMemory = std::chrono::seconds(3);
+/// A minimum counts for one to two of these periods: steady clocks drift by
+/// less than 30 ms within one, and no queue lasts that long.
+constexpr auto kMinimumWindow = std::chrono::minutes(5);
+/// A saturated link drops datagrams: the last sample counts for this long.
+constexpr auto kLastSampleValidity = std::chrono::seconds(3);
 
 }  // namespace
 
 core::Duration PathDelay::OnMessage(core::Duration sent_at,
                                     core::TimePoint now) {
   const auto difference = now.time_since_epoch() - sent_at;
-  if (now - period_began_ >= kPeriod) {
-    least_before_ = std::exchange(least_, std::nullopt);
-    period_began_ = now;
+  if (now - period_start_ >= kMinimumWindow) {
+    previous_min_ = std::exchange(min_, std::nullopt);
+    period_start_ = now;
   }
-  least_ = std::min(least_.value_or(difference), difference);
-  return difference - std::min(*least_, least_before_.value_or(difference));
+  min_ = std::min(min_.value_or(difference), difference);
+  return difference - std::min(*min_, previous_min_.value_or(difference));
 }
 
 void LinkDelay::OnMessage(core::Duration delay, core::TimePoint now) {
@@ -40,29 +40,30 @@
   }
 }
 
-std::optional<core::Duration> LinkDelay::LeastWithin(
-    core::Duration window, std::size_t samples, core::TimePoint now) const {
-  std::optional<core::Duration> least;
-  std::size_t seen = 0;
+std::optional<core::Duration> LinkDelay::MinWithin(core::Duration window,
+                                                   std::size_t min_samples,
+                                                   core::TimePoint now) const {
+  std::optional<core::Duration> min;
+  std::size_t samples = 0;
   for (const auto& sample : samples_) {
     if (now - sample.at_ <= window) {
-      least = std::min(least.value_or(sample.delay_), sample.delay_);
-      ++seen;
+      min = std::min(min.value_or(sample.delay_), sample.delay_);
+      ++samples;
     }
   }
-  return seen >= samples ? least : std::nullopt;
+  return samples >= min_samples ? min : std::nullopt;
 }
 
 core::Duration LinkDelay::At(core::TimePoint now) const {
-  if (const auto least = LeastWithin(kShortWindow, kFewSamples, now)) {
-    return *least;
+  if (const auto min = MinWithin(kShortWindow, kMinSamples, now)) {
+    return *min;
   }
-  if (const auto least = LeastWithin(kLongWindow, 1, now)) {
-    return *least;
+  if (const auto min = MinWithin(kLongWindow, 1, now)) {
+    return *min;
   }
-  const bool remembered =
-      !samples_.empty() && now - samples_.back().at_ <= kMemory;
-  return remembered ? samples_.back().delay_ : core::Duration{};
+  const bool recent =
+      !samples_.empty() && now - samples_.back().at_ <= kLastSampleValidity;
+  return recent ? samples_.back().delay_ : core::Duration{};
 }
 
 }  // namespace chalkwell::membership
--- a/packages/chalkwell/src/chalkwell/membership/path_delay.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/path_delay.hpp
@@ -1,5 +1,6 @@
-// How long a path holds messages back, from the sender's own clock: clocks
-// differ by a constant, so what exceeds the least difference is delay.
+// One-way delay without synchronized clocks: the clocks of two machines differ
+// by a constant offset, so what exceeds the minimum difference is queueing
+// delay.
 #pragma once
 
 #include <deque>
@@ -12,29 +13,31 @@
 /// @brief Delay of the path from one sender.
 class PathDelay {
  public:
-  /// @brief Takes a message.
+  /// @brief Records a received message.
   /// @param sent_at time by the sender's steady clock.
-  /// @return how much longer than the quickest message it was under way.
+  /// @return its one-way delay in excess of the minimum one-way delay.
   core::Duration OnMessage(core::Duration sent_at, core::TimePoint now);
 
  private:
-  /// Least difference of the two clocks, of this period and of the one before;
-  /// it includes the shortest way. Steady clocks of two machines drift apart,
-  /// by seconds in some days.
-  std::optional<core::Duration> least_;
-  std::optional<core::Duration> least_before_;
-  core::TimePoint period_began_;
+  /// Minimum difference of the two clocks in the current and in the previous
+  /// period; it includes the minimum one-way delay. Older minima do not count,
+  /// because steady clocks of two machines drift apart by seconds within days.
+  std::optional<core::Duration> min_;
+  std::optional<core::Duration> previous_min_;
+  core::TimePoint period_start_;
 };
 
-/// @brief Delay of the own link, from messages of many senders: what even the
-/// quickest of a short time shows is not the senders' doing.
+/// @brief Delay of the own link, from messages of many senders: a delay that
+/// even the fastest message of a short window shows is not caused by the
+/// senders.
 class LinkDelay {
  public:
-  /// @brief A message of some sender was under way longer by `delay`.
+  /// @brief Records a message from any sender.
+  /// @param delay its one-way delay in excess of the minimum of its path.
   void OnMessage(core::Duration delay, core::TimePoint now);
-  /// @brief Least delay of the last messages: of a quarter of a second if that
-  /// brought several, else of a second, else of the last message, which counts
-  /// for some seconds. Zero when nothing was heard.
+  /// @brief Minimum delay of the last messages: within a quarter of a second if
+  /// several were received in it, else within a second, else of the last
+  /// message if it is a few seconds old at most. Zero if there is none.
   [[nodiscard]] core::Duration At(core::TimePoint now) const;
 
  private:
@@ -43,11 +46,12 @@
     core::Duration delay_;
   };
 
-  /// @return none when the window holds fewer samples.
-  [[nodiscard]] std::optional<core::Duration> LeastWithin(
-      core::Duration window, std::size_t samples, core::TimePoint now) const;
+  /// @return std::nullopt if the window holds fewer than `min_samples`.
+  [[nodiscard]] std::optional<core::Duration> MinWithin(
+      core::Duration window, std::size_t min_samples,
+      core::TimePoint now) const;
 
-  /// In order of time; none older than the longest window, but the newest.
+  /// Ordered by time; none is older than the longest window, except the newest.
   std::deque<Sample> samples_;
 };
 
--- a/packages/chalkwell/src/chalkwell/membership/propagation_plan.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/propagation_plan.cpp
@@ -1,4 +1,5 @@
-// Delegates are those who watch what is published: they hear first.
+// Delegates are the watchers of published documents, which receive changes
+// first.
 #include "chalkwell/membership/propagation_plan.hpp"
 
 #include <algorithm>
@@ -10,7 +11,7 @@
 namespace chalkwell::membership {
 namespace {
 
-std::uint64_t Rank(const Member& member) { return WatcherScore(member.id_); }
+std::uint64_t Score(const Member& member) { return WatcherScore(member.id_); }
 
 }  // namespace
 
@@ -18,27 +19,27 @@
     : self_(std::move(self)) {
   std::erase_if(live, &Member::leaving_);
   for (auto& member : live) {
-    const bool near = member.domain_ == self_.domain_;
-    (near ? near_ : far_).push_back(std::move(member));
+    const bool local = member.domain_ == self_.domain_;
+    (local ? local_ : remote_).push_back(std::move(member));
   }
 }
 
 std::vector<Member> PropagationPlan::RemoteDelegates(
-    std::size_t of_each) const {
-  auto order = far_;
-  std::ranges::sort(order, std::ranges::greater{}, Rank);
-  std::map<core::FailureDomainId, std::size_t> taken;
-  std::erase_if(order, [&](const Member& member) {
-    return ++taken[member.domain_] > of_each;
+    std::size_t per_domain) const {
+  auto delegates = remote_;
+  std::ranges::sort(delegates, std::ranges::greater{}, Score);
+  std::map<core::FailureDomainId, std::size_t> counts;
+  std::erase_if(delegates, [&](const Member& member) {
+    return ++counts[member.domain_] > per_domain;
   });
-  return order;
+  return delegates;
 }
 
 std::vector<Member> PropagationPlan::AnnounceTargets(
     DelegateFanout reach) const {
   auto targets = RemoteDelegates(
       reach == DelegateFanout::kTwoDelegates ? kWatchersPerDomain : 1);
-  targets.insert(targets.end(), near_.begin(), near_.end());
+  targets.insert(targets.end(), local_.begin(), local_.end());
   return targets;
 }
 
@@ -47,11 +48,11 @@
   if (from == self_.domain_) {
     return {};
   }
-  const auto own = Rank(self_);
+  const auto own_score = Score(self_);
   const auto ahead = std::ranges::count_if(
-      near_, [&](const Member& member) { return Rank(member) > own; });
+      local_, [&](const Member& member) { return Score(member) > own_score; });
   return static_cast<std::size_t>(ahead) < kWatchersPerDomain
-             ? near_
+             ? local_
              : std::vector<Member>{};
 }
 
--- a/packages/chalkwell/src/chalkwell/membership/propagation_plan.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/propagation_plan.hpp
@@ -1,8 +1,9 @@
-// Who tells whom of news, whatever it is: rules, weights, endpoints that leave.
-// A process that heard first tells its whole failure domain and the delegates
-// of each other domain; a delegate tells its own domain what came from another.
-// What one process sends is bounded by the size of a failure domain, and each
-// domain's news crosses to another one twice, however many members both have.
+// Receivers of a change of any kind: rules, weights, draining endpoints. The
+// process that learns of a change first sends it to its whole failure domain
+// and to the delegates of each remote domain; a delegate forwards what came
+// from a remote domain within its own. What one process sends is bounded by the
+// size of a failure domain, and a change crosses from one domain to another
+// twice, independent of their sizes.
 #pragma once
 
 #include <cstdint>
@@ -13,38 +14,38 @@
 
 namespace chalkwell::membership {
 
-/// @brief How far a piece of news goes.
+/// @brief Number of delegates per remote failure domain that receive a change.
 enum class DelegateFanout : std::uint8_t {
-  /// Two delegates of each other domain: for what must arrive although one of
-  /// them was lost a moment ago.
+  /// Two, for a change that must arrive even if one of them was just lost.
   kTwoDelegates,
-  /// One delegate of each other domain: for what is told again and again.
+  /// One, for what is sent periodically.
   kOneDelegate,
 };
 
-/// @brief Targets of one process, from the members that it knows.
+/// @brief Receivers of the changes of one process, from the members it knows.
 class PropagationPlan {
  public:
-  /// @param live members known, this one left out.
+  /// @param live known live members, without this one.
   PropagationPlan(Member self, std::vector<Member> live);
 
-  /// @brief Whom to tell what this process heard first.
+  /// @brief Receivers of a change that this process learned of first.
   [[nodiscard]] std::vector<Member> AnnounceTargets(DelegateFanout reach) const;
-  /// @brief Whom to tell what came from a member of a failure domain: a
-  /// delegate passes on what comes from another one, nobody else does.
+  /// @brief Receivers of a change that came from a member of a failure domain:
+  /// only delegates forward, and only what comes from a remote domain.
   [[nodiscard]] std::vector<Member> ForwardTargets(
       const core::FailureDomainId& from) const;
-  /// @brief Live members of the own failure domain.
+  /// @brief Live members of the local failure domain.
   [[nodiscard]] const std::vector<Member>& local_members() const noexcept {
-    return near_;
+    return local_;
   }
-  /// @brief The first in rank of each other failure domain.
-  [[nodiscard]] std::vector<Member> RemoteDelegates(std::size_t of_each) const;
+  /// @brief The first members in rank of each remote failure domain.
+  [[nodiscard]] std::vector<Member> RemoteDelegates(
+      std::size_t per_domain) const;
 
  private:
   Member self_;
-  std::vector<Member> near_;
-  std::vector<Member> far_;
+  std::vector<Member> local_;
+  std::vector<Member> remote_;
 };
 
 }  // namespace chalkwell::membership
--- a/packages/chalkwell/src/chalkwell/membership/reader_role.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/reader_role.hpp
@@ -1,7 +1,8 @@
-// How often a process reads a published list itself, when one reads it for all:
-// the first of each failure domain stands by, those of different domains in an
-// order, and whoever is told of a read does not read itself meanwhile. What
-// this costs the publisher does not grow with the deployment.
+// Decides how often a process reads a published list itself from the
+// configuration store. One designated reader reads it for all and announces
+// each read. The first member in rank of each failure domain stands by, in a
+// fixed order of the domains, and members that receive announcements postpone
+// their own reads. The load on the store does not grow with the deployment.
 #pragma once
 
 #include <algorithm>
@@ -13,85 +14,86 @@
 
 namespace chalkwell::membership {
 
-/// @brief Settings of a duty.
 struct ReaderRoleSettings {
-  /// Between two reads of the member whose duty it is.
+  /// Read interval of the designated reader.
   core::Duration reader_interval_ = std::chrono::milliseconds(600);
-  /// Between two reads of the others while they are told: a gap in what they
-  /// are told shows at the next telling, so this only guards against errors.
-  /// With 20 s, 149 members make 7.5 calls a second of it; now 1.2.
+  /// Read interval of the other members while they receive announcements. The
+  /// next announcement reveals a missed one, so these reads only guard against
+  /// errors. For 149 members they are 1.2 calls per second; 20 s made it 7.5.
   core::Duration standby_interval_ = std::chrono::seconds(120);
-  /// Told of no read for this long, the next member reads itself: one and a
-  /// half intervals, since a datagram is lost now and then.
+  /// Without an announced read for this long, the next member in rank takes
+  /// over. One and a half read intervals, since datagrams may be lost.
   core::Duration takeover_timeout_ = std::chrono::milliseconds(900);
-  /// What each rank within a failure domain waits beyond the one before it, and
-  /// what the first of each domain waits beyond that of the domain before.
+  /// Additional delay per rank within a failure domain before taking over, and
+  /// per preceding failure domain before the first member of a domain reads.
   core::Duration rank_delay_ = std::chrono::milliseconds(150);
-  /// What each rank waits beyond the one before it while others try and fail.
-  /// The publisher may turn those away and serve this one, but when it is away
-  /// for all, each further reader only asks in vain: some 7 of a failure domain
-  /// read after 8 s, not all.
+  /// Additional delay per rank while the reads of other members fail. The store
+  /// may refuse those and serve this member, but when it is unreachable for
+  /// all, further readers only add failing calls: after 8 s some 7 members of a
+  /// failure domain read, not all.
   core::Duration failed_read_rank_delay_ = std::chrono::milliseconds(1200);
-  /// Whoever believes an older list reads itself, whatever its rank, unless the
-  /// publisher is known to be away: endpoints that leave are told by the list.
+  /// A member whose snapshot is older reads the list itself, whatever its rank,
+  /// unless the store is known to be unreachable: the list shows which
+  /// endpoints are draining.
   core::Duration max_age_ = std::chrono::milliseconds(1200);
 };
 
-/// @brief The duty of one member.
+/// @brief Decides whether one member is the designated reader.
 class ReaderRole {
  public:
   ReaderRole(core::InstanceId self, ReaderRoleSettings settings);
 
-  /// @brief Members of the own failure domain that read the list, this one
-  /// included; the first in rank has the duty.
+  /// @brief Sets the members of the local failure domain that need the list,
+  /// including this one; rank 0 is the reader of the domain.
   void SetMembers(std::span<const core::InstanceId> members);
-  /// @param ahead other failure domains whose first reads before this one's.
+  /// @param ahead number of failure domains whose readers precede this one's.
   void SetDomainsAhead(std::size_t ahead) noexcept { domains_ahead_ = ahead; }
-  /// @brief This member read the list itself.
+  /// @brief This member read the list from the store.
   void OnRead(core::TimePoint now) noexcept;
-  /// @brief This member tried to read the list, in vain.
+  /// @brief A read by this member failed.
   void OnReadFailed(core::TimePoint now) noexcept {
-    asked_at_ = now;
+    attempted_at_ = now;
     failed_at_ = now;
   }
-  /// @brief Another member told of a read.
-  /// @param as_of when the publisher was asked: an old telling keeps nobody
-  /// from reading.
+  /// @brief Another member announced a read.
+  /// @param as_of when the store was queried; the announcement of an old read
+  /// does not postpone the read of this member.
   void OnPeerRead(core::TimePoint as_of) noexcept {
-    told_at_ = std::max(told_at_.value_or(as_of), as_of);
+    peer_read_at_ = std::max(peer_read_at_.value_or(as_of), as_of);
   }
-  /// @brief Another member of the own failure domain told that it tried to
-  /// read, in vain.
+  /// @brief Another member of the local failure domain announced a failed read.
   void OnPeerReadFailed(core::TimePoint now) noexcept;
-  /// @brief Whether this member reads for the others: the first in rank, or
-  /// whoever is told of no read any more.
+  /// @brief Whether this member reads for the others: it is the first in rank,
+  /// or announcements of reads have ceased.
   [[nodiscard]] bool IsReader(core::TimePoint now) const noexcept;
-  /// @brief Whether a list is older than may be believed, and the publisher is
-  /// not known to be away.
-  /// @param as_of when the publisher was asked for it.
+  /// @brief Whether a snapshot is too old to be used and the store is not known
+  /// to be unreachable.
+  /// @param as_of when the store was queried for it.
   [[nodiscard]] bool IsStale(core::TimePoint as_of,
                              core::TimePoint now) const noexcept;
-  /// @brief Time from the last own try to the next, as of now.
+  /// @brief Time from the last own read attempt to the next one, as of now.
   [[nodiscard]] core::Duration Interval(core::TimePoint now) const noexcept;
 
  private:
   core::InstanceId self_;
   ReaderRoleSettings settings_;
-  /// Members of the own failure domain ahead of this one.
+  /// Number of members of the local failure domain that precede this one.
   std::size_t rank_ = 0;
-  /// Whether any other member of the own failure domain is known.
+  /// Whether no other member of the local failure domain is known.
   bool alone_ = true;
-  /// After its first read a member that knows no other waits for news of them:
-  /// all start together after a loss of power.
-  std::optional<core::TimePoint> alone_until_;
+  /// After its first read a member that knows no other waits until then to
+  /// discover some: after a power failure all members start at the same time.
+  std::optional<core::TimePoint> discovery_until_;
   std::size_t domains_ahead_ = 0;
-  /// Last own try.
-  std::optional<core::TimePoint> asked_at_;
-  /// Last own try in vain.
+  /// Last own read attempt.
+  std::optional<core::TimePoint> attempted_at_;
+  /// Last failed one.
   std::optional<core::TimePoint> failed_at_;
-  /// None until a read, or a try, was told of; never falls.
-  std::optional<core::TimePoint> told_at_;
-  std::optional<core::TimePoint> tried_at_;
+  /// Time of the newest announced read, or of the first own read or announced
+  /// failure; never decreases.
+  std::optional<core::TimePoint> peer_read_at_;
+  /// Last announced failure of a read.
+  std::optional<core::TimePoint> peer_failed_at_;
 };
 
 }  // namespace chalkwell::membership
--- a/packages/chalkwell/src/chalkwell/membership/report_subscribers.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/report_subscribers.hpp
@@ -1,7 +1,7 @@
-// Who is told an endpoint's reports: the entries that use it, as long as they
-// say so. Each is told a change soon and that nothing changed now and then;
-// all together take a fixed budget, so that what a reporter sends does not grow
-// with the number of entries.
+// Subscribers of an endpoint's reports: the entries that use it, while they
+// renew their subscriptions. Changes are sent soon and unchanged reports
+// periodically, within a fixed budget for all subscribers, so that the traffic
+// of an endpoint does not grow with the number of entries.
 #pragma once
 
 #include <cstdint>
@@ -14,82 +14,85 @@
 
 namespace chalkwell::membership {
 
-/// @brief Settings of an audience.
 struct ReportSubscribersSettings {
-  /// A subscriber that did not renew for this long is left out: three
-  /// renewals of those who renew least often.
+  /// A subscription that is not renewed for this long expires: three times the
+  /// longest renewal interval.
   core::Duration lease_ = std::chrono::milliseconds(8000);
-  /// Between two reports of changes to one subscriber: a request takes about a
-  /// second, and a choice by an older count meets an endpoint that others chose
-  /// as well.
-  core::Duration interval_ = std::chrono::milliseconds(105);
-  /// Between two reports without change: well within the time after which a
-  /// silent endpoint is passed over.
-  core::Duration repeat_ = std::chrono::milliseconds(500);
-  /// Reports a second to all together, some 7 KB. Subscribers of the own
-  /// failure domain are served first; those of others, who send little here,
-  /// share what is left.
-  double per_second_ = 100;
-  /// Between two full reports: some 12 bytes more each.
+  /// Between two changed reports to one subscriber. A request takes about a
+  /// second, and an entry that chooses by older load figures picks an endpoint
+  /// that others have picked as well.
+  core::Duration change_interval_ = std::chrono::milliseconds(105);
+  /// Between two unchanged reports; well below the time after which an
+  /// unresponsive endpoint gets no requests.
+  core::Duration keepalive_interval_ = std::chrono::milliseconds(500);
+  /// Reports per second to all subscribers together, some 7 KB. Subscribers of
+  /// the local failure domain are served first; remote ones, which send few
+  /// requests here, share the rest.
+  double max_reports_per_second_ = 100;
+  /// Between two full reports, which are some 12 bytes larger.
   core::Duration full_interval_ = std::chrono::milliseconds(1000);
-  /// Longest time that the budget stretches an interval to.
-  core::Duration longest_ = std::chrono::milliseconds(400);
+  /// Upper limit of an interval that is stretched to keep the budget.
+  core::Duration max_change_interval_ = std::chrono::milliseconds(400);
 };
 
-/// @brief A subscriber that is due.
+/// @brief A subscriber to which a report is due.
 struct ReportTarget {
   std::string address_;
   bool local_ = true;
-  /// What seldom changes is told as well: the subscriber may not know it.
+  /// Whether the report includes fields that change rarely, which the
+  /// subscriber may not know.
   bool full_ = false;
 };
 
-/// @brief Subscribers of one endpoint.
+/// @brief Subscribers of one endpoint's reports.
 class ReportSubscribers {
  public:
   explicit ReportSubscribers(ReportSubscribersSettings settings = {});
 
-  /// @brief An entry uses the endpoint, or still does.
-  /// @param address where it takes reports.
-  /// @param near whether it is of the own failure domain.
-  /// @return whether it was none before: it has no report yet.
-  bool Subscribe(const std::string& address, bool near, core::TimePoint now);
-  /// @brief What seldom changes did: the next report to each is a full one.
+  /// @brief Adds a subscription or renews it.
+  /// @param address where the entry receives reports.
+  /// @param local whether the entry is in the local failure domain.
+  /// @return whether the subscription is new; it has no report yet.
+  bool Subscribe(const std::string& address, bool local, core::TimePoint now);
+  /// @brief Makes the next report to each subscriber a full one, because fields
+  /// that change rarely did.
   void RequestFullReports();
 
-  /// @brief Whom to tell the present report. They count as told.
-  /// @param changed whether it differs from the last one.
-  /// @param urgent it cannot wait for anyone's interval: the endpoint takes
-  /// nothing any more, or serves other weights.
+  /// @brief Selects the subscribers to which the current report is due and
+  /// records it as sent to them.
+  /// @param changed whether the report differs from the previous one.
+  /// @param urgent whether a change must not wait for the interval: the
+  /// endpoint accepts no more work or serves other weights.
   [[nodiscard]] std::vector<ReportTarget> CollectDue(bool changed, bool urgent,
                                                      core::TimePoint now);
   [[nodiscard]] std::size_t size() const noexcept {
     return subscribers_.size();
   }
-  /// @brief When an entry was last heard; the epoch for never.
+  /// @brief Time of the last subscription or renewal; the epoch if there was
+  /// none.
   [[nodiscard]] core::TimePoint last_renewed() const noexcept {
-    return last_heard_;
+    return last_renewed_;
   }
 
  private:
   struct Subscriber {
-    bool near_ = true;
-    core::TimePoint renewed_;
-    core::TimePoint told_at_;
-    /// When it had a full report; the epoch when it is to have one.
-    core::TimePoint full_at_;
-    /// The report that it was told last; 0 for none.
-    std::uint64_t told_ = 0;
+    bool local_ = true;
+    core::TimePoint renewed_at_;
+    core::TimePoint sent_at_;
+    /// Time of the last full report; the epoch if one is due.
+    core::TimePoint full_sent_at_;
+    /// Number of the report sent last; 0 for none.
+    std::uint64_t sent_report_ = 0;
   };
 
-  [[nodiscard]] core::Duration IntervalOf(bool near) const;
+  [[nodiscard]] core::Duration ChangeInterval(bool local) const;
 
   ReportSubscribersSettings settings_;
   /// By address.
   std::map<std::string, Subscriber> subscribers_;
-  /// Rises with each changed report.
+  /// Number of the current report; incremented by each change.
   std::uint64_t report_ = 1;
-  core::TimePoint last_heard_;
+  core::TimePoint last_renewed_;
 };
 
 }  // namespace chalkwell::membership
--- a/packages/chalkwell/src/chalkwell/membership/role_assignment.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/role_assignment.cpp
@@ -1,4 +1,4 @@
-// Rendezvous order of members.
+// Ranks members by their rendezvous scores.
 #include "chalkwell/membership/role_assignment.hpp"
 
 #include <algorithm>
@@ -16,10 +16,10 @@
   if (std::ranges::find(members, self) == members.end()) {
     return members.size();
   }
-  const auto own = core::RendezvousScore(item, self.value());
+  const auto own_score = core::RendezvousScore(item, self.value());
   return static_cast<std::size_t>(
       std::ranges::count_if(members, [&](const core::InstanceId& member) {
-        return core::RendezvousScore(item, member.value()) > own;
+        return core::RendezvousScore(item, member.value()) > own_score;
       }));
 }
 
@@ -30,11 +30,11 @@
   const auto score = [item](const core::InstanceId& member) {
     return core::RendezvousScore(item, member.value());
   };
-  const auto taken = std::min(count, order.size());
+  const auto size = std::min(count, order.size());
   std::ranges::partial_sort(order,
-                            order.begin() + static_cast<std::ptrdiff_t>(taken),
+                            order.begin() + static_cast<std::ptrdiff_t>(size),
                             std::ranges::greater{}, score);
-  order.resize(taken);
+  order.resize(size);
   return order;
 }
 
--- a/packages/chalkwell/src/chalkwell/membership/role_assignment.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/role_assignment.hpp
@@ -1,4 +1,5 @@
-// Duties that fall to a few of many by rendezvous hashing, without a vote.
+// Assignment of roles to a few of many members by rendezvous hashing, without
+// an election.
 #pragma once
 
 #include <cstddef>
@@ -11,25 +12,25 @@
 
 namespace chalkwell::membership {
 
-/// Duty of watching what is published, and of passing news on between failure
-/// domains: who hears of a change first tells it. Any fixed text: the duty
-/// stays with the same members while they live.
+/// Hash key of the watcher role. Watchers read published documents from the
+/// configuration store. They are also the delegates that forward changes
+/// between failure domains, because they receive changes first. The text is
+/// arbitrary but fixed: the role stays with the same members while they live.
 inline constexpr std::string_view kWatcherRoleKey = "watch-document";
 
-/// Members of each failure domain that have this duty: one may be lost
-/// unnoticed.
+/// Watchers per failure domain; the loss of one of them interrupts nothing.
 inline constexpr std::size_t kWatchersPerDomain = 2;
 
-/// @brief Rank of a member for the duty of watching; the higher, the earlier.
+/// @brief Score of a member for the watcher role; the highest score has rank 0.
 [[nodiscard]] std::uint64_t WatcherScore(const core::InstanceId& member);
 
-/// @brief Position of a member in the order for an item; 0 is the first choice.
-/// @return `members.size()` when `self` is not among them.
+/// @brief Rank of a member in the priority order of an item, from 0.
+/// @return `members.size()` if `self` is not among the members.
 [[nodiscard]] std::size_t RankOf(const core::InstanceId& self,
                                  std::string_view item,
                                  std::span<const core::InstanceId> members);
 
-/// @brief The first `count` members in the order for an item.
+/// @brief The first `count` members in the priority order of an item.
 [[nodiscard]] std::vector<core::InstanceId> HighestRanked(
     std::string_view item, std::span<const core::InstanceId> members,
     std::size_t count);
--- a/packages/chalkwell/src/chalkwell/membership/roster.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/roster.cpp
@@ -1,4 +1,5 @@
-// Evidence about endpoints and the circuit breaker of each.
+// Availability of endpoints: leases, probes, failure rates and circuit
+// breakers.
 #include "chalkwell/membership/roster.hpp"
 
 #include <algorithm>
@@ -7,10 +8,11 @@
 namespace chalkwell::membership {
 namespace {
 
-/// An endpoint's slots are given out a quarter over, the rest waits there.
-constexpr std::uint64_t kSlackPercent = 125;
-/// Weight of the newest request in the smoothed share of failures.
-constexpr double kNewest = 0.125;
+/// The windows of all entries exceed the slots of an endpoint by a quarter; the
+/// excess requests wait at the endpoint.
+constexpr std::uint64_t kWindowPercent = 125;
+/// Weight of the newest request in the smoothed failure rate.
+constexpr double kSmoothing = 0.125;
 
 }  // namespace
 
@@ -23,44 +25,45 @@
 }
 
 bool Roster::MayTakeWork(const EndpointView& view, core::TimePoint now) const {
-  const bool heard = view.connected_ && view.report_ &&
-                     now - view.last_received_ <= settings_.lease_;
+  const bool within_lease = view.connected_ && view.report_ &&
+                            now - view.last_received_ <= settings_.lease_;
   const bool leaving =
       view.report_ && (view.report_->leaving_ || view.instance_.leaving_);
   if (leaving && !faults_.ignore_leaving_) {
     return false;
   }
-  return heard && view.report_->ready_ && now >= view.open_until_;
+  return within_lease && view.report_->ready_ && now >= view.open_until_;
 }
 
 std::vector<const EndpointView*> Roster::Available(const core::Role& role,
                                                    core::TimePoint now) const {
   std::vector<const EndpointView*> available;
-  std::vector<const EndpointView*> suspected;
+  std::vector<const EndpointView*> unresponsive;
   for (const auto& [id, view] : endpoints_) {
     if (view.instance_.role_ == role && MayTakeWork(view, now)) {
-      (IsSuspected(view, now) ? suspected : available).push_back(&view);
+      (IsUnresponsive(view, now) ? unresponsive : available).push_back(&view);
     }
   }
   if (available.empty()) {
-    return suspected;
+    return unresponsive;
   }
-  const auto ailing = std::ranges::count_if(
-      available, [this](const auto* view) { return IsAiling(*view); });
-  if (2 * static_cast<std::size_t>(ailing) < available.size()) {
+  const auto failing = std::ranges::count_if(
+      available,
+      [this](const auto* view) { return HasHighFailureRate(*view); });
+  if (2 * static_cast<std::size_t>(failing) < available.size()) {
     std::erase_if(available, [&](const EndpointView* view) {
-      return IsAiling(*view) && now < view->next_trial_;
+      return HasHighFailureRate(*view) && now < view->next_trial_;
     });
   }
   return available;
 }
 
-bool Roster::IsAiling(const EndpointView& view) const noexcept {
-  return view.failure_rate_ >= settings_.ailing_rate_;
+bool Roster::HasHighFailureRate(const EndpointView& view) const noexcept {
+  return view.failure_rate_ >= settings_.high_failure_rate_;
 }
 
-bool Roster::IsSuspected(const EndpointView& view,
-                         core::TimePoint now) const noexcept {
+bool Roster::IsUnresponsive(const EndpointView& view,
+                            core::TimePoint now) const noexcept {
   return view.probed_at_ && now - *view.probed_at_ > settings_.probe_timeout_;
 }
 
@@ -83,9 +86,10 @@
     return 1;
   }
   const auto sharers = std::max<std::uint64_t>(1, view.report_->sharers_);
-  const auto slots = view.report_->capacity_ * kSlackPercent;
-  const auto whole = 100 * sharers;
-  return std::max<std::uint64_t>(1, (slots + whole - 1) / whole);
+  const auto numerator = view.report_->capacity_ * kWindowPercent;
+  const auto denominator = 100 * sharers;
+  return std::max<std::uint64_t>(1,
+                                 (numerator + denominator - 1) / denominator);
 }
 
 std::optional<std::uint64_t> Roster::FreeSlots(const core::Role& role,
@@ -94,12 +98,12 @@
   if (available.empty()) {
     return std::nullopt;
   }
-  std::uint64_t room = 0;
+  std::uint64_t free_slots = 0;
   for (const auto* view : available) {
     const auto window = WindowOf(*view);
-    room += window - std::min(window, view->in_flight_);
+    free_slots += window - std::min(window, view->in_flight_);
   }
-  return room;
+  return free_slots;
 }
 
 void Roster::OnLoad(const core::InstanceId& id, std::uint64_t load,
@@ -182,7 +186,8 @@
   if (view.in_flight_ > 0) {
     --view.in_flight_;
   }
-  view.failure_rate_ += ((failed ? 1.0 : 0.0) - view.failure_rate_) * kNewest;
+  view.failure_rate_ +=
+      ((failed ? 1.0 : 0.0) - view.failure_rate_) * kSmoothing;
   if (!failed) {
     view.failures_ = 0;
     return;
@@ -195,9 +200,9 @@
 }
 
 bool SuspensionDetector::Tick(core::TimePoint now) noexcept {
-  const bool paused = last_ && now - *last_ > lease_;
-  last_ = now;
-  return paused;
+  const bool suspended = last_tick_ && now - *last_tick_ > lease_;
+  last_tick_ = now;
+  return suspended;
 }
 
 }  // namespace chalkwell::membership
--- a/packages/chalkwell/src/chalkwell/membership/roster.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/roster.hpp
@@ -1,5 +1,6 @@
-// What one entry knows of endpoints: the published list says who may exist,
-// open streams say who is there, the endpoint itself says what it serves.
+// Endpoints as known to one entry: the published list defines which exist, open
+// streams show which are connected, and reports of the endpoints what they
+// serve.
 #pragma once
 
 #include <cstdint>
@@ -14,67 +15,68 @@
 
 namespace chalkwell::membership {
 
-/// @brief What an agent says on its stream.
+/// @brief State that an agent reports on its stream.
 struct EndpointReport {
-  /// Of the agent; a lower one than heard before is of a replaced process.
+  /// Of the agent; a lower one than that received last is of a replaced
+  /// process.
   std::uint64_t incarnation_ = 0;
   bool ready_ = false;
   bool leaving_ = false;
-  /// Weights served; empty for plain services.
+  /// Digest of the weights served; empty for services without weights.
   core::Digest manifest_;
   std::uint64_t bundle_version_ = 0;
-  /// Requests in flight from all entries.
+  /// Requests in flight, from all entries.
   std::uint64_t load_ = 0;
   std::uint64_t capacity_ = 1;
-  /// Entries that send to it of late, by the endpoint's own count.
+  /// Entries that recently sent requests to it, as counted by the endpoint.
   std::uint64_t sharers_ = 1;
 };
 
-/// @brief One endpoint as seen from here.
+/// @brief State of one endpoint as known to this entry.
 struct EndpointView {
   config::Instance instance_;
-  /// Absent until the agent was heard on an open stream.
+  /// Absent until the agent has reported on a stream.
   std::optional<EndpointReport> report_;
   bool connected_ = false;
   core::TimePoint last_received_;
-  /// When a probe went out after which nothing was heard.
+  /// Time of the oldest probe since the last message from the endpoint.
   std::optional<core::TimePoint> probed_at_;
-  /// When it last became ready; for slow start.
+  /// When it last became ready, for slow start.
   core::TimePoint ready_since_;
-  /// Requests of this entry there.
+  /// Requests of this entry in flight there.
   std::uint64_t in_flight_ = 0;
-  /// Consecutive failures; cleared by a success.
+  /// Consecutive failures; reset by a success.
   unsigned failures_ = 0;
-  /// Share of failures among its last requests from here, smoothed.
+  /// Exponentially smoothed failure rate of the requests of this entry.
   double failure_rate_ = 0;
-  /// While it fails more than others, it gets no work before this time.
+  /// If its failure rate is high, it gets no work before this time.
   core::TimePoint next_trial_;
-  /// No work before this time (circuit breaker).
+  /// The circuit breaker is open until this time.
   core::TimePoint open_until_;
 };
 
-/// @brief Settings of the roster.
 struct RosterSettings {
-  /// Without a word for this long, an endpoint is suspected and gets no work.
+  /// An endpoint that sent no report for this long gets no work.
   core::Duration lease_ = std::chrono::seconds(3);
-  /// A probe unanswered for this long makes an endpoint the last choice.
+  /// An endpoint that leaves a probe unanswered for this long is used only if
+  /// there is no other.
   core::Duration probe_timeout_ = std::chrono::milliseconds(300);
-  /// Consecutive failures that open the breaker.
+  /// Consecutive failures that open the circuit breaker.
   unsigned breaker_failures_ = 5;
   core::Duration breaker_time_ = std::chrono::seconds(2);
-  /// Smoothed share of failures from which an endpoint is left out but for a
-  /// trial now and then.
-  double ailing_rate_ = 0.25;
+  /// Smoothed failure rate from which an endpoint gets only one trial request
+  /// per `trial_period_`.
+  double high_failure_rate_ = 0.25;
   core::Duration trial_period_ = std::chrono::seconds(1);
 };
 
-/// @brief Faults that tests seed to show that the proofs can fail.
+/// @brief Faults that tests inject to show that their checks detect them.
 struct RosterFaults {
   bool ignore_leaving_ = false;
   bool accept_old_incarnation_ = false;
 };
 
-/// @brief Endpoints known to one entry.
+/// @brief Endpoints as known to one entry.
 class Roster {
  public:
   explicit Roster(RosterSettings settings = {}, RosterFaults faults = {});
@@ -86,67 +88,72 @@
   }
   /// @brief Endpoints of a role that may get new work now.
   ///
-  /// Those that leave a probe unanswered count only when there is no other.
-  /// Those that fail often count only for a trial, unless half of all do: then
-  /// the cause lies elsewhere, and leaving them out would shift the load of all
-  /// to a few.
+  /// Endpoints that leave a probe unanswered are included only if there is no
+  /// other. Endpoints with a high failure rate are included only for a trial,
+  /// unless at least half of the endpoints have one: then the cause lies
+  /// elsewhere, and excluding them would shift the whole load to a few.
   [[nodiscard]] std::vector<const EndpointView*> Available(
       const core::Role& role, core::TimePoint now) const;
 
-  /// @brief Requests that this entry may have at an endpoint at once: its
-  /// share of the slots and a little more, so that none stays empty.
+  /// @brief Number of requests that this entry may have in flight at an
+  /// endpoint: its share of the slots and a little more, so that no slot stays
+  /// idle.
   [[nodiscard]] static std::uint64_t WindowOf(const EndpointView& view);
-  /// @brief Requests that available endpoints of a role can still take from
-  /// this entry; nothing when no endpoint is available.
+  /// @brief Number of requests that available endpoints of a role can still
+  /// accept from this entry; std::nullopt if no endpoint is available.
   [[nodiscard]] std::optional<std::uint64_t> FreeSlots(
       const core::Role& role, core::TimePoint now) const;
 
-  /// @brief The published list changed.
+  /// @brief Replaces the published list.
   void SetInstances(const std::vector<config::Instance>& instances);
   void OnConnected(const core::InstanceId& id, core::TimePoint now);
   void OnDisconnected(const core::InstanceId& id);
-  /// @brief The endpoint was asked for a sign of life.
+  /// @brief A probe was sent to the endpoint.
   void OnProbed(const core::InstanceId& id, core::TimePoint now);
-  /// @brief Something came from it after a probe.
+  /// @brief A message was received from the endpoint after a probe.
   void OnReceived(const core::InstanceId& id);
-  /// @return false when the report is of a process that was replaced.
+  /// @return false if the endpoint is not listed or the report is of a replaced
+  /// process.
   [[nodiscard]] bool OnReport(const core::InstanceId& id,
                               const EndpointReport& report,
                               core::TimePoint now);
-  /// @brief An answer told how many requests are there and how many entries
-  /// share the endpoint.
+  /// @brief A response reported the requests in flight at the endpoint and the
+  /// number of entries that share it.
   void OnLoad(const core::InstanceId& id, std::uint64_t load,
               std::uint64_t sharers);
   void OnRequestSent(const core::InstanceId& id, core::TimePoint now);
-  /// @param failed whether the endpoint, not the caller, was at fault.
+  /// @param failed whether the request failed because of the endpoint, not of
+  /// the caller.
   void OnRequestEnded(const core::InstanceId& id, bool failed,
                       core::TimePoint now);
 
  private:
   [[nodiscard]] bool MayTakeWork(const EndpointView& view,
                                  core::TimePoint now) const;
-  [[nodiscard]] bool IsAiling(const EndpointView& view) const noexcept;
-  [[nodiscard]] bool IsSuspected(const EndpointView& view,
-                                 core::TimePoint now) const noexcept;
+  [[nodiscard]] bool HasHighFailureRate(
+      const EndpointView& view) const noexcept;
+  [[nodiscard]] bool IsUnresponsive(const EndpointView& view,
+                                    core::TimePoint now) const noexcept;
 
   RosterSettings settings_;
   RosterFaults faults_;
-  /// Only instances of the published list.
+  /// Only endpoints in the published list.
   std::map<core::InstanceId, EndpointView> endpoints_;
 };
 
-/// @brief Notices that the process did not run for longer than its lease.
+/// @brief Detects that the process was suspended for longer than its lease.
 class SuspensionDetector {
  public:
   explicit SuspensionDetector(core::Duration lease) noexcept : lease_(lease) {}
 
-  /// @brief Call from a timer much shorter than the lease.
-  /// @return true when the gap since the last call exceeds the lease.
+  /// @brief To be called by a timer whose interval is much shorter than the
+  /// lease.
+  /// @return whether the time since the last call exceeds the lease.
   [[nodiscard]] bool Tick(core::TimePoint now) noexcept;
 
  private:
   core::Duration lease_;
-  std::optional<core::TimePoint> last_;
+  std::optional<core::TimePoint> last_tick_;
 };
 
 }  // namespace chalkwell::membership
--- a/packages/chalkwell/src/chalkwell/membership/store_outage.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/store_outage.hpp
@@ -1,6 +1,6 @@
-// Whether leases may have lapsed because their keepers could not reach the
-// store: a list read then lacks endpoints that live. Calls that fail one by one
-// end no lease.
+// Detects outages of the configuration store that were long enough for leases
+// to expire because their holders could not renew them: a list read afterwards
+// lacks live endpoints. Isolated failures of calls let no lease expire.
 #pragma once
 
 #include <optional>
@@ -9,33 +9,33 @@
 
 namespace chalkwell::membership {
 
-/// @brief Settings of the evidence.
 struct StoreOutageSettings {
-  /// Whoever keeps a lease renews it this often, three times within it: no
-  /// shorter outage ends one.
+  /// Interval at which holders renew a lease, a third of the lease: no shorter
+  /// outage lets one expire.
   core::Duration renewal_interval_ = std::chrono::milliseconds(1200);
-  /// What lapsed is listed again within so long of the outage's end.
-  core::Duration return_time_ = std::chrono::milliseconds(2500);
+  /// Endpoints whose leases expired are listed again within this time after the
+  /// end of the outage.
+  core::Duration recovery_time_ = std::chrono::milliseconds(2500);
 };
 
-/// @brief What one process knows of the store's last outage.
+/// @brief The last outage of the store as known to one process.
 class StoreOutage {
  public:
   explicit StoreOutage(StoreOutageSettings settings) : settings_(settings) {}
 
-  /// @brief A read of the list failed, here or at a process that told so.
+  /// @brief A read of the list failed, here or at a process that announced it.
   void OnReadFailed() noexcept { failed_ = true; }
-  /// @brief A list was read or told.
-  /// @param as_of when the store was asked for it.
+  /// @brief A list was read from the store or received from another process.
+  /// @param as_of when the store was queried for it.
   void OnListReceived(core::TimePoint as_of, core::TimePoint now) noexcept;
-  /// @brief Whether what a list lacks now may live all the same.
+  /// @brief Whether endpoints missing from the list may nevertheless be live.
   [[nodiscard]] bool LeasesMayHaveExpired(core::TimePoint now) const noexcept;
 
  private:
   StoreOutageSettings settings_;
-  /// Of the newest list; none before the first.
+  /// Time of the newest list; none before the first.
   std::optional<core::TimePoint> as_of_;
-  /// Some read has failed since that list.
+  /// Whether a read has failed since that list.
   bool failed_ = false;
   std::optional<core::TimePoint> ended_at_;
 };
--- a/packages/chalkwell/src/chalkwell/membership/watcher_role.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/watcher_role.cpp
@@ -1,7 +1,8 @@
-// The first in rendezvous order watch; the silence of all ahead passes the duty
-// on, rank by rank. Who has just read the document waits that long for a first
-// word, too: after a start of 149 members all watched for some 200 ms, 298
-// calls, before the first two of each domain had told them.
+// The first members in rank watch; the others take over rank by rank when those
+// ahead stop announcing themselves. A member that has just read the document
+// also waits that long for the first announcement: otherwise, when 149 members
+// started together, all watched for some 200 ms, which made 298 calls, before
+// the first two of each domain had announced themselves.
 #include "chalkwell/membership/watcher_role.hpp"
 
 #include <algorithm>
@@ -10,6 +11,7 @@
 #include "chalkwell/membership/role_assignment.hpp"
 
 namespace chalkwell::membership {
+
 WatcherRole::WatcherRole(core::InstanceId self, WatcherRoleSettings settings)
     : self_(std::move(self)), settings_(settings), members_{self_} {}
 
@@ -29,28 +31,30 @@
   const auto found = std::ranges::find(members_, member);
   const auto rank = static_cast<std::size_t>(found - members_.begin());
   if (rank < rank_) {
-    told_at_ = now;
+    announced_at_ = now;
   }
 }
 
 std::size_t WatcherRole::WatcherCount(core::TimePoint now) const {
   if (bytes_ > 0) {
-    return std::clamp<std::size_t>(settings_.budget_ / bytes_, 1,
-                                   settings_.most_);
+    return std::clamp<std::size_t>(settings_.max_bytes_per_domain_ / bytes_, 1,
+                                   settings_.max_watchers_);
   }
   const bool long_read =
-      reading_since_ && now - *reading_since_ >= settings_.small_read_;
-  return long_read ? 1 : settings_.most_;
+      reading_since_ && now - *reading_since_ >= settings_.small_read_limit_;
+  return long_read ? 1 : settings_.max_watchers_;
 }
 
 bool WatcherRole::IsWatcher(core::TimePoint now) const {
   const auto watchers = WatcherCount(now);
-  const auto heard_at = told_at_ || bytes_ == 0 ? told_at_ : reading_since_;
-  if (rank_ < watchers || !heard_at) {
+  const auto waiting_since =
+      announced_at_ || bytes_ == 0 ? announced_at_ : reading_since_;
+  if (rank_ < watchers || !waiting_since) {
     return true;
   }
-  const auto behind = static_cast<int>(rank_ - watchers);
-  return now - *heard_at >= settings_.patience_ + settings_.step_ * behind;
+  const auto standbys_ahead = static_cast<int>(rank_ - watchers);
+  return now - *waiting_since >=
+         settings_.takeover_timeout_ + settings_.rank_delay_ * standbys_ahead;
 }
 
 bool WatcherRole::MustAnnounce(core::TimePoint now) const {
--- a/packages/chalkwell/src/chalkwell/membership/watcher_role.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/watcher_role.hpp
@@ -1,7 +1,8 @@
-// Who takes a published document from its publisher itself: two of each
-// failure domain, who hand it on, and one of them while it is large, since a
-// region's machines share one link to the publisher. What this costs the
-// publisher grows with the number of domains, not of members.
+// Selects the watchers of a published document: two members of each failure
+// domain receive it from the configuration store and forward it. For a large
+// document it is one, since the machines of a region share one link to the
+// store. The load on the store grows with the number of failure domains, not
+// with that of members.
 #pragma once
 
 #include <cstddef>
@@ -15,71 +16,70 @@
 
 namespace chalkwell::membership {
 
-/// @brief Settings of a duty.
 struct WatcherRoleSettings {
-  /// Bytes that a failure domain's members together may take from the publisher
-  /// for one change: a tenth of a second of a link of 24 Mbit/s.
-  std::size_t budget_ = std::size_t{256} << 10;
-  /// Members of a failure domain that watch: one may die, freeze or be turned
-  /// away unnoticed for the time of the patience below.
-  std::size_t most_ = kWatchersPerDomain;
-  /// A first read that lasts this long is one of a large document: a small one
-  /// is over after a round trip.
-  core::Duration small_read_ = std::chrono::milliseconds(150);
-  /// Between two tellings of one who watches a large document.
+  /// Bytes that the members of a failure domain together may receive from the
+  /// store for one change: what a link of 24 Mbit/s carries in a tenth of a
+  /// second.
+  std::size_t max_bytes_per_domain_ = std::size_t{256} << 10;
+  /// Watchers per failure domain: one may crash, hang or be refused by the
+  /// store without being noticed for `takeover_timeout_`.
+  std::size_t max_watchers_ = kWatchersPerDomain;
+  /// A first read that takes this long is taken for that of a large document; a
+  /// small one completes within a round trip.
+  core::Duration small_read_limit_ = std::chrono::milliseconds(150);
+  /// Between two announcements of a watcher of a large document.
   core::Duration announce_interval_ = std::chrono::milliseconds(700);
-  /// Without a word of one ahead in rank for this long a member watches too:
-  /// two intervals, since a datagram is lost now and then.
-  core::Duration patience_ = std::chrono::milliseconds(1500);
-  /// What each rank waits beyond the one before it.
-  core::Duration step_ = std::chrono::milliseconds(400);
+  /// Without an announcement by a member ahead in rank for this long, a member
+  /// watches too. Two announcement intervals, since datagrams may be lost.
+  core::Duration takeover_timeout_ = std::chrono::milliseconds(1500);
+  /// Additional takeover delay per rank.
+  core::Duration rank_delay_ = std::chrono::milliseconds(400);
 };
 
-/// @brief The duty of one member.
+/// @brief Decides whether one member is a watcher.
 class WatcherRole {
  public:
   explicit WatcherRole(core::InstanceId self,
                        WatcherRoleSettings settings = {});
 
-  /// @brief Members of the own failure domain that need the document, this one
-  /// included.
+  /// @brief Sets the members of the local failure domain that need the
+  /// document, including this one.
   void SetMembers(std::span<const core::InstanceId> members);
-  /// @brief The document was heard whole, from whomever.
+  /// @brief The complete document was received, from the store or a peer.
   void OnDocumentReceived(std::size_t bytes) noexcept { bytes_ = bytes; }
-  /// @brief The first read of the document begins.
   void OnFirstReadStarted(core::TimePoint now) noexcept {
     reading_since_ = now;
   }
-  /// @brief Another member of the domain said that it watches.
+  /// @brief Another member of the local failure domain announced that it
+  /// watches.
   void OnWatcherAnnounced(const core::InstanceId& member, core::TimePoint now);
 
   [[nodiscard]] core::Duration announce_interval() const noexcept {
     return settings_.announce_interval_;
   }
-  /// @brief The members to whom the duty falls first.
+  /// @brief The first `count` members in the priority order of watchers.
   [[nodiscard]] static std::vector<core::InstanceId> FirstInRank(
       std::span<const core::InstanceId> members, std::size_t count);
 
-  /// @brief Whether this member watches, as of now.
   [[nodiscard]] bool IsWatcher(core::TimePoint now) const;
-  /// @brief Members that watch unless one of them falls silent.
+  /// @brief Number of members that watch while all of them announce themselves.
   [[nodiscard]] std::size_t WatcherCount(core::TimePoint now) const;
-  /// @brief Whether others stay away because this member watches: it has to
-  /// tell them.
+  /// @brief Whether this member has to announce that it watches, because others
+  /// rely on it.
   [[nodiscard]] bool MustAnnounce(core::TimePoint now) const;
 
  private:
   core::InstanceId self_;
   WatcherRoleSettings settings_;
-  /// In rendezvous order.
+  /// In priority order.
   std::vector<core::InstanceId> members_;
-  /// Position of this member in `members_`.
+  /// Index of this member in `members_`.
   std::size_t rank_ = 0;
-  /// 0 until the document was heard.
+  /// Size of the document; 0 until it was received.
   std::size_t bytes_ = 0;
   std::optional<core::TimePoint> reading_since_;
-  /// Newest word of a member ahead in rank.
-  std::optional<core::TimePoint> told_at_;
+  /// Last announcement by a member ahead in rank.
+  std::optional<core::TimePoint> announced_at_;
 };
 
 }  // namespace chalkwell::membership
--- a/tests/core/backoff_test.cpp
+++ b/tests/core/backoff_test.cpp
@@ -1,4 +1,4 @@
-// Pauses between tries.
+// Tests of the delays between retries.
 #include "chalkwell/core/backoff.hpp"
 
 #include <catch2/catch.hpp>
@@ -13,11 +13,12 @@
 const TimePoint kStart(1h);
 constexpr BackoffSettings kSettings{200ms, 2000ms};
 
-TEST_CASE("pauses double up to the longest, half of each by chance", "[core]") {
+TEST_CASE("delays double up to the largest, the upper half of each is random",
+          "[core]") {
   struct Row {
     unsigned failures_;
-    Duration least_;
-    Duration most_;
+    Duration min_;
+    Duration max_;
   };
   const auto row = GENERATE(Row{1, 100ms, 200ms}, Row{2, 200ms, 400ms},
                             Row{4, 800ms, 1600ms}, Row{5, 1000ms, 2000ms},
@@ -25,34 +26,34 @@
   const auto seed = GENERATE(range(0U, 20U));
   Backoff backoff(kSettings, seed);
   CHECK(backoff.IsReady(kStart));
-  Duration pause{};
+  Duration delay{};
   for (unsigned i = 0; i < row.failures_; ++i) {
-    pause = backoff.OnFailure(kStart);
+    delay = backoff.OnFailure(kStart);
   }
-  CHECK(pause >= row.least_);
-  CHECK(pause <= row.most_);
-  CHECK_FALSE(backoff.IsReady(kStart + pause - 1ns));
-  CHECK(backoff.IsReady(kStart + pause));
+  CHECK(delay >= row.min_);
+  CHECK(delay <= row.max_);
+  CHECK_FALSE(backoff.IsReady(kStart + delay - 1ns));
+  CHECK(backoff.IsReady(kStart + delay));
   backoff.OnSuccess();
   CHECK(backoff.IsReady(kStart));
   CHECK(backoff.OnFailure(kStart) <= 200ms);
 }
 
-TEST_CASE("many who fail together ask rarely and not together", "[core]") {
-  // 76 processes that ask a source which refuses for ten seconds: at each tick
-  // of 40 ms they would ask 19,000 times.
-  constexpr unsigned kAskers = 76;
-  std::vector<unsigned> asks(11);
-  for (unsigned asker = 0; asker < kAskers; ++asker) {
-    Backoff backoff(kSettings, asker);
+TEST_CASE("callers that fail together retry rarely and spread out", "[core]") {
+  // 76 processes call a source that refuses calls for ten seconds. Without
+  // backoff, one call per 40 ms tick, they would make 19,000 calls.
+  constexpr unsigned kCallers = 76;
+  std::vector<unsigned> calls(11);
+  for (unsigned caller = 0; caller < kCallers; ++caller) {
+    Backoff backoff(kSettings, caller);
     for (auto at = kStart; at < kStart + 10s;) {
-      ++asks[static_cast<std::size_t>((at - kStart) / 1s)];
+      ++calls[static_cast<std::size_t>((at - kStart) / 1s)];
       at += backoff.OnFailure(at);
     }
   }
-  CHECK(std::accumulate(asks.begin(), asks.end(), 0U) < 1000);
-  CHECK(asks[9] > 30);
-  CHECK(asks[9] < 80);
+  CHECK(std::accumulate(calls.begin(), calls.end(), 0U) < 1000);
+  CHECK(calls[9] > 30);
+  CHECK(calls[9] < 80);
 }
 
 }  // namespace
--- a/tests/membership/dissemination_test.cpp
+++ b/tests/membership/dissemination_test.cpp
@@ -1,6 +1,6 @@
-// How news and members spread over failure domains, played in simulated time
-// with loss, deaths, restarts and cuts at any moment: who knows what after how
-// long, and what one process sends for it.
+// Simulation of how changes and members propagate across failure domains, with
+// packet loss, crashes, restarts and network partitions at any time: how long
+// until every process knows them, and how much one process sends.
 #include <rapidcheck.h>
 
 #include <algorithm>
@@ -23,28 +23,28 @@
 
 constexpr std::size_t kTargets = 2;
 constexpr std::size_t kRows = 18;
-constexpr std::size_t kAsked = 8;
-constexpr std::size_t kAnswerRows = 24;
-constexpr unsigned kGreetings = 6;
-constexpr int kSeedRounds = 5;
+constexpr std::size_t kMaxProbes = 8;
+constexpr std::size_t kReplyRows = 24;
+constexpr unsigned kInitialSeedProbes = 6;
+constexpr int kRoundsPerSeedProbe = 5;
 
-/// One process of the play.
+/// A simulated process.
 struct Process {
   Member self_;
   std::unique_ptr<GossipTable> table_;
   bool alive_ = true;
-  /// Newest news known.
+  /// Newest version known.
   std::uint64_t version_ = 0;
-  std::size_t seed_ = 0;
+  std::size_t next_seed_ = 0;
   std::uint64_t sent_ = 0;
 };
 
 class Deployment {
  public:
-  Deployment(std::size_t domains, std::size_t each, double loss,
+  Deployment(std::size_t domains, std::size_t members_per_domain, double loss,
              std::uint32_t seed)
       : domains_(domains), loss_(loss), random_(seed) {
-    for (std::size_t i = 0; i < domains * each; ++i) {
+    for (std::size_t i = 0; i < domains * members_per_domain; ++i) {
       Process process;
       process.self_.id_ = core::InstanceId("e" + std::to_string(i));
       process.self_.domain_ =
@@ -65,20 +65,22 @@
     process.self_.incarnation_ = random_();
     process.table_ = std::make_unique<GossipTable>(process.self_,
                                                    GossipSettings{}, random_());
-    process.seed_ = random_();
-    for (unsigned greeting = 0; greeting < kGreetings; ++greeting) {
-      greetings_.push_back(i);
+    process.next_seed_ = random_();
+    for (unsigned probe = 0; probe < kInitialSeedProbes; ++probe) {
+      initial_probes_.push_back(i);
     }
   }
 
-  void Cut(std::optional<std::size_t> domain) {
-    cut_ = domain ? std::optional(
-                        core::FailureDomainId("d" + std::to_string(*domain)))
-                  : std::nullopt;
+  /// Partitions a domain from all others, or heals the partition.
+  void Partition(std::optional<std::size_t> domain) {
+    partitioned_ = domain ? std::optional(core::FailureDomainId(
+                                "d" + std::to_string(*domain)))
+                          : std::nullopt;
   }
 
-  /// Those who watch the store hear of a version; they are the first two of
-  /// each domain as they see it. Whoever comes to watch later reads it.
+  /// Publishes a version in the store. The watchers receive it: the first two
+  /// members in rank of each domain by their own view. A member that becomes a
+  /// watcher later reads it then.
   void Publish(std::uint64_t version) {
     published_ = version;
     Watch();
@@ -87,9 +89,9 @@
   void Round() {
     now_ += 1s;
     ++rounds_;
-    // A process that has just started greets every 150 ms.
-    for (const auto i : std::exchange(greetings_, {})) {
-      GreetSeed(i);
+    // In its first second a process probes a seed every 150 ms.
+    for (const auto i : std::exchange(initial_probes_, {})) {
+      ProbeSeed(i);
     }
     std::vector<std::size_t> order(size());
     std::iota(order.begin(), order.end(), 0);
@@ -102,15 +104,17 @@
     Watch();
   }
 
-  /// Whether all that live, and are not cut off, know a version.
+  /// Whether all live processes that are not partitioned know a version.
   [[nodiscard]] bool AllKnow(std::uint64_t version) const {
     return std::ranges::all_of(processes_, [&](const Process& process) {
-      return !process.alive_ || (cut_ && process.self_.domain_ == *cut_) ||
+      return !process.alive_ ||
+             (partitioned_ && process.self_.domain_ == *partitioned_) ||
              process.version_ >= version;
     });
   }
 
-  /// Whether each knows all of its own domain, and someone of each other one.
+  /// Whether each live process knows all members of its domain and at least one
+  /// of each other domain.
   [[nodiscard]] bool AllMembersKnown() const {
     return std::ranges::all_of(processes_, [&](const Process& process) {
       if (!process.alive_) {
@@ -120,13 +124,13 @@
       for (const auto& member : process.table_->Live()) {
         domains.insert(member.domain_);
       }
-      const auto near =
+      const auto local =
           std::ranges::count_if(processes_, [&](const Process& other) {
             return other.alive_ && other.self_.domain_ == process.self_.domain_;
           });
       return domains.size() == domains_ &&
              process.table_->LocalMembers().size() + 1 ==
-                 static_cast<std::size_t>(near);
+                 static_cast<std::size_t>(local);
     });
   }
 
@@ -134,18 +138,20 @@
   void Watch() {
     for (std::size_t i = 0; i < size(); ++i) {
       const auto& process = at(i);
-      const bool reaches = !cut_ || process.self_.domain_ != *cut_;
-      if (process.alive_ && reaches && process.table_->IsDelegate()) {
-        Hear(i, published_, true);
+      const bool reaches_store =
+          !partitioned_ || process.self_.domain_ != *partitioned_;
+      if (process.alive_ && reaches_store && process.table_->IsDelegate()) {
+        Receive(i, published_, true);
       }
     }
   }
 
-  [[nodiscard]] bool Passes(const Process& from, const Process& to) {
-    const bool crosses = from.self_.domain_ != to.self_.domain_;
-    const bool cut = cut_ && crosses &&
-                     (from.self_.domain_ == *cut_ || to.self_.domain_ == *cut_);
-    return to.alive_ && !cut &&
+  [[nodiscard]] bool Delivers(const Process& from, const Process& to) {
+    const bool remote = from.self_.domain_ != to.self_.domain_;
+    const bool blocked = partitioned_ && remote &&
+                         (from.self_.domain_ == *partitioned_ ||
+                          to.self_.domain_ == *partitioned_);
+    return to.alive_ && !blocked &&
            std::uniform_real_distribution<>(0, 1)(random_) >= loss_;
   }
 
@@ -153,9 +159,9 @@
     return std::stoul(member.address_);
   }
 
-  void GreetSeed(std::size_t i) {
-    // One seed in each of the first three domains.
-    const auto seed = at(i).seed_++ % std::min<std::size_t>(3, domains_);
+  void ProbeSeed(std::size_t i) {
+    // The seeds are one member of each of the first three domains.
+    const auto seed = at(i).next_seed_++ % std::min<std::size_t>(3, domains_);
     if (seed != i) {
       Send(i, seed, {}, true);
     }
@@ -166,43 +172,45 @@
     auto& table = *process.table_;
     table.RaiseHeartbeat();
     (void)table.Expire(now_);
-    for (const auto& silent : table.Unresponsive(kAsked, now_)) {
-      Send(i, Index(silent), {}, true);
+    for (const auto& member : table.Unresponsive(kMaxProbes, now_)) {
+      Send(i, Index(member), {}, true);
     }
     for (const auto& target : table.GossipTargets(kTargets)) {
       Send(i, Index(target), table.Sample(kRows, target.domain_), false);
     }
-    const bool seeds = rounds_ % kSeedRounds == 0 && table.IsDelegate();
-    if (seeds || table.Live().empty()) {
-      GreetSeed(i);
+    const bool seed_due =
+        rounds_ % kRoundsPerSeedProbe == 0 && table.IsDelegate();
+    if (seed_due || table.Live().empty()) {
+      ProbeSeed(i);
     }
   }
 
   void Send(std::size_t from, std::size_t to, const std::vector<Member>& rows,
-            bool asks) {
+            bool probe) {
     auto& sender = at(from);
     auto& receiver = at(to);
     ++sender.sent_;
-    if (from == to || !Passes(sender, receiver)) {
+    if (from == to || !Delivers(sender, receiver)) {
       return;
     }
     const auto row = sender.table_->self();
     const bool joined =
         receiver.table_->Merge(row, now_) == MergeOutcome::kJoined;
-    if (joined || asks) {
+    if (joined || probe) {
       receiver.table_->RaiseHeartbeat();
-      Send(to, from, receiver.table_->Sample(kAnswerRows, row.domain_), false);
+      Send(to, from, receiver.table_->Sample(kReplyRows, row.domain_), false);
     }
-    for (const auto& told : rows) {
-      const bool near = told.domain_ == receiver.self_.domain_;
-      if (receiver.table_->Merge(told, now_) == MergeOutcome::kJoined && near) {
-        Send(to, Index(told), {}, false);
+    for (const auto& member : rows) {
+      const bool local = member.domain_ == receiver.self_.domain_;
+      if (receiver.table_->Merge(member, now_) == MergeOutcome::kJoined &&
+          local) {
+        Send(to, Index(member), {}, false);
       }
     }
-    Hear(to, sender.version_, false);
+    Receive(to, sender.version_, false);
   }
 
-  void Hear(std::size_t i, std::uint64_t version, bool from_store) {
+  void Receive(std::size_t i, std::uint64_t version, bool from_store) {
     auto& process = at(i);
     if (version <= process.version_) {
       return;
@@ -224,18 +232,18 @@
   int rounds_ = 0;
   std::uint64_t published_ = 0;
   std::vector<Process> processes_;
-  std::vector<std::size_t> greetings_;
-  std::optional<core::FailureDomainId> cut_;
+  std::vector<std::size_t> initial_probes_;
+  std::optional<core::FailureDomainId> partitioned_;
 };
 
-TEST_CASE("what a process sends does not grow with the deployment",
+TEST_CASE("the traffic of a process does not grow with the deployment",
           "[membership]") {
   struct Row {
     std::size_t domains_;
-    std::size_t each_;
+    std::size_t members_per_domain_;
   };
   const auto row = GENERATE(Row{3, 2}, Row{3, 13}, Row{5, 30}, Row{9, 38});
-  Deployment deployment(row.domains_, row.each_, 0.02, 7);
+  Deployment deployment(row.domains_, row.members_per_domain_, 0.02, 7);
   int rounds = 0;
   while (!deployment.AllMembersKnown() && rounds < 30) {
     deployment.Round();
@@ -249,8 +257,8 @@
   for (std::size_t i = 0; i < deployment.size(); ++i) {
     before.push_back(deployment.at(i).sent_);
   }
-  constexpr int kMeasured = 20;
-  for (int i = 0; i < kMeasured; ++i) {
+  constexpr int kMeasuredRounds = 20;
+  for (int i = 0; i < kMeasuredRounds; ++i) {
     deployment.Round();
   }
   std::uint64_t sum = 0;
@@ -261,27 +269,30 @@
     most = std::max(most, sent);
   }
   const auto mean = static_cast<double>(sum) /
-                    static_cast<double>(deployment.size()) / kMeasured;
+                    static_cast<double>(deployment.size()) / kMeasuredRounds;
   std::cout << "figure gossip_datagrams_per_second " << row.domains_
-            << " domains of " << row.each_ << ": mean " << mean << ", most "
-            << static_cast<double>(most) / kMeasured << ", members known after "
-            << rounds << " s\n";
+            << " domains of " << row.members_per_domain_ << ": mean " << mean
+            << ", most " << static_cast<double>(most) / kMeasuredRounds
+            << ", members known after " << rounds << " s\n";
   CHECK(mean <= 8);
-  CHECK(static_cast<double>(most) / kMeasured <= 24);
-  // No life is lost by chance.
+  CHECK(static_cast<double>(most) / kMeasuredRounds <= 24);
+  // No live member is lost by random gossip.
   CHECK(deployment.AllMembersKnown());
 }
 
-TEST_CASE("news reach all who can be reached, whatever happens meanwhile",
-          "[membership]") {
-  // A domain whose delegates have died hears by gossip of the others' first.
-  constexpr int kBound = 6;
-  const auto play = [&](std::uint32_t seed) {
+TEST_CASE(
+    "changes reach every reachable process despite loss, crashes and "
+    "partitions",
+    "[membership]") {
+  // A domain whose delegates have crashed receives a change by the gossip of
+  // other domains' delegates first.
+  constexpr int kMaxRounds = 6;
+  const auto simulate = [&](std::uint32_t seed) {
     std::mt19937 random(seed);
     const auto domains = 2 + random() % 4;
-    const auto each = 1 + random() % 14;
+    const auto members_per_domain = 1 + random() % 14;
     const auto loss = 0.05 * static_cast<double>(random() % 4);
-    Deployment deployment(domains, each, loss, seed);
+    Deployment deployment(domains, members_per_domain, loss, seed);
     for (int i = 0; i < 14; ++i) {
       deployment.Round();
     }
@@ -296,7 +307,7 @@
         }
       }
       if (random() % 3 == 0) {
-        deployment.Cut(random() % domains);
+        deployment.Partition(random() % domains);
       }
       for (unsigned i = 0; i < random() % 4; ++i) {
         deployment.Round();
@@ -307,24 +318,24 @@
         deployment.Round();
         ++rounds;
       }
-      RC_ASSERT(rounds <= kBound);
-      deployment.Cut(std::nullopt);
+      RC_ASSERT(rounds <= kMaxRounds);
+      deployment.Partition(std::nullopt);
       rounds = 0;
       while (!deployment.AllKnow(version) && rounds < 30) {
         deployment.Round();
         ++rounds;
       }
-      RC_ASSERT(rounds <= kBound);
+      RC_ASSERT(rounds <= kMaxRounds);
     }
   };
-  // Seeds that failed once: both delegates of the only domain that reached the
-  // store had died, and nobody read it in their place.
+  // Random seeds of past failures: both delegates of the only domain that
+  // reached the store had crashed, and no member read it in their place.
   CHECK(rc::check("seeds that failed", [&] {
     for (const std::uint32_t seed : {832531U, 3035155U}) {
-      play(seed);
+      simulate(seed);
     }
   }));
-  CHECK(rc::check(play));
+  CHECK(rc::check(simulate));
 }
 
 }  // namespace
--- a/tests/membership/gossip_table_test.cpp
+++ b/tests/membership/gossip_table_test.cpp
@@ -1,4 +1,5 @@
-// Members by gossip: beats only rise, lost members stay lost.
+// Tests of membership by gossip: heartbeat counters order rows, and lost
+// members are not restored by old copies.
 #include "chalkwell/membership/gossip_table.hpp"
 
 #include <rapidcheck.h>
@@ -16,47 +17,48 @@
 
 const core::TimePoint kStart{1000s};
 
-Member Row(const std::string& id, std::uint64_t beat,
+Member Row(const std::string& id, std::uint64_t heartbeat,
            std::uint64_t incarnation = 1, const std::string& domain = "d1") {
   Member member;
   member.id_ = core::InstanceId(id);
   member.incarnation_ = incarnation;
   member.domain_ = core::FailureDomainId(domain);
   member.address_ = id + ":1";
-  member.heartbeat_ = beat;
+  member.heartbeat_ = heartbeat;
   return member;
 }
 
 GossipTable Table() { return GossipTable(Row("self", 0), {}, 1); }
 
-TEST_CASE("what a row changes", "[membership]") {
+TEST_CASE("the outcome of merging a row", "[membership]") {
   struct Case {
     std::string name_;
     Member row_;
-    MergeOutcome end_;
+    MergeOutcome outcome_;
   };
   auto leaving = Row("a", 9);
   leaving.leaving_ = true;
-  auto stranger = Row("z", 9);
-  stranger.leaving_ = true;
+  auto unknown_leaving = Row("z", 9);
+  unknown_leaving.leaving_ = true;
   const auto row = GENERATE_COPY(
       Case{"a new member", Row("b", 1), MergeOutcome::kJoined},
-      Case{"a higher beat", Row("a", 6), MergeOutcome::kUpdated},
-      Case{"the same beat", Row("a", 5), MergeOutcome::kUnchanged},
-      Case{"an old beat", Row("a", 4), MergeOutcome::kUnchanged},
-      Case{"another life", Row("a", 1, 2), MergeOutcome::kJoined},
-      Case{"it leaves", leaving, MergeOutcome::kUpdated},
-      Case{"a stranger leaves", stranger, MergeOutcome::kUnchanged},
+      Case{"a higher heartbeat", Row("a", 6), MergeOutcome::kUpdated},
+      Case{"the same heartbeat", Row("a", 5), MergeOutcome::kUnchanged},
+      Case{"an old heartbeat", Row("a", 4), MergeOutcome::kUnchanged},
+      Case{"another incarnation", Row("a", 1, 2), MergeOutcome::kJoined},
+      Case{"a member leaves", leaving, MergeOutcome::kUpdated},
+      Case{"an unknown member leaves", unknown_leaving,
+           MergeOutcome::kUnchanged},
       Case{"this process", Row("self", 99), MergeOutcome::kUnchanged});
   CAPTURE(row.name_);
   auto table = Table();
   table.Merge(Row("a", 5), kStart);
-  CHECK(table.Merge(row.row_, kStart) == row.end_);
+  CHECK(table.Merge(row.row_, kStart) == row.outcome_);
 }
 
 TEST_CASE(
-    "a member whose beat stands still is lost, and old copies do not "
-    "bring it back",
+    "a member whose heartbeat counter stops is lost, and old copies do not "
+    "restore it",
     "[membership]") {
   auto table = Table();
   table.Merge(Row("a", 5), kStart);
@@ -72,7 +74,7 @@
   CHECK(table.Live().size() == 1);
 }
 
-TEST_CASE("of two lives at one address the one heard last counts",
+TEST_CASE("of two incarnations at one address the one received last counts",
           "[membership]") {
   auto table = Table();
   table.Merge(Row("a", 50, 1), kStart);
@@ -81,7 +83,8 @@
   CHECK(table.Live().front().incarnation_ == 2);
 }
 
-TEST_CASE("one of the own failure domain is told first", "[membership]") {
+TEST_CASE("members of the local failure domain are the first gossip targets",
+          "[membership]") {
   auto table = Table();
   for (int i = 0; i < 20; ++i) {
     table.Merge(Row("far" + std::to_string(i), 1, 1, "d2"), kStart);
@@ -94,7 +97,7 @@
   }
 }
 
-TEST_CASE("few members of another failure domain are kept, the first in rank",
+TEST_CASE("only the first members in rank of a remote failure domain are kept",
           "[membership]") {
   auto table = Table();
   std::vector<core::InstanceId> ids;
@@ -110,15 +113,15 @@
     kept.insert(member.id_);
   }
   CHECK(kept == std::set<core::InstanceId>(first.begin(), first.end()));
-  // All of them count, as the kept ones tell.
+  // All of them count, since the kept ones report their number.
   CHECK(table.DeploymentSize() == 21);
-  // One that is lost makes place for the next in rank.
+  // A lost member makes room for the next in rank.
   table.Expire(kStart + 6s);
   CHECK(table.Merge(Row("far3", 2, 1, "d2"), kStart + 7s) ==
         MergeOutcome::kJoined);
 }
 
-TEST_CASE("members of a deployment find each other and are not lost by chance",
+TEST_CASE("members discover each other and none is lost by random gossip",
           "[membership]") {
   CHECK(rc::check([](std::uint32_t seed) {
     constexpr std::size_t kMembers = 30;
@@ -141,23 +144,23 @@
           targets.push_back(tables.front().self());
         }
         for (const auto& target : targets) {
-          auto& told = tables[index(target)];
-          // A newcomer is answered at once, as the daemon does.
-          if (told.Merge(table.self(), now) == MergeOutcome::kJoined) {
-            for (const auto& row : told.Sample(24, table.self().domain_)) {
+          auto& receiver = tables[index(target)];
+          // Replies to a new member at once, as the daemon does.
+          if (receiver.Merge(table.self(), now) == MergeOutcome::kJoined) {
+            for (const auto& row : receiver.Sample(24, table.self().domain_)) {
               table.Merge(row, now);
             }
           }
           for (const auto& row : table.Sample(18, target.domain_)) {
-            told.Merge(row, now);
+            receiver.Merge(row, now);
           }
         }
       }
       for (auto& table : tables) {
-        for (const auto& silent : table.Unresponsive(8, now)) {
-          auto& asked = tables[index(silent)];
-          asked.RaiseHeartbeat();
-          table.Merge(asked.self(), now);
+        for (const auto& member : table.Unresponsive(8, now)) {
+          auto& probed = tables[index(member)];
+          probed.RaiseHeartbeat();
+          table.Merge(probed.self(), now);
         }
       }
       for (auto& table : tables) {
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -1,4 +1,5 @@
-// Roster, pause detector, duties.
+// Tests of the roster, the suspension detector, rank assignment and graceful
+// shutdown.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
@@ -24,13 +25,13 @@
   return instance;
 }
 
-TEST_CASE("only endpoints that are there and ready get work", "[membership]") {
+TEST_CASE("only connected and ready endpoints get work", "[membership]") {
   struct Row {
     bool connected_;
     bool ready_;
     bool leaving_;
     bool listed_leaving_;
-    std::chrono::seconds silence_;
+    std::chrono::seconds since_report_;
     bool available_;
   };
   const auto row = GENERATE(Row{true, true, false, false, 0s, true},
@@ -48,7 +49,7 @@
   if (!row.connected_) {
     roster.OnDisconnected(kId);
   }
-  const auto available = roster.Available(kRole, kStart + row.silence_);
+  const auto available = roster.Available(kRole, kStart + row.since_report_);
   CHECK(available.size() == (row.available_ ? 1 : 0));
 }
 
@@ -56,8 +57,8 @@
           "[membership]") {
   struct Row {
     bool probed_;
-    bool heard_;
-    bool other_there_;
+    bool replied_;
+    bool other_connected_;
     std::chrono::milliseconds later_;
     bool chosen_;
   };
@@ -73,14 +74,14 @@
     roster.OnConnected(id, kStart);
     REQUIRE(roster.OnReport(id, {.incarnation_ = 1, .ready_ = true}, kStart));
   }
-  if (!row.other_there_) {
+  if (!row.other_connected_) {
     roster.OnDisconnected(other.id_);
   }
   if (row.probed_) {
     roster.OnProbed(kId, kStart);
     roster.OnProbed(kId, kStart + 200ms);
   }
-  if (row.heard_) {
+  if (row.replied_) {
     roster.OnReceived(kId);
   }
   const auto available = roster.Available(kRole, kStart + row.later_);
@@ -90,14 +91,15 @@
   CHECK(chosen == row.chosen_);
 }
 
-TEST_CASE("an endpoint that fails often gets only trials", "[membership]") {
+TEST_CASE("an endpoint with a high failure rate gets only trial requests",
+          "[membership]") {
   struct Row {
     int endpoints_;
-    int ailing_;
+    int failing_;
     std::chrono::milliseconds later_;
     std::size_t available_;
   };
-  // Half of all failing is no longer a matter of endpoints.
+  // If half of the endpoints fail, the cause is not the endpoints.
   const auto row =
       GENERATE(Row{3, 1, 999ms, 2}, Row{3, 1, 1000ms, 3}, Row{4, 1, 0ms, 3},
                Row{4, 2, 0ms, 4}, Row{1, 1, 0ms, 1}, Row{5, 2, 0ms, 3});
@@ -112,21 +114,21 @@
     const auto& id = listed[static_cast<std::size_t>(i)].id_;
     roster.OnConnected(id, kStart);
     REQUIRE(roster.OnReport(id, {.incarnation_ = 1, .ready_ = true}, kStart));
-    for (int calls = 0; calls < 10; ++calls) {
+    for (int request = 0; request < 10; ++request) {
       roster.OnRequestSent(id, kStart);
-      roster.OnRequestEnded(id, i < row.ailing_ && calls % 2 == 1, kStart);
+      roster.OnRequestEnded(id, i < row.failing_ && request % 2 == 1, kStart);
     }
   }
   CHECK(roster.Available(kRole, kStart + row.later_).size() == row.available_);
 }
 
-TEST_CASE("an entry's window is its share of the slots and a little more",
+TEST_CASE("the window of an entry is its share of the slots and a little more",
           "[membership]") {
   struct Row {
     std::uint64_t capacity_;
     std::uint64_t sharers_;
     std::uint64_t in_flight_;
-    std::uint64_t room_;
+    std::uint64_t free_slots_;
   };
   const auto row = GENERATE(Row{8, 1, 0, 10}, Row{8, 2, 0, 5}, Row{8, 2, 3, 2},
                             Row{8, 2, 7, 0}, Row{12, 9, 0, 2}, Row{1, 9, 0, 1},
@@ -142,11 +144,10 @@
   for (std::uint64_t i = 0; i < row.in_flight_; ++i) {
     roster.OnRequestSent(kId, kStart);
   }
-  CHECK(roster.FreeSlots(kRole, kStart) == row.room_);
+  CHECK(roster.FreeSlots(kRole, kStart) == row.free_slots_);
 }
 
-TEST_CASE("a replaced process does not speak for its endpoint",
-          "[membership]") {
+TEST_CASE("reports of a replaced process are refused", "[membership]") {
   Roster roster;
   roster.SetInstances({Listed(false)});
   roster.OnConnected(kId, kStart);
@@ -156,7 +157,8 @@
   CHECK(roster.Available(kRole, kStart).empty());
 }
 
-TEST_CASE("failures in a row open the breaker for a while", "[membership]") {
+TEST_CASE("consecutive failures open the circuit breaker for a while",
+          "[membership]") {
   Roster roster({.lease_ = 1h, .breaker_failures_ = 2, .breaker_time_ = 2s});
   roster.SetInstances({Listed(false)});
   roster.OnConnected(kId, kStart);
@@ -168,16 +170,16 @@
   CHECK(roster.Available(kRole, kStart + 2s).size() == 1);
 }
 
-TEST_CASE("a pause longer than the lease is noticed once", "[membership]") {
-  SuspensionDetector pause(1s);
-  CHECK_FALSE(pause.Tick(kStart));
-  CHECK_FALSE(pause.Tick(kStart + 900ms));
-  CHECK(pause.Tick(kStart + 2s));
-  CHECK_FALSE(pause.Tick(kStart + 2s));
+TEST_CASE("a suspension longer than the lease is detected once",
+          "[membership]") {
+  SuspensionDetector detector(1s);
+  CHECK_FALSE(detector.Tick(kStart));
+  CHECK_FALSE(detector.Tick(kStart + 900ms));
+  CHECK(detector.Tick(kStart + 2s));
+  CHECK_FALSE(detector.Tick(kStart + 2s));
 }
 
-TEST_CASE("duties fall to the first in rank, whoever else is there",
-          "[membership]") {
+TEST_CASE("ranks do not depend on the other members", "[membership]") {
   const std::vector<core::InstanceId> members{
       core::InstanceId("a"), core::InstanceId("b"), core::InstanceId("c")};
   const auto order = HighestRanked("watch", members, 3);
@@ -189,16 +191,17 @@
   CHECK(HighestRanked("watch", fewer, 1).front() == order[1]);
 }
 
-TEST_CASE("a planned stop waits for work, but not for ever", "[membership]") {
-  GracefulShutdown stop(10s);
-  stop.OnWorkAccepted();
-  CHECK_FALSE(stop.MayExit(kStart));
-  stop.Begin(kStart);
-  CHECK_FALSE(stop.accepting());
-  CHECK_FALSE(stop.MayExit(kStart + 9s));
-  CHECK(stop.MayExit(kStart + 10s));
-  stop.OnWorkFinished();
-  CHECK(stop.MayExit(kStart + 1s));
+TEST_CASE("a graceful shutdown waits for work up to its limit",
+          "[membership]") {
+  GracefulShutdown shutdown(10s);
+  shutdown.OnWorkAccepted();
+  CHECK_FALSE(shutdown.MayExit(kStart));
+  shutdown.Begin(kStart);
+  CHECK_FALSE(shutdown.accepting());
+  CHECK_FALSE(shutdown.MayExit(kStart + 9s));
+  CHECK(shutdown.MayExit(kStart + 10s));
+  shutdown.OnWorkFinished();
+  CHECK(shutdown.MayExit(kStart + 1s));
 }
 
 }  // namespace
--- a/tests/membership/path_delay_test.cpp
+++ b/tests/membership/path_delay_test.cpp
@@ -1,4 +1,4 @@
-// Delay of a path, whatever the clocks say.
+// Tests of one-way delays without synchronized clocks.
 #include "chalkwell/membership/path_delay.hpp"
 
 #include <catch2/catch.hpp>
@@ -8,42 +8,43 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("what exceeds the quickest message is delay", "[membership]") {
+TEST_CASE("the delay is what exceeds the minimum one-way delay",
+          "[membership]") {
   const core::Duration offset = GENERATE(0s, 5h, -5h);
   const core::TimePoint start{10h};
   PathDelay path;
   struct Step {
     core::Duration sent_;
-    core::Duration under_way_;
+    core::Duration one_way_;
     core::Duration delay_;
   };
   for (const auto& step :
        {Step{0ms, 5ms, 0ms}, Step{100ms, 4ms, 0ms}, Step{200ms, 904ms, 900ms},
         Step{300ms, 804ms, 800ms}, Step{2s, 4ms, 0ms}}) {
     const auto sent_at = start.time_since_epoch() + step.sent_ + offset;
-    CHECK(path.OnMessage(sent_at, start + step.sent_ + step.under_way_) ==
+    CHECK(path.OnMessage(sent_at, start + step.sent_ + step.one_way_) ==
           step.delay_);
   }
 }
 
-TEST_CASE("clocks that drift apart make no delay", "[membership]") {
-  // The least difference ever seen counted for good: after a day of a drift of
-  // 50 parts in a million a message seemed to be under way for 4.3 s.
+TEST_CASE("clock drift does not show as delay", "[membership]") {
+  // The minimum difference used to count without a time limit: after a day with
+  // a drift of 50 ppm, a message seemed to be delayed by 4.3 s.
   const core::TimePoint start{10h};
   PathDelay path;
-  core::Duration most{};
+  core::Duration max_delay{};
   for (core::Duration at{}; at < 24h; at += 1min) {
     const auto sent_at = start.time_since_epoch() + at - at / 20'000;
-    most = std::max(most, path.OnMessage(sent_at, start + at + 5ms));
+    max_delay = std::max(max_delay, path.OnMessage(sent_at, start + at + 5ms));
   }
-  CHECK(most < 40ms);
+  CHECK(max_delay < 40ms);
   const core::Duration day = 24h;
-  const auto late = start + day;
-  CHECK(path.OnMessage(late.time_since_epoch() - day / 20'000, late + 900ms) >=
-        890ms);
+  const auto next_day = start + day;
+  CHECK(path.OnMessage(next_day.time_since_epoch() - day / 20'000,
+                       next_day + 900ms) >= 890ms);
 }
 
-TEST_CASE("a link's delay is what even the quickest sender shows",
+TEST_CASE("the delay of a link is the minimum over its senders",
           "[membership]") {
   const core::TimePoint start{10h};
   LinkDelay link;
@@ -58,9 +59,9 @@
   CHECK(link.At(start + 9s) == 0ms);
 }
 
-TEST_CASE("a link that fills is seen at once when much is heard",
+TEST_CASE("the delay of a filling link shows at once when many messages arrive",
           "[membership]") {
-  // Seen: the least of a whole second hid a queue of 1.6 s while it grew.
+  // The minimum over a whole second hid a queue of 1.6 s while it grew.
   const core::TimePoint start{10h};
   LinkDelay link;
   for (int i = 0; i < 10; ++i) {
@@ -73,7 +74,7 @@
   CHECK(link.At(start + 700ms) == 700ms);
 }
 
-TEST_CASE("what the last message showed holds while nothing is heard",
+TEST_CASE("the delay of the last message counts for a while when none arrive",
           "[membership]") {
   struct Row {
     core::Duration after_;
--- a/tests/membership/store_outage_test.cpp
+++ b/tests/membership/store_outage_test.cpp
@@ -1,4 +1,4 @@
-// Which lists may lack endpoints that live.
+// Tests of which lists may lack live endpoints.
 #include "chalkwell/membership/store_outage.hpp"
 
 #include <catch2/catch.hpp>
@@ -11,27 +11,26 @@
 
 const core::TimePoint kStart(1h);
 
-TEST_CASE("only a store that was away for long makes lists incomplete",
+TEST_CASE("only a long outage of the store makes lists incomplete",
           "[membership]") {
-  // Calls that failed one by one made all lists incomplete for 2.5 s each:
-  // endpoints that were gone got requests for up to 2.6 s, the bound was 2
-  // to 4.
+  // Each isolated failed call used to make all lists incomplete for 2.5 s, so
+  // that removed endpoints got requests for up to 2.6 s; the bound is 2 to 4 s.
   struct Row {
     std::string name_;
-    /// When reads failed, after the list of the start.
+    /// Times of failed reads after the first list.
     std::vector<core::Duration> failed_;
     core::Duration next_list_;
-    core::Duration asked_;
-    bool may_have_lapsed_;
+    core::Duration queried_at_;
+    bool may_have_expired_;
   };
   const auto row = GENERATE(
       Row{"no failure", {}, 600ms, 600ms, false},
-      Row{"nobody read for a while", {}, 5s, 5s, false},
+      Row{"no reads for a while", {}, 5s, 5s, false},
       Row{"one call failed", {1s}, 1100ms, 1100ms, false},
-      Row{"one in two", {600ms}, 700ms, 1300ms, false},
-      Row{"away", {600ms, 1100ms, 1700ms}, 2s, 2s, true},
-      Row{"away, a while after", {600ms, 1100ms, 1700ms}, 2s, 4400ms, true},
-      Row{"away, long ago", {600ms, 1100ms, 1700ms}, 2s, 4600ms, false});
+      Row{"every second call failed", {600ms}, 700ms, 1300ms, false},
+      Row{"outage", {600ms, 1100ms, 1700ms}, 2s, 2s, true},
+      Row{"shortly after an outage", {600ms, 1100ms, 1700ms}, 2s, 4400ms, true},
+      Row{"long after an outage", {600ms, 1100ms, 1700ms}, 2s, 4600ms, false});
   INFO(row.name_);
   StoreOutage outage({});
   outage.OnListReceived(kStart, kStart);
@@ -39,23 +38,23 @@
     outage.OnReadFailed();
   }
   outage.OnListReceived(kStart + row.next_list_, kStart + row.next_list_);
-  CHECK(outage.LeasesMayHaveExpired(kStart + row.asked_) ==
-        row.may_have_lapsed_);
+  CHECK(outage.LeasesMayHaveExpired(kStart + row.queried_at_) ==
+        row.may_have_expired_);
 }
 
-TEST_CASE("while the store is away lists stay incomplete", "[membership]") {
+TEST_CASE("lists stay incomplete during an outage of the store",
+          "[membership]") {
   StoreOutage outage({});
   outage.OnListReceived(kStart, kStart);
   outage.OnReadFailed();
   CHECK_FALSE(outage.LeasesMayHaveExpired(kStart + 1s));
   CHECK(outage.LeasesMayHaveExpired(kStart + 1200ms));
-  // A list from before, told late, shows nothing.
+  // An older list that is received late changes nothing.
   outage.OnListReceived(kStart - 1s, kStart + 2s);
   CHECK(outage.LeasesMayHaveExpired(kStart + 2s));
 }
 
-TEST_CASE("a process that starts while the store is away learns of it",
-          "[membership]") {
+TEST_CASE("a process that starts during an outage detects it", "[membership]") {
   StoreOutage outage({});
   CHECK_FALSE(outage.LeasesMayHaveExpired(kStart));
   outage.OnReadFailed();
--- a/tests/membership/watcher_role_test.cpp
+++ b/tests/membership/watcher_role_test.cpp
@@ -1,4 +1,4 @@
-// Who takes a published document from its publisher.
+// Tests of which members watch a published document.
 #include "chalkwell/membership/watcher_role.hpp"
 
 #include <algorithm>
@@ -22,54 +22,55 @@
   return WatcherRole::FirstInRank(members, count);
 }
 
-WatcherRole DutyOf(const std::vector<core::InstanceId>& members,
+WatcherRole RoleOf(const std::vector<core::InstanceId>& members,
                    std::size_t rank) {
-  WatcherRole duty(members[rank]);
-  duty.SetMembers(members);
-  return duty;
+  WatcherRole role(members[rank]);
+  role.SetMembers(members);
+  return role;
 }
 
-TEST_CASE("how many of a failure domain watch a document of a size",
+TEST_CASE("the number of watchers depends on the size of the document",
           "[membership]") {
   struct Row {
     std::size_t bytes_;
     std::size_t members_;
-    std::size_t watch_;
+    std::size_t watchers_;
   };
   const auto row =
       GENERATE(Row{kSmall, 2, 2}, Row{kSmall, 9, 2}, Row{kSmall, 38, 2},
                Row{100'000, 9, 2}, Row{kLarge, 9, 1}, Row{kLarge, 1, 1},
                Row{kLarge, 38, 1});
   const auto members = Members(row.members_);
-  std::size_t watch = 0;
+  std::size_t watchers = 0;
   for (std::size_t rank = 0; rank < members.size(); ++rank) {
-    auto duty = DutyOf(members, rank);
-    duty.OnDocumentReceived(row.bytes_);
+    auto role = RoleOf(members, rank);
+    role.OnDocumentReceived(row.bytes_);
     if (rank > 0) {
-      duty.OnWatcherAnnounced(members[0], kStart);
+      role.OnWatcherAnnounced(members[0], kStart);
     }
-    CHECK(duty.WatcherCount(kStart) == std::max<std::size_t>(1, row.watch_));
-    watch += duty.IsWatcher(kStart) ? 1 : 0;
-    CHECK(duty.MustAnnounce(kStart) ==
-          (duty.IsWatcher(kStart) && row.watch_ < members.size()));
+    CHECK(role.WatcherCount(kStart) == std::max<std::size_t>(1, row.watchers_));
+    watchers += role.IsWatcher(kStart) ? 1 : 0;
+    CHECK(role.MustAnnounce(kStart) ==
+          (role.IsWatcher(kStart) && row.watchers_ < members.size()));
   }
-  CHECK(watch == row.watch_);
+  CHECK(watchers == row.watchers_);
 }
 
-TEST_CASE("a member watches as long as none ahead says that it does",
+TEST_CASE("a member watches while no member ahead in rank announces itself",
           "[membership]") {
   const auto members = Members(4);
-  auto duty = DutyOf(members, 2);
-  duty.OnDocumentReceived(kLarge);
-  CHECK(duty.IsWatcher(kStart));
-  duty.OnWatcherAnnounced(members[3], kStart);
-  CHECK(duty.IsWatcher(kStart));
-  duty.OnWatcherAnnounced(members[1], kStart);
-  CHECK_FALSE(duty.IsWatcher(kStart));
+  auto role = RoleOf(members, 2);
+  role.OnDocumentReceived(kLarge);
+  CHECK(role.IsWatcher(kStart));
+  role.OnWatcherAnnounced(members[3], kStart);
+  CHECK(role.IsWatcher(kStart));
+  role.OnWatcherAnnounced(members[1], kStart);
+  CHECK_FALSE(role.IsWatcher(kStart));
 }
 
-TEST_CASE("who has just read waits for a first word before it watches",
-          "[membership]") {
+TEST_CASE(
+    "a member that has just read awaits an announcement before it watches",
+    "[membership]") {
   struct Row {
     std::size_t rank_;
     core::Duration after_;
@@ -79,43 +80,45 @@
                             Row{2, 0ms, false}, Row{2, 1499ms, false},
                             Row{2, 1500ms, true}, Row{3, 1500ms, false});
   const auto members = Members(4);
-  auto duty = DutyOf(members, row.rank_);
-  duty.OnFirstReadStarted(kStart);
-  // Until it has the document it goes on reading.
-  CHECK(duty.IsWatcher(kStart));
-  duty.OnDocumentReceived(kSmall);
-  CHECK(duty.IsWatcher(kStart + row.after_) == row.watches_);
+  auto role = RoleOf(members, row.rank_);
+  role.OnFirstReadStarted(kStart);
+  // It watches until it has received the document.
+  CHECK(role.IsWatcher(kStart));
+  role.OnDocumentReceived(kSmall);
+  CHECK(role.IsWatcher(kStart + row.after_) == row.watches_);
 }
 
-TEST_CASE("silence passes the duty on one after the other", "[membership]") {
+TEST_CASE("without announcements members take over rank by rank",
+          "[membership]") {
   const auto members = Members(4);
   const WatcherRoleSettings settings;
   for (std::size_t rank = 1; rank < members.size(); ++rank) {
-    auto duty = DutyOf(members, rank);
-    duty.OnDocumentReceived(kLarge);
-    duty.OnWatcherAnnounced(members[0], kStart);
-    const auto due = kStart + settings.patience_ +
-                     settings.step_ * (static_cast<int>(rank) - 1);
-    CHECK_FALSE(duty.IsWatcher(due - 1ms));
-    CHECK(duty.IsWatcher(due));
-    // Whoever took it up keeps those behind it from doing so too.
+    auto role = RoleOf(members, rank);
+    role.OnDocumentReceived(kLarge);
+    role.OnWatcherAnnounced(members[0], kStart);
+    const auto due = kStart + settings.takeover_timeout_ +
+                     settings.rank_delay_ * (static_cast<int>(rank) - 1);
+    CHECK_FALSE(role.IsWatcher(due - 1ms));
+    CHECK(role.IsWatcher(due));
+    // The member that took over keeps those behind it from watching as well.
     if (rank > 1) {
-      duty.OnWatcherAnnounced(members[1], due);
-      CHECK_FALSE(duty.IsWatcher(due));
+      role.OnWatcherAnnounced(members[1], due);
+      CHECK_FALSE(role.IsWatcher(due));
     }
   }
 }
 
-TEST_CASE("the next in rank has the duty when the first is gone",
+TEST_CASE("the next in rank watches when the first is removed",
           "[membership]") {
   const auto members = Members(4);
-  auto duty = DutyOf(members, 1);
-  duty.OnDocumentReceived(kLarge);
-  duty.OnWatcherAnnounced(members[0], kStart);
-  CHECK_FALSE(duty.IsWatcher(kStart));
-  const std::vector<core::InstanceId> left(members.begin() + 1, members.end());
-  duty.SetMembers(left);
-  CHECK(duty.IsWatcher(kStart));
+  auto role = RoleOf(members, 1);
+  role.OnDocumentReceived(kLarge);
+  role.OnWatcherAnnounced(members[0], kStart);
+  CHECK_FALSE(role.IsWatcher(kStart));
+  const std::vector<core::InstanceId> remaining(members.begin() + 1,
+                                                members.end());
+  role.SetMembers(remaining);
+  CHECK(role.IsWatcher(kStart));
 }
 
 TEST_CASE("a long first read is left to the first in rank", "[membership]") {
@@ -128,12 +131,12 @@
       GENERATE(Row{0, 1s, true}, Row{1, 140ms, true}, Row{1, 150ms, false},
                Row{2, 10ms, false}, Row{3, 1s, false});
   const auto members = Members(4);
-  auto duty = DutyOf(members, row.rank_);
-  duty.OnFirstReadStarted(kStart);
+  auto role = RoleOf(members, row.rank_);
+  role.OnFirstReadStarted(kStart);
   if (row.rank_ > 0) {
-    duty.OnWatcherAnnounced(members[0], kStart + row.reading_);
+    role.OnWatcherAnnounced(members[0], kStart + row.reading_);
   }
-  CHECK(duty.IsWatcher(kStart + row.reading_) == row.watches_);
+  CHECK(role.IsWatcher(kStart + row.reading_) == row.watches_);
 }
 
 }  // namespace
