--- a/packages/chalkwell/src/chalkwell/routing/endpoint_chooser.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_chooser.cpp
@@ -1,4 +1,4 @@
-// Bounded-load affinity over rendezvous hashing, two random choices otherwise.
+// Affinity uses rendezvous hashing with bounded loads.
 #include "chalkwell/routing/endpoint_chooser.hpp"
 
 #include <algorithm>
@@ -18,8 +18,8 @@
   return sum / static_cast<double>(candidates.size());
 }
 
-const Candidate& HomeOf(const std::vector<Candidate>& candidates,
-                        std::string_view prefix) {
+const Candidate& PreferredEndpoint(const std::vector<Candidate>& candidates,
+                                   std::string_view prefix) {
   return *std::ranges::max_element(candidates, {}, [&](const Candidate& c) {
     return core::RendezvousScore(prefix, c.id_.value());
   });
@@ -32,17 +32,19 @@
   return static_cast<double>(requests) / static_cast<double>(capacity_);
 }
 
-EndpointChooser::EndpointChooser(core::FailureDomainId own_domain,
+EndpointChooser::EndpointChooser(core::FailureDomainId local_domain,
                                  ChoiceSettings settings, std::uint64_t seed)
-    : own_domain_(std::move(own_domain)), settings_(settings), random_(seed) {}
+    : local_domain_(std::move(local_domain)),
+      settings_(settings),
+      random_(seed) {}
 
 std::optional<core::InstanceId> EndpointChooser::Choose(
     std::span<const Candidate> candidates, std::string_view prefix) {
   std::vector<Candidate> pool;
   std::ranges::copy_if(candidates, std::back_inserter(pool),
                        [&](const Candidate& candidate) {
-                         return candidate.domain_ == own_domain_ &&
-                                candidate.load() < settings_.spill_load_;
+                         return candidate.domain_ == local_domain_ &&
+                                candidate.load() < settings_.spillover_load_;
                        });
   if (pool.empty()) {
     pool.assign(candidates.begin(), candidates.end());
@@ -51,15 +53,18 @@
     return std::nullopt;
   }
   if (!prefix.empty()) {
-    const auto& home = HomeOf(pool, prefix);
-    const double room = 1.0 / static_cast<double>(home.capacity_);
-    if (home.load() <= settings_.affinity_bound_ * MeanLoad(pool) + room) {
-      return home.id_;
+    const auto& preferred = PreferredEndpoint(pool, prefix);
+    // One request of slack: in a nearly idle pool a single request would exceed
+    // the bound.
+    const double slack = 1.0 / static_cast<double>(preferred.capacity_);
+    if (preferred.load() <=
+        settings_.affinity_bound_ * MeanLoad(pool) + slack) {
+      return preferred.id_;
     }
   }
-  std::uniform_int_distribution<std::size_t> pick(0, pool.size() - 1);
-  const auto& first = pool[pick(random_)];
-  const auto& second = pool[pick(random_)];
+  std::uniform_int_distribution<std::size_t> distribution(0, pool.size() - 1);
+  const auto& first = pool[distribution(random_)];
+  const auto& second = pool[distribution(random_)];
   return first.load() <= second.load() ? first.id_ : second.id_;
 }
 
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_chooser.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_chooser.hpp
@@ -1,5 +1,5 @@
-// Endpoint choice: affinity by prompt prefix with bounded load, else the better
-// of two; own failure domain first.
+// Selects an endpoint by prompt-prefix affinity with bounded load, otherwise by
+// the power of two choices. Endpoints of the local failure domain come first.
 #pragma once
 
 #include <cstdint>
@@ -13,42 +13,45 @@
 
 namespace chalkwell::routing {
 
-/// @brief An endpoint that may take the request.
+/// @brief An endpoint that can serve the request.
 struct Candidate {
   core::InstanceId id_;
   core::FailureDomainId domain_;
-  /// Requests this entry has there now.
+  /// Requests of this entry in flight at the endpoint.
   std::uint64_t in_flight_ = 0;
-  /// Requests the agent last reported from all entries.
+  /// Requests of all entries, as last reported by the endpoint's agent.
   std::uint64_t reported_load_ = 0;
-  /// Requests the back end runs at once; at least 1.
+  /// Concurrent requests that the backend supports; at least 1.
   std::uint64_t capacity_ = 1;
 
-  /// @brief Load relative to capacity: the larger of what is known here and
-  /// what was reported.
+  /// @brief Load relative to capacity, from the larger of the local and the
+  /// reported number of requests.
   [[nodiscard]] double load() const noexcept;
 };
 
-/// @brief Settings of the choice.
+/// @brief Settings of EndpointChooser.
 struct ChoiceSettings {
-  /// A prefix's home is taken while its load is at most this times the mean.
+  /// The preferred endpoint of a prefix is used while its load is at most this
+  /// multiple of the mean load.
   double affinity_bound_ = 1.25;
-  /// Other domains are used when the own domain's least load is above this.
-  double spill_load_ = 1.0;
+  /// Endpoints of all failure domains are considered when each local one has
+  /// at least this load.
+  double spillover_load_ = 1.0;
 };
 
-/// @brief Chooses among candidates.
+/// @brief Chooses one of the candidates for each request.
 class EndpointChooser {
  public:
-  EndpointChooser(core::FailureDomainId own_domain, ChoiceSettings settings,
+  EndpointChooser(core::FailureDomainId local_domain, ChoiceSettings settings,
                   std::uint64_t seed);
 
-  /// @param prefix what the back end's prefix cache would key on; may be empty.
+  /// @param prefix prompt prefix that keys the backend's prefix cache; may be
+  /// empty.
   [[nodiscard]] std::optional<core::InstanceId> Choose(
       std::span<const Candidate> candidates, std::string_view prefix);
 
  private:
-  core::FailureDomainId own_domain_;
+  core::FailureDomainId local_domain_;
   ChoiceSettings settings_;
   std::mt19937_64 random_;
 };
--- a/packages/chalkwell/src/chalkwell/routing/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/fwd.hpp
@@ -1,4 +1,4 @@
-// Vocabulary of the routing module: admission, choice, attempts, outcomes.
+// Forward declarations of the routing module.
 #pragma once
 
 #include <cstdint>
--- a/tests/routing/choice_test.cpp
+++ b/tests/routing/choice_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint choice, retry budget and fair queue.
+// Tests of the endpoint chooser, the retry budget and the fair queue.
 #include <rapidcheck.h>
 #include <rapidcheck/catch.h>
 
@@ -23,40 +23,42 @@
           .capacity_ = 10};
 }
 
-TEST_CASE("the own domain comes first and spills when full", "[routing]") {
+TEST_CASE("the local domain is preferred and spills over when full",
+          "[routing]") {
   EndpointChooser chooser(core::FailureDomainId("own"), {}, 1);
   const std::vector<Candidate> idle{At("a", "own", 2), At("b", "far", 0)};
   const std::vector<Candidate> full{At("a", "own", 10), At("b", "far", 0)};
   for (int i = 0; i < 20; ++i) {
     CHECK(chooser.Choose(idle, "")->value() == "a");
   }
-  int far = 0;
+  int remote = 0;
   for (int i = 0; i < 40; ++i) {
-    far += chooser.Choose(full, "")->value() == "b" ? 1 : 0;
+    remote += chooser.Choose(full, "")->value() == "b" ? 1 : 0;
   }
-  CHECK(far > 20);
+  CHECK(remote > 20);
   CHECK_FALSE(chooser.Choose({}, "p").has_value());
 }
 
-TEST_CASE("a prefix keeps its home until the home is loaded", "[routing]") {
+TEST_CASE("a prefix keeps its preferred endpoint until that is loaded",
+          "[routing]") {
   EndpointChooser chooser(core::FailureDomainId("own"), {}, 1);
   std::vector<Candidate> all{At("a", "own", 1), At("b", "own", 1),
                              At("c", "own", 1)};
-  const auto home = *chooser.Choose(all, "prefix");
+  const auto preferred = *chooser.Choose(all, "prefix");
   for (int i = 0; i < 20; ++i) {
-    CHECK(*chooser.Choose(all, "prefix") == home);
+    CHECK(*chooser.Choose(all, "prefix") == preferred);
   }
   for (auto& candidate : all) {
-    candidate.in_flight_ = candidate.id_ == home ? 9 : 1;
+    candidate.in_flight_ = candidate.id_ == preferred ? 9 : 1;
   }
   int elsewhere = 0;
   for (int i = 0; i < 40; ++i) {
-    elsewhere += *chooser.Choose(all, "prefix") == home ? 0 : 1;
+    elsewhere += *chooser.Choose(all, "prefix") == preferred ? 0 : 1;
   }
   CHECK(elsewhere > 20);
 }
 
-TEST_CASE("retries are a share of requests", "[routing]") {
+TEST_CASE("retries are limited to a share of requests", "[routing]") {
   RetryBudget budget(
       {.share_ = 0.1, .reserve_ = 2, .resume_reserve_share_ = 0});
   CHECK(budget.TryConsume(RetryKind::kRestart, kStart));
@@ -69,13 +71,13 @@
   CHECK_FALSE(budget.TryConsume(RetryKind::kRestart, kStart));
 }
 
-TEST_CASE("answers under way come before fresh retries", "[routing]") {
+TEST_CASE("resumes take precedence over fresh retries", "[routing]") {
   struct Row {
     RetryKind kind_;
     std::chrono::seconds later_;
-    int taken_;
+    int granted_;
   };
-  // The reserve of 20 is free again when its window has passed.
+  // The reserve of 20 is available again after its window.
   const auto row = GENERATE(
       Row{RetryKind::kRestart, 0s, 0}, Row{RetryKind::kResume, 0s, 10},
       Row{RetryKind::kRestart, 10s, 10}, Row{RetryKind::kResume, 10s, 20});
@@ -85,14 +87,14 @@
     ++fresh;
   }
   CHECK(fresh == 10);
-  int taken = 0;
+  int granted = 0;
   while (budget.TryConsume(row.kind_, kStart + row.later_)) {
-    ++taken;
+    ++granted;
   }
-  CHECK(taken == row.taken_);
+  CHECK(granted == row.granted_);
 }
 
-TEST_CASE("no window holds more retries than its share and reserve",
+TEST_CASE("retries in any window stay within the share and the reserve",
           "[routing]") {
   rc::prop("retry budget", [] {
     const auto share = *rc::gen::inRange(0, 50) / 100.0;
@@ -116,14 +118,15 @@
         return std::ranges::count_if(
             times, [&](core::TimePoint at) { return at > now - span; });
       };
-      // Slices are whole: the window is known to a tenth of it.
+      // The budget counts whole slices, so its window is exact to a tenth only.
       RC_ASSERT(static_cast<double>(since(retries, 9s)) <=
                 share * static_cast<double>(since(requests, 10s)) + reserve);
     }
   });
 }
 
-TEST_CASE("accounts share by weight, whoever sends more", "[routing]") {
+TEST_CASE("accounts are served by weight, regardless of their demand",
+          "[routing]") {
   FairQueue queue({.max_in_flight_ = 1, .max_waiting_ = 1000});
   const core::ClientAccountId loud("loud");
   const core::ClientAccountId calm("calm");
@@ -142,7 +145,8 @@
   CHECK(calm_served == 75);
 }
 
-TEST_CASE("what cannot be in time is refused at once", "[routing]") {
+TEST_CASE("requests that cannot meet their deadline are refused at once",
+          "[routing]") {
   FairQueue queue({.max_in_flight_ = 1, .max_waiting_ = 2});
   const core::ClientAccountId account("a");
   CHECK_FALSE(queue.Offer({1, account, 1, kStart}, kStart));
@@ -155,13 +159,15 @@
   CHECK_FALSE(queue.Next().has_value());
 }
 
-TEST_CASE("a request is given up when most would be late", "[routing]") {
+TEST_CASE("a queued request expires when it would probably be late",
+          "[routing]") {
   struct Row {
     std::chrono::milliseconds budget_;
     std::chrono::milliseconds waited_;
-    bool given_up_;
+    bool expired_;
   };
-  // Most answers take 200 ms; a deadline of 300 ms is given at least half.
+  // Responses usually take 200 ms. A request waits for at least half of its
+  // deadline, here of 300 ms.
   const auto row = GENERATE(Row{1000ms, 700ms, false}, Row{1000ms, 850ms, true},
                             Row{300ms, 100ms, false}, Row{300ms, 160ms, true});
   FairQueue queue({.max_in_flight_ = 1, .max_waiting_ = 10});
@@ -173,11 +179,12 @@
   (void)queue.Next();
   REQUIRE(queue.Offer({2, account, 1, kStart + row.budget_}, kStart));
   const auto expired = queue.TakeExpired(kStart + row.waited_);
-  CHECK(expired.empty() != row.given_up_);
-  CHECK(queue.waiting() == (row.given_up_ ? 0 : 1));
+  CHECK(expired.empty() != row.expired_);
+  CHECK(queue.waiting() == (row.expired_ ? 0 : 1));
 }
 
-TEST_CASE("the usual service lies above nine in ten", "[routing]") {
+TEST_CASE("the usual service time is above that of nine in ten requests",
+          "[routing]") {
   FairQueue queue({});
   for (int i = 0; i < 4000; ++i) {
     queue.OnServiceTime(std::chrono::milliseconds(100 + 10 * (i * 7 % 10)));
