--- a/packages/chalkwell/src/chalkwell/routing/list_history.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/list_history.cpp
@@ -1,6 +1,7 @@
-// While lists may be incomplete the span reaches back to the ones before, since
-// none that is gone was told meanwhile. What was otherwise in any of its reads
-// is told: one of them may be the last that a receiver heard of.
+// While reads are incomplete, a change spans back to the last complete ones,
+// since no removals were published in between. A change contains every row that
+// differs in any read of the span, because any of them may be the last one that
+// a receiver got.
 #include "chalkwell/routing/list_history.hpp"
 
 #include <map>
@@ -10,50 +11,52 @@
 namespace chalkwell::routing {
 namespace {
 
-/// Complete reads that a change spans at most: whoever lost a message or two
-/// learns from the next one, and need not read itself.
+/// Complete reads that a change spans at most. A receiver that lost one or two
+/// messages catches up with the next one and need not read the list itself.
 constexpr std::ptrdiff_t kSpan = 3;
-/// Reads kept while the store comes and goes: 24 s of them. What only one of
-/// those dropped listed is forgotten by its receivers at their next own read.
-constexpr std::size_t kMostReads = 40;
+/// Reads kept while the configuration store is intermittently unavailable; 24 s
+/// of them. A row that only a dropped read contained is removed by receivers at
+/// their own next read of the list.
+constexpr std::size_t kMaxReads = 40;
 
-/// Reads are 0.6 s apart; after this another process has read for the others.
-constexpr auto kPause = std::chrono::milliseconds(1500);
+/// Reads are 0.6 s apart. After a longer gap another process has read the list
+/// for the others in the meantime.
+constexpr auto kMaxReadGap = std::chrono::milliseconds(1500);
 
 }  // namespace
 
 EndpointListChange ListHistory::OnRead(std::uint64_t revision,
                                        std::vector<EndpointRow> rows,
                                        bool complete, core::TimePoint now) {
-  if (now - read_at_ > kPause) {
+  if (now - last_read_ > kMaxReadGap) {
     reads_.assign(1, Read{});
-    complete_in_row_ = 0;
+    consecutive_complete_ = 0;
   }
-  read_at_ = now;
+  last_read_ = now;
   reads_.push_back({revision, std::move(rows)});
-  complete_in_row_ = complete ? complete_in_row_ + 1 : 0;
-  if (complete_in_row_ > kSpan) {
+  consecutive_complete_ = complete ? consecutive_complete_ + 1 : 0;
+  if (consecutive_complete_ > kSpan) {
     reads_.erase(reads_.begin(), reads_.end() - kSpan - 1);
-  } else if (reads_.size() > kMostReads) {
+  } else if (reads_.size() > kMaxReads) {
     reads_.erase(reads_.begin() + 1);
   }
   return Change(complete);
 }
 
 EndpointListChange ListHistory::Change(bool complete) const {
-  const auto& now = reads_.back();
+  const auto& latest = reads_.back();
   std::map<core::InstanceId, const EndpointRow*> listed;
-  for (const auto& row : now.rows_) {
+  for (const auto& row : latest.rows_) {
     listed[row.id_] = &row;
   }
-  // Reads in which a row stood as it does now.
+  // Number of reads in which a row equals its latest state.
   std::map<core::InstanceId, std::size_t> unchanged;
-  std::set<core::InstanceId> gone;
+  std::set<core::InstanceId> removed;
   for (const auto& read : reads_) {
     for (const auto& row : read.rows_) {
       const auto found = listed.find(row.id_);
       if (found == listed.end()) {
-        gone.insert(row.id_);
+        removed.insert(row.id_);
       } else if (*found->second == row) {
         ++unchanged[row.id_];
       }
@@ -61,16 +64,16 @@
   }
   EndpointListChange change;
   change.from_ = reads_.front().revision_;
-  change.to_ = now.revision_;
+  change.to_ = latest.revision_;
   change.full_ = change.from_ == 0;
   change.complete_ = complete;
-  for (const auto& row : now.rows_) {
+  for (const auto& row : latest.rows_) {
     if (unchanged[row.id_] < reads_.size()) {
       change.rows_.push_back(row);
     }
   }
   if (complete) {
-    change.removed_.assign(gone.begin(), gone.end());
+    change.removed_.assign(removed.begin(), removed.end());
   }
   return change;
 }
--- a/packages/chalkwell/src/chalkwell/routing/list_history.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/list_history.hpp
@@ -1,6 +1,7 @@
-// What one who reads the published list for others tells them after each read:
-// what changed since some reads ago, so that a message that is lost leaves no
-// gap, and whoever just started learns the whole list from the first ones.
+// Builds the list changes that a process which reads the published list for
+// others sends after each read. A change spans several reads, so that a lost
+// message leaves no gap. The first changes after a start contain the full
+// list.
 #pragma once
 
 #include <cstddef>
@@ -12,18 +13,19 @@
 
 namespace chalkwell::routing {
 
-/// @brief The last reads of the list by one process.
+/// @brief The most recent reads of the list by this process.
 class ListHistory {
  public:
-  /// @brief Takes a read.
-  /// @param complete false when leases may have lapsed while the store was
-  /// away: rows that the list lacks are then not told as gone, but as soon as a
-  /// complete list lacks them too. Before this was told in such times everyone
-  /// read the list itself: 2.5 s after each start and each outage, 600 calls of
-  /// 149 members.
-  /// @return the change to tell others: the whole list when this process has
-  /// read none for a while, since others may have told rows meanwhile that it
-  /// never saw.
+  /// @brief Adds a read.
+  /// @param complete false if leases may have lapsed during an outage of the
+  /// configuration store.
+  /// Missing rows are then published as removed only once a complete list lacks
+  /// them too. Such reads are published nevertheless: when they were not, every
+  /// process read the list itself for 2.5 s after each start and each outage,
+  /// which made 600 calls by 149 members.
+  /// @return the change to publish; the full list if this process has not read
+  /// for a while, since others may meanwhile have published rows that it never
+  /// saw.
   EndpointListChange OnRead(std::uint64_t revision,
                             std::vector<EndpointRow> rows, bool complete,
                             core::TimePoint now);
@@ -36,11 +38,11 @@
 
   [[nodiscard]] EndpointListChange Change(bool complete) const;
 
-  /// In order; a change begins at the first. Before the first read nothing is
-  /// known.
+  /// Oldest first; a change spans all of them. Starts with an empty read at
+  /// revision 0.
   std::deque<Read> reads_{Read{}};
-  std::ptrdiff_t complete_in_row_ = 0;
-  core::TimePoint read_at_;
+  std::ptrdiff_t consecutive_complete_ = 0;
+  core::TimePoint last_read_;
 };
 
 }  // namespace chalkwell::routing
--- a/tests/routing/list_history_test.cpp
+++ b/tests/routing/list_history_test.cpp
@@ -1,5 +1,5 @@
-// What a reader of the list tells, and that who hears only some of it knows the
-// list all the same.
+// Tests of the changes that a reader of the endpoint list publishes: receivers
+// that miss some of the messages still hold the full list.
 #include "chalkwell/routing/list_history.hpp"
 
 #include <rapidcheck.h>
@@ -32,15 +32,15 @@
   return rows;
 }
 
-/// A read each 600 ms; revisions here rise by one with each.
+/// The list is read every 600 ms.
 core::TimePoint At(std::uint64_t read) {
   return core::TimePoint(1h) + 600ms * static_cast<int>(read);
 }
 
-/// What a receiver believes, by the messages that reached it.
+/// The list as a receiver reconstructs it from the messages it got.
 struct Receiver {
-  /// @return false when messages before this one are missing.
-  bool Take(const EndpointListChange& change) {
+  /// @return false if the change starts after the receiver's revision.
+  bool Apply(const EndpointListChange& change) {
     if (change.from_ > revision_) {
       return false;
     }
@@ -61,7 +61,7 @@
   std::set<std::string> ids_;
 };
 
-TEST_CASE("the first reads tell the whole list", "[routing]") {
+TEST_CASE("the first changes contain the full list", "[routing]") {
   ListHistory history;
   for (std::uint64_t revision = 1; revision <= 3; ++revision) {
     const auto change =
@@ -75,10 +75,11 @@
   CHECK(change.rows_.empty());
 }
 
-TEST_CASE("who reads again after a while tells the whole list", "[routing]") {
+TEST_CASE("the first change after a long gap contains the full list",
+          "[routing]") {
   struct Row {
     core::Duration pause_;
-    bool whole_;
+    bool full_;
   };
   const auto row = GENERATE(Row{600ms, false}, Row{1500ms, false},
                             Row{1501ms, true}, Row{120s, true});
@@ -87,8 +88,8 @@
     (void)history.OnRead(revision, Rows({"a"}), true, At(revision));
   }
   const auto change = history.OnRead(90, Rows({"a"}), true, At(6) + row.pause_);
-  CHECK(change.full_ == row.whole_);
-  CHECK(change.rows_.size() == (row.whole_ ? 1 : 0));
+  CHECK(change.full_ == row.full_);
+  CHECK(change.rows_.size() == (row.full_ ? 1 : 0));
 }
 
 TEST_CASE("an unchanged list is an empty change", "[routing]") {
@@ -102,8 +103,7 @@
   CHECK(change.to_ == 4);
 }
 
-TEST_CASE("a list that may lack lapsed rows tells of none that is gone",
-          "[routing]") {
+TEST_CASE("an incomplete list removes no rows", "[routing]") {
   ListHistory history;
   for (std::uint64_t revision = 1; revision <= 4; ++revision) {
     (void)history.OnRead(revision, Rows({"a", "b"}), true, At(revision));
@@ -114,13 +114,13 @@
   CHECK(change.rows_.front() == Row("c"));
 }
 
-TEST_CASE("what is gone while the store is away is told once it is sure",
+TEST_CASE("rows missing after a store outage are removed with a complete list",
           "[routing]") {
   ListHistory history;
   for (std::uint64_t revision = 1; revision <= 5; ++revision) {
     (void)history.OnRead(revision, Rows({"a", "b"}), true, At(revision));
   }
-  // The store is back; leases may have lapsed.
+  // The store is available again; leases may have lapsed meanwhile.
   for (std::uint64_t revision = 6; revision <= 12; ++revision) {
     CHECK(history.OnRead(revision, Rows({"a"}), false, At(revision))
               .removed_.empty());
@@ -130,18 +130,18 @@
   CHECK(change.removed_.front().value() == "b");
 }
 
-TEST_CASE("who hears one of three messages in a row knows the list",
+TEST_CASE("a receiver of at least every third message has the current list",
           "[routing]") {
   CHECK(rc::check([](std::uint32_t seed) {
     std::mt19937 random(seed);
     ListHistory history;
     Receiver receiver;
-    // Who read before this one knows of rows that it never saw.
+    // Published by an earlier reader; the current one never saw this row.
     receiver.ids_ = {"before"};
     receiver.revision_ = 5;
     std::set<std::string> listed;
-    int lost = 0;
-    int incomplete = 0;
+    int consecutive_losses = 0;
+    int incomplete_reads_left = 0;
     for (std::uint64_t read = 1; read <= 60; ++read) {
       for (int change = 0; change < 3; ++change) {
         const auto id = std::to_string(random() % 20);
@@ -149,14 +149,19 @@
           listed.insert(id);
         }
       }
-      incomplete = incomplete > 0 ? incomplete - 1 : random() % 12 == 0 ? 4 : 0;
-      const auto change =
-          history.OnRead(read * 10, Rows(listed), incomplete == 0, At(read));
-      lost = lost < 2 && random() % 3 == 0 ? lost + 1 : 0;
-      if (lost == 0) {
-        RC_ASSERT(receiver.Take(change));
+      incomplete_reads_left = incomplete_reads_left > 0
+                                  ? incomplete_reads_left - 1
+                              : random() % 12 == 0 ? 4
+                                                   : 0;
+      const auto change = history.OnRead(read * 10, Rows(listed),
+                                         incomplete_reads_left == 0, At(read));
+      consecutive_losses = consecutive_losses < 2 && random() % 3 == 0
+                               ? consecutive_losses + 1
+                               : 0;
+      if (consecutive_losses == 0) {
+        RC_ASSERT(receiver.Apply(change));
         RC_ASSERT(std::ranges::includes(receiver.ids_, listed));
-        RC_ASSERT(incomplete > 0 || receiver.ids_ == listed);
+        RC_ASSERT(incomplete_reads_left > 0 || receiver.ids_ == listed);
       }
     }
   }));
