--- a/packages/chalkwell/src/chalkwell/routing/stream_admission.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/stream_admission.cpp
@@ -1,4 +1,5 @@
-// Thresholds of admission.
+// A stream is admitted as on time, admitted as late, or refused with a retry
+// delay.
 #include "chalkwell/routing/stream_admission.hpp"
 
 #include <algorithm>
@@ -9,34 +10,35 @@
 
 using std::chrono::milliseconds;
 
-/// A stream whose first event is expected later than this part of its target
-/// does not go before others.
-constexpr double kOnTimeTargets = 0.9;
-/// Late streams fill this part of an engine's slots: more of them hold up the
-/// reading of prompts for those on time.
-constexpr double kLateSlots = 0.8;
-/// When a late caller comes back that found too few free slots: what an outage
-/// leaves behind is served within some two seconds. Callers wait for a third of
-/// what they have left at most.
-constexpr auto kLatePause = milliseconds(2000);
-/// Steps of priority between those on time and the late: platforms have ten,
-/// and routes use the first few.
-constexpr std::uint32_t kLateStep = 5;
-/// Priority of a request that names none, in the middle of the ten.
-constexpr std::uint32_t kUsualPriority = 5;
-/// Wait that is told when no endpoint can take work and none says when.
-constexpr auto kNoEndpointWait = milliseconds(500);
+/// A stream counts as on time if its first event is predicted within this
+/// fraction of its target latency.
+constexpr double kOnTimeTargetFraction = 0.9;
+/// Late streams may occupy this fraction of an engine's slots. More of them
+/// would delay the prefill of streams that are on time.
+constexpr double kLateSlotFraction = 0.8;
+/// Retry delay of a late stream that found too few free slots. The backlog of
+/// an outage is served within about two seconds, and callers wait for at most a
+/// third of the time they have left.
+constexpr auto kLateRetryDelay = milliseconds(2000);
+/// Added to the priority of late streams. Platforms have ten priorities, of
+/// which routes use the first few.
+constexpr std::uint32_t kLatePriorityOffset = 5;
+/// Priority of a request that gives none; the middle of the ten.
+constexpr std::uint32_t kDefaultPriority = 5;
+/// Retry delay when no endpoint accepts work and it is unknown when one will.
+constexpr auto kNoEndpointRetryDelay = milliseconds(500);
 
-core::Duration Times(core::Duration span, double factor) {
-  return std::chrono::duration_cast<core::Duration>(span * factor);
+core::Duration Scale(core::Duration duration, double factor) {
+  return std::chrono::duration_cast<core::Duration>(duration * factor);
 }
 
-core::Duration LongReading(const config::EngineProfile& engine,
-                           double prompt_tokens) {
-  const std::chrono::duration<double> longer(
+/// Prefill time of a prompt beyond that of one of mean length.
+core::Duration ExtraPrefillTime(const config::EngineProfile& engine,
+                                double prompt_tokens) {
+  const std::chrono::duration<double> extra(
       std::max(0.0, prompt_tokens - engine.mean_prompt_tokens_) /
       engine.prefill_tokens_per_second_);
-  return std::chrono::duration_cast<core::Duration>(longer);
+  return std::chrono::duration_cast<core::Duration>(extra);
 }
 
 }  // namespace
@@ -53,35 +55,38 @@
   wanted.on_time_ = decision.on_time_;
   decision.choice_ = endpoints.Choose(wanted, now);
   if (!decision.choice_) {
-    decision.retry_after_ = kNoEndpointWait;
+    decision.retry_after_ = kNoEndpointRetryDelay;
     return decision;
   }
   const auto& engine = *wanted.engine_;
   if (decision.on_time_ &&
       AdmitsOnTime(request, decision.choice_->time_to_first_byte_,
-                   LongReading(engine, wanted.prompt_tokens_))) {
+                   ExtraPrefillTime(engine, wanted.prompt_tokens_))) {
     return decision;
   }
   if (decision.on_time_) {
-    // It would be late: then it does not go before those that are not.
+    // It would miss its target latency, so it gets no precedence over streams
+    // that can still meet theirs.
     decision.on_time_ = false;
     wanted.on_time_ = false;
     decision.choice_ = endpoints.Choose(wanted, now);
   }
   if (!decision.choice_ ||
       !AdmitsLate(engine, decision.choice_->requests_ahead_)) {
-    decision.retry_after_ = kLatePause;
+    decision.retry_after_ = kLateRetryDelay;
   }
   return decision;
 }
 
 bool AdmitsOnTime(const StreamRequest& request, core::Duration first_event,
-                  core::Duration long_reading) {
-  return first_event - long_reading <= Times(request.target_, kOnTimeTargets);
+                  core::Duration extra_prefill) {
+  return first_event - extra_prefill <=
+         Scale(request.target_, kOnTimeTargetFraction);
 }
 
-bool AdmitsLate(const config::EngineProfile& engine, std::uint32_t occupied) {
-  return occupied < kLateSlots * engine.slots_;
+bool AdmitsLate(const config::EngineProfile& engine,
+                std::uint32_t requests_ahead) {
+  return requests_ahead < kLateSlotFraction * engine.slots_;
 }
 
 std::optional<std::uint32_t> EnginePriority(
@@ -89,7 +94,7 @@
   if (on_time) {
     return priority;
   }
-  return priority.value_or(kUsualPriority) + kLateStep;
+  return priority.value_or(kDefaultPriority) + kLatePriorityOffset;
 }
 
 }  // namespace chalkwell::routing
--- a/packages/chalkwell/src/chalkwell/routing/stream_admission.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/stream_admission.hpp
@@ -1,10 +1,10 @@
-// Whether a stream is taken, and in which order engines begin what waits.
+// Admission and prioritization of streams.
 //
-// The load this answers: after an outage, or while engines change their
-// weights, callers who come back meet those who ask for the first time, and
-// together they ask for more than engines give. In order of arrival all become
-// late. So whoever can still get an answer in time goes first, and the others
-// get what places are left.
+// After an outage, or while engines switch weights, retries and first attempts
+// together exceed the capacity of the engines. Served in order of arrival, all
+// of them would miss their target latency. Streams that can still meet it,
+// counted from their caller's first attempt, are on time and go first. The
+// others are late and get the slots that are left.
 #pragma once
 
 #include <cstdint>
@@ -16,48 +16,50 @@
 
 namespace chalkwell::routing {
 
-/// @brief A stream that asks for an engine.
+/// @brief A stream to be admitted.
 struct StreamRequest {
-  /// Within this its first event is in time.
+  /// Target latency of the first event.
   core::Duration target_{};
-  /// Since its caller first asked.
+  /// Time since the caller's first attempt.
   core::Duration age_{};
 };
 
-/// @brief Whether a first event can still be in time.
+/// @brief Whether the first event can still meet the target latency.
 [[nodiscard]] bool CanBeOnTime(const StreamRequest& request);
 
-/// @brief What becomes of a request that asks for an endpoint.
+/// @brief Result of the admission of a stream.
 struct AdmissionDecision {
-  /// Whether it goes before those that are late.
+  /// Whether it takes precedence over late streams.
   bool on_time_ = true;
-  /// The endpoint it would go to now; none when none can take it.
+  /// The endpoint to send it to now; none if no endpoint can accept it.
   std::optional<EndpointChoice> choice_;
-  /// When its caller should come back, if it is refused.
+  /// When the caller should retry; set if the stream is refused.
   std::optional<core::Duration> retry_after_;
 };
 
-/// @brief Decides on a stream by what engines are expected to give.
-/// @param wanted which endpoints may take it.
+/// @brief Decides on the admission of a stream by the predicted time to its
+/// first event.
+/// @param wanted constraints on the endpoint.
 [[nodiscard]] AdmissionDecision DecideStream(EndpointTable& endpoints,
                                              ChoiceRequest wanted,
                                              const StreamRequest& request,
                                              core::TimePoint now);
 
-/// @brief Whether a stream that can be on time is begun before the late ones.
-/// @param long_reading how much longer its prompt is read than a usual one:
-/// large requests are not refused for their size.
+/// @brief Whether a stream that can be on time is admitted ahead of late ones.
+/// @param first_event predicted time to the first event.
+/// @param extra_prefill prefill time beyond that of a prompt of mean length,
+/// which does not count: large requests are not refused for their size.
 [[nodiscard]] bool AdmitsOnTime(const StreamRequest& request,
                                 core::Duration first_event,
-                                core::Duration long_reading);
+                                core::Duration extra_prefill);
 
-/// @brief Whether a late stream is begun.
-/// @param occupied places of the engine it would go to.
+/// @brief Whether a late stream is admitted.
+/// @param requests_ahead see EndpointChoice, of the engine it would be sent to.
 [[nodiscard]] bool AdmitsLate(const config::EngineProfile& engine,
-                              std::uint32_t occupied);
+                              std::uint32_t requests_ahead);
 
-/// @brief Priority at the engine; 0 is the most urgent.
-/// @param priority of the route or account; none when not given.
+/// @brief Scheduling priority at the engine; 0 is the most urgent.
+/// @param priority priority of the route or account, if any.
 [[nodiscard]] std::optional<std::uint32_t> EnginePriority(
     std::optional<std::uint32_t> priority, bool on_time);
 
--- a/tests/routing/stream_admission_test.cpp
+++ b/tests/routing/stream_admission_test.cpp
@@ -1,4 +1,4 @@
-// Which streams are begun, in which order, and how old a request is.
+// Tests of stream admission and of the estimated age of requests.
 #include "chalkwell/routing/stream_admission.hpp"
 
 #include <catch2/catch.hpp>
@@ -40,37 +40,38 @@
   return table;
 }
 
-TEST_CASE("streams on time are begun by their wait, late ones by free places",
-          "[routing]") {
+TEST_CASE(
+    "admission depends on the predicted wait, for late streams on free slots",
+    "[routing]") {
   struct Case {
     std::string name_;
     core::Duration age_;
     std::uint32_t active_;
     std::uint32_t queued_;
-    double prompt_;
-    bool begun_;
+    double prompt_tokens_;
+    bool admitted_;
     bool on_time_;
   };
   const auto row = GENERATE(
-      Case{"an idle engine", 0ms, 0, 0, 900, true, true},
-      Case{"a busy one", 0ms, 13, 0, 900, true, true},
-      Case{"a large prompt at a busy one", 0ms, 13, 0, 3900, true, true},
-      Case{"a queue", 0ms, 16, 8, 900, false, false},
-      Case{"late, free places", 500ms, 8, 0, 900, true, false},
-      Case{"late, few free places", 500ms, 14, 0, 900, false, false},
+      Case{"idle engine", 0ms, 0, 0, 900, true, true},
+      Case{"busy engine", 0ms, 13, 0, 900, true, true},
+      Case{"large prompt at a busy engine", 0ms, 13, 0, 3900, true, true},
+      Case{"requests are queued", 0ms, 16, 8, 900, false, false},
+      Case{"late, enough free slots", 500ms, 8, 0, 900, true, false},
+      Case{"late, too few free slots", 500ms, 14, 0, 900, false, false},
       Case{"just on time", 399ms, 13, 0, 900, true, true});
   CAPTURE(row.name_);
   auto table = TableWith(row.active_, row.queued_);
   const auto engine = Engine();
   ChoiceRequest wanted{.service_ = "pool", .engine_ = &engine};
-  wanted.prompt_tokens_ = row.prompt_;
+  wanted.prompt_tokens_ = row.prompt_tokens_;
   const auto decision =
       DecideStream(table, wanted, {400ms, row.age_}, kStart + 1ms);
-  CHECK(decision.retry_after_.has_value() != row.begun_);
+  CHECK(decision.retry_after_.has_value() != row.admitted_);
   CHECK(decision.on_time_ == row.on_time_);
 }
 
-TEST_CASE("without an endpoint a stream is refused", "[routing]") {
+TEST_CASE("a stream is refused when no endpoint is available", "[routing]") {
   EndpointTable table({}, 1);
   const auto engine = Engine();
   const auto decision = DecideStream(
@@ -79,24 +80,25 @@
   CHECK(decision.retry_after_);
 }
 
-TEST_CASE("late requests come behind all on time at the engine", "[routing]") {
+TEST_CASE("late requests have a lower engine priority than any on time",
+          "[routing]") {
   struct Case {
     std::optional<std::uint32_t> priority_;
-    std::uint32_t late_;
+    std::uint32_t late_priority_;
   };
   const auto row = GENERATE(Case{0U, 5U}, Case{1U, 6U}, Case{4U, 9U},
                             Case{std::nullopt, 10U});
   CHECK(EnginePriority(row.priority_, true) == row.priority_);
-  CHECK(EnginePriority(row.priority_, false) == row.late_);
+  CHECK(EnginePriority(row.priority_, false) == row.late_priority_);
 }
 
-TEST_CASE("late ones that wait at an engine do not hold up those on time",
-          "[routing]") {
+TEST_CASE("queued late requests do not delay requests on time", "[routing]") {
   auto table = TableWith(16, 8);
   const auto engine = Engine();
   ChoiceRequest wanted{.service_ = "pool", .engine_ = &engine};
   const auto before = table.Choose(wanted, kStart + 1ms)->time_to_first_byte_;
-  // All own requests that wait there are late: so are those of others.
+  // All waiting requests of this entry are late, so the queued requests of
+  // other entries are assumed to be late as well.
   table.OnSent(core::InstanceId("a"), 900, kStart, false);
   const auto after = table.Choose(wanted, kStart + 1ms)->time_to_first_byte_;
   CHECK(after < before);
@@ -104,7 +106,7 @@
   CHECK(table.Choose(wanted, kStart + 1ms)->time_to_first_byte_ > after);
 }
 
-TEST_CASE("a late request that waits long says nothing of its endpoint",
+TEST_CASE("the wait of a late request does not count against its endpoint",
           "[routing]") {
   auto table = TableWith(4, 0);
   const auto engine = Engine();
@@ -120,7 +122,8 @@
   CHECK(table.Choose(wanted, kStart + 901ms)->time_to_first_byte_ == before);
 }
 
-TEST_CASE("the age of a request shows in the time it has left", "[routing]") {
+TEST_CASE("the age of a request is derived from its remaining time",
+          "[routing]") {
   RequestAgeEstimator ages;
   CHECK(ages.AddAndEstimate("r", 6000ms) == 0ms);
   CHECK(ages.AddAndEstimate("r", 5400ms) == 600ms);
@@ -129,13 +132,13 @@
     const auto other = ages.AddAndEstimate("r", 2000ms);
     CHECK((i < 2 || other == 0ms));
   }
-  // Callers of two kinds: the next time above counts.
+  // With two typical deadlines, the next longer one is the reference.
   CHECK(ages.AddAndEstimate("r", 5000ms) == 1000ms);
   CHECK(ages.AddAndEstimate("r", 1500ms) == 500ms);
   CHECK(ages.AddAndEstimate("other", 1500ms) == 0ms);
 }
 
-TEST_CASE("callers who each give a time of their own are not taken for old",
+TEST_CASE("callers with individual deadlines are not treated as retries",
           "[routing]") {
   RequestAgeEstimator ages;
   core::Duration oldest{};
@@ -147,46 +150,48 @@
   CHECK(oldest == 0ms);
 }
 
-TEST_CASE("callers who give times from a range are not taken for late",
+TEST_CASE("callers with deadlines from a range are not treated as late",
           "[routing]") {
   struct Row {
     std::string name_;
-    /// Times of fresh requests, in milliseconds.
-    int least_;
-    int most_;
-    /// One of so many requests came back; 0 for none.
-    int back_of_;
+    /// Deadlines of first attempts, in milliseconds.
+    int min_;
+    int max_;
+    /// Every n-th request is a retry; 0 for none.
+    int retry_interval_;
   };
-  const auto row = GENERATE(Row{"one time", 6000, 6000, 0},
-                            Row{"one time, some come back", 6000, 6000, 3},
-                            Row{"a range", 5100, 6000, 0},
-                            Row{"a range, some come back", 5100, 6000, 3},
-                            Row{"a wide range", 3000, 6000, 0});
+  const auto row =
+      GENERATE(Row{"one deadline", 6000, 6000, 0},
+               Row{"one deadline, some retries", 6000, 6000, 3},
+               Row{"range of deadlines", 5100, 6000, 0},
+               Row{"range of deadlines, some retries", 5100, 6000, 3},
+               Row{"wide range of deadlines", 3000, 6000, 0});
   CAPTURE(row.name_);
   constexpr auto kTarget = 400ms;
   std::mt19937 random(7);
-  std::uniform_int_distribution<> time(row.least_, row.most_);
+  std::uniform_int_distribution<> deadline(row.min_, row.max_);
   std::uniform_int_distribution<> pause(1500, 2000);
   RequestAgeEstimator ages;
-  int fresh = 0;
-  int fresh_late = 0;
-  int back = 0;
-  int back_on_time = 0;
+  int first_attempts = 0;
+  int late_first_attempts = 0;
+  int retries = 0;
+  int retries_on_time = 0;
   for (int i = 0; i < 1000; ++i) {
-    const auto given = time(random);
-    const bool comes_back = row.back_of_ > 0 && i % row.back_of_ == 0;
-    const auto left = given - (comes_back ? pause(random) : 0);
+    const auto given = deadline(random);
+    const bool is_retry =
+        row.retry_interval_ > 0 && i % row.retry_interval_ == 0;
+    const auto left = given - (is_retry ? pause(random) : 0);
     const bool late =
         ages.AddAndEstimate("r", std::chrono::milliseconds(left)) >= kTarget;
     if (i < 100) {
       continue;
     }
-    (comes_back ? back : fresh) += 1;
-    fresh_late += !comes_back && late ? 1 : 0;
-    back_on_time += comes_back && !late ? 1 : 0;
+    (is_retry ? retries : first_attempts) += 1;
+    late_first_attempts += !is_retry && late ? 1 : 0;
+    retries_on_time += is_retry && !late ? 1 : 0;
   }
-  CHECK(fresh_late <= fresh / 50);
-  CHECK(back_on_time <= back / 5);
+  CHECK(late_first_attempts <= first_attempts / 50);
+  CHECK(retries_on_time <= retries / 5);
 }
 
 }  // namespace
