--- a/packages/chalkwell/src/chalkwell/routing/execution_guard.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/execution_guard.cpp
@@ -1,4 +1,4 @@
-// Sliding windows over ticket sequences.
+// Sliding windows over ticket sequence numbers.
 #include "chalkwell/routing/execution_guard.hpp"
 
 #include <algorithm>
@@ -18,15 +18,16 @@
   if (windows_.size() >= limits_.max_issuers_) {
     windows_.erase(windows_.begin());
   }
-  ++last_minter_;
-  windows_.emplace(last_minter_, Window{});
-  return last_minter_;
+  ++last_issuer_;
+  windows_.emplace(last_issuer_, Window{});
+  return last_issuer_;
 }
 
 const std::string* ExecutionGuard::FindCachedResponse(
     const ExecutionTicket& ticket) const {
-  const auto answer = std::ranges::find(answers_, ticket, &Answer::ticket_);
-  return answer == answers_.end() ? nullptr : &answer->body_;
+  const auto response =
+      std::ranges::find(responses_, ticket, &CachedResponse::ticket_);
+  return response == responses_.end() ? nullptr : &response->body_;
 }
 
 TicketStatus ExecutionGuard::Use(const ExecutionTicket& ticket) {
@@ -49,14 +50,14 @@
                                          const ExecutionTicket& ticket) {
   if (ticket.sequence_ > window.highest_) {
     const auto shift = ticket.sequence_ - window.highest_;
-    window.used_ =
-        shift >= kWindow ? std::bitset<kWindow>{} : window.used_ << shift;
+    window.used_ = shift >= kWindowSize ? std::bitset<kWindowSize>{}
+                                        : window.used_ << shift;
     window.used_.set(0);
     window.highest_ = ticket.sequence_;
     return TicketStatus::kAccepted;
   }
   const auto age = window.highest_ - ticket.sequence_;
-  if (age >= kWindow) {
+  if (age >= kWindowSize) {
     return TicketStatus::kExpired;
   }
   if (!window.used_.test(age) || faults_.ignore_used_tickets_) {
@@ -68,16 +69,16 @@
 }
 
 void ExecutionGuard::CacheResponse(const ExecutionTicket& ticket,
-                                   std::string answer) {
-  if (answer.size() > limits_.max_cached_bytes_) {
+                                   std::string response) {
+  if (response.size() > limits_.max_cached_bytes_) {
     return;
   }
-  answer_bytes_ += answer.size();
-  answers_.push_back({ticket, std::move(answer)});
-  while (answers_.size() > limits_.max_cached_responses_ ||
-         answer_bytes_ > limits_.max_cached_bytes_) {
-    answer_bytes_ -= answers_.front().body_.size();
-    answers_.pop_front();
+  cached_bytes_ += response.size();
+  responses_.push_back({ticket, std::move(response)});
+  while (responses_.size() > limits_.max_cached_responses_ ||
+         cached_bytes_ > limits_.max_cached_bytes_) {
+    cached_bytes_ -= responses_.front().body_.size();
+    responses_.pop_front();
   }
 }
 
--- a/packages/chalkwell/src/chalkwell/routing/execution_guard.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/execution_guard.hpp
@@ -1,5 +1,5 @@
-// The agent's memory of execution tickets: each runs at most once, in bounded
-// memory, without a clock.
+// Replay protection for execution tickets at an agent: each is used at most
+// once, with bounded memory and without a clock.
 #pragma once
 
 #include <bitset>
@@ -15,42 +15,43 @@
 
 namespace chalkwell::routing {
 
-/// @brief What the guard says to a ticket.
+/// @brief Result of using a ticket.
 enum class TicketStatus : std::uint8_t {
-  /// First use: run it.
+  /// First use: execute the request.
   kAccepted,
-  /// Used before, and the answer is not (or no longer) held.
+  /// Used before; the response is not cached, or no longer.
   kUsed,
-  /// Used before, and the answer is held: give it again.
+  /// Used before; respond with the cached response.
   kResponseCached,
-  /// Of another endpoint or incarnation: whether it ran is unknown.
+  /// For another endpoint or incarnation: whether it was used is unknown.
   kOtherIncarnation,
-  /// Too old to be remembered: whether it ran is unknown.
+  /// Older than the window, or its issuer is unknown: whether it was used is
+  /// unknown.
   kExpired,
 };
 
-/// @brief Faults that tests seed to show that the proofs can fail.
+/// @brief Injected faults, by which tests verify that their checks detect them.
 struct GuardFaults {
   bool ignore_incarnation_ = false;
   bool ignore_used_tickets_ = false;
   bool accept_unknown_issuers_ = false;
 };
 
-/// @brief Sizes that bound the guard's memory.
+/// @brief Limits of the guard's memory.
 struct GuardLimits {
   std::size_t max_issuers_ = 512;
   std::size_t max_cached_responses_ = 256;
-  /// Bytes of all held answers.
+  /// Bytes of all cached responses.
   std::size_t max_cached_bytes_ = std::size_t{4} << 20;
 };
 
-/// @brief Remembers used tickets by a sliding window for each minter.
+/// @brief Tracks used tickets in a sliding window per issuer.
 ///
-/// A minter is a number the agent itself gave out, so one that is no longer
-/// remembered can be told from one that never was.
+/// Issuer numbers are assigned by the agent itself in rising order, so that one
+/// whose window was evicted is distinguishable from one never assigned.
 class ExecutionGuard {
  public:
-  static constexpr std::size_t kWindow = 1024;
+  static constexpr std::size_t kWindowSize = 1024;
 
   ExecutionGuard(core::InstanceId endpoint, std::uint64_t incarnation,
                  GuardLimits limits = {}, GuardFaults faults = {});
@@ -58,29 +59,29 @@
   [[nodiscard]] std::uint64_t incarnation() const noexcept {
     return incarnation_;
   }
-  /// @brief The answer held for a ticket, or null.
+  /// @brief The response cached for a ticket, or null.
   [[nodiscard]] const std::string* FindCachedResponse(
       const ExecutionTicket& ticket) const;
-  /// @brief Number of minters remembered.
+  /// @brief Number of issuers with a window.
   [[nodiscard]] std::size_t issuer_count() const noexcept {
     return windows_.size();
   }
 
-  /// @brief Gives an entry a minter number; the oldest may be forgotten.
+  /// @brief Assigns an issuer number to an entry; may evict the oldest issuer.
   [[nodiscard]] std::uint64_t RegisterIssuer();
-  /// @brief Uses the ticket up; only kRun permits to run.
+  /// @brief Marks the ticket as used; only kAccepted permits execution.
   [[nodiscard]] TicketStatus Use(const ExecutionTicket& ticket);
-  /// @brief Keeps the answer for the caller's own retries, within bounds.
-  void CacheResponse(const ExecutionTicket& ticket, std::string answer);
+  /// @brief Caches the response for retries by the caller, within the limits.
+  void CacheResponse(const ExecutionTicket& ticket, std::string response);
 
  private:
   struct Window {
-    /// Highest sequence used.
+    /// Highest sequence number used.
     std::uint64_t highest_ = 0;
-    /// Bit i stands for sequence `highest_ - i`.
-    std::bitset<kWindow> used_;
+    /// Bit i is set if sequence number `highest_ - i` was used.
+    std::bitset<kWindowSize> used_;
   };
-  struct Answer {
+  struct CachedResponse {
     ExecutionTicket ticket_;
     std::string body_;
   };
@@ -92,13 +93,13 @@
   std::uint64_t incarnation_;
   GuardLimits limits_;
   GuardFaults faults_;
-  /// Number of the last minter opened; never given twice.
-  std::uint64_t last_minter_ = 0;
-  /// By minter; at most `max_issuers_`.
+  /// Last issuer number assigned; numbers are not reused.
+  std::uint64_t last_issuer_ = 0;
+  /// By issuer; at most `max_issuers_`.
   std::map<std::uint64_t, Window> windows_;
-  /// Newest last; bounded in count and bytes.
-  std::list<Answer> answers_;
-  std::size_t answer_bytes_ = 0;
+  /// Oldest first; limited in count and bytes.
+  std::list<CachedResponse> responses_;
+  std::size_t cached_bytes_ = 0;
 };
 
 }  // namespace chalkwell::routing
--- a/packages/chalkwell/src/chalkwell/routing/execution_ticket.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/execution_ticket.cpp
@@ -1,4 +1,4 @@
-// Text form: "cw1.<incarnation>.<minter>.<sequence>.<endpoint>".
+// Text form: "cw1.<incarnation>.<issuer>.<sequence>.<endpoint>".
 #include "chalkwell/routing/execution_ticket.hpp"
 
 #include <charconv>
@@ -9,7 +9,7 @@
 
 constexpr std::string_view kPrefix = "cw1.";
 
-std::optional<std::uint64_t> TakeNumber(std::string_view& text) {
+std::optional<std::uint64_t> ConsumeNumber(std::string_view& text) {
   const auto dot = text.find('.');
   if (dot == std::string_view::npos) {
     return std::nullopt;
@@ -38,23 +38,23 @@
     return std::nullopt;
   }
   text.remove_prefix(kPrefix.size());
-  const auto incarnation = TakeNumber(text);
-  const auto minter = incarnation ? TakeNumber(text) : std::nullopt;
-  const auto sequence = minter ? TakeNumber(text) : std::nullopt;
+  const auto incarnation = ConsumeNumber(text);
+  const auto issuer = incarnation ? ConsumeNumber(text) : std::nullopt;
+  const auto sequence = issuer ? ConsumeNumber(text) : std::nullopt;
   if (!sequence || *sequence == 0 || text.empty()) {
     return std::nullopt;
   }
   return ExecutionTicket{.endpoint_ = core::InstanceId(std::string(text)),
                          .incarnation_ = *incarnation,
-                         .issuer_ = *minter,
+                         .issuer_ = *issuer,
                          .sequence_ = *sequence};
 }
 
 TicketIssuer::TicketIssuer(core::InstanceId endpoint, std::uint64_t incarnation,
-                           std::uint64_t minter)
+                           std::uint64_t issuer)
     : last_{.endpoint_ = std::move(endpoint),
             .incarnation_ = incarnation,
-            .issuer_ = minter,
+            .issuer_ = issuer,
             .sequence_ = 0} {}
 
 ExecutionTicket TicketIssuer::Issue() {
--- a/packages/chalkwell/src/chalkwell/routing/execution_ticket.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/execution_ticket.hpp
@@ -1,5 +1,5 @@
-// Execution tickets: permission to run one request once, at one incarnation of
-// one agent. No clock and no shared state is needed to keep that promise.
+// Execution tickets: each permits one execution of a request at one incarnation
+// of one agent. This requires neither a clock nor shared state.
 #pragma once
 
 #include <cstdint>
@@ -12,14 +12,14 @@
 
 namespace chalkwell::routing {
 
-/// @brief One permission to run.
+/// @brief Permission for one execution.
 struct ExecutionTicket {
   core::InstanceId endpoint_;
-  /// Of the agent; a replaced agent refuses all tickets of the one before.
+  /// Of the agent; a later incarnation refuses all tickets of earlier ones.
   std::uint64_t incarnation_ = 0;
-  /// Number that the agent gave to the stream of the entry that minted it.
+  /// Number that the agent assigned to the stream of the issuing entry.
   std::uint64_t issuer_ = 0;
-  /// Rises by one with each ticket of a minter; begins at 1.
+  /// Consecutive per issuer; starts at 1.
   std::uint64_t sequence_ = 0;
 
   friend bool operator==(const ExecutionTicket&,
@@ -28,21 +28,21 @@
                           const ExecutionTicket&) = default;
 };
 
-/// @brief Text form, as in the `Idempotency-Key` header.
+/// @brief Formats the ticket as in the `Idempotency-Key` header.
 [[nodiscard]] std::string ToString(const ExecutionTicket& ticket);
-/// @return nothing when the text is not a ticket.
+/// @return none if the text is not a ticket.
 [[nodiscard]] std::optional<ExecutionTicket> ParseTicket(std::string_view text);
 
-/// @brief Mints tickets for one agent over one open stream.
+/// @brief Issues tickets of one agent for one open stream.
 class TicketIssuer {
  public:
   TicketIssuer(core::InstanceId endpoint, std::uint64_t incarnation,
-               std::uint64_t minter);
+               std::uint64_t issuer);
 
   [[nodiscard]] ExecutionTicket Issue();
 
  private:
-  /// Sequence of the last ticket.
+  /// Last ticket issued.
   ExecutionTicket last_;
 };
 
