--- a/packages/chalkwell/src/chalkwell/routing/crash_detector.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/crash_detector.cpp
@@ -1,4 +1,4 @@
-// One loss an endpoint life: the same crash breaks all attempts there.
+// One loss per endpoint incarnation: a crash breaks all attempts there.
 #include "chalkwell/routing/crash_detector.hpp"
 
 #include <algorithm>
@@ -7,8 +7,8 @@
 namespace chalkwell::routing {
 namespace {
 
-bool Holds(const std::vector<LostAttempt>& attempts,
-           const RequestDigest& request) {
+bool Contains(const std::vector<LostAttempt>& attempts,
+              const RequestDigest& request) {
   return std::ranges::find(attempts, request, &LostAttempt::request_) !=
          attempts.end();
 }
@@ -38,14 +38,14 @@
     return LossAction::kCrashed;
   }
   if (loss != nullptr && loss->state_ == State::kInconclusive) {
-    // What was lost before was not lost by a crash that follows.
+    // A later crash can't be the cause of the earlier losses.
     loss->crash_ = {endpoint, address, now, {attempt}};
     loss->state_ = State::kProbing;
     return LossAction::kProbe;
   }
   if (loss != nullptr) {
     auto& attempts = loss->crash_.attempts_;
-    if (!Holds(attempts, attempt.request_) &&
+    if (!Contains(attempts, attempt.request_) &&
         attempts.size() < settings_.max_requests_) {
       attempts.push_back(attempt);
     }
@@ -92,7 +92,7 @@
 bool CrashDetector::ProbePending(const RequestDigest& request) const {
   return std::ranges::any_of(losses_, [&](const Loss& loss) {
     return loss.state_ == State::kProbing &&
-           Holds(loss.crash_.attempts_, request);
+           Contains(loss.crash_.attempts_, request);
   });
 }
 
--- a/packages/chalkwell/src/chalkwell/routing/crash_detector.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/crash_detector.hpp
@@ -1,5 +1,5 @@
-// Distinguishes crashed endpoints from broken connections: attempts lost at
-// an endpoint wait for evidence that its process has ended.
+// Distinguishes crashed endpoints from broken connections: attempts lost at an
+// endpoint are held until its process is confirmed to have terminated.
 #pragma once
 
 #include <chrono>
@@ -14,11 +14,11 @@
 
 namespace chalkwell::routing {
 
-/// @brief What is to be done about a lost attempt.
+/// @brief What follows from a lost attempt.
 enum class LossAction : std::uint8_t {
-  /// The first loss there since the last probe: probe the endpoint's address.
+  /// First loss at this endpoint since its last probe: probe its address.
   kProbe,
-  /// A probe is under way.
+  /// A probe is in flight.
   kWait,
   /// The endpoint is known to have crashed.
   kCrashed,
@@ -27,51 +27,53 @@
 /// @brief An attempt whose connection broke.
 struct LostAttempt {
   RequestDigest request_;
-  /// How long it had been under way.
+  /// Time from sending it to the loss.
   core::Duration elapsed_{};
 };
 
-/// @brief An endpoint life at which attempts were lost.
+/// @brief An endpoint incarnation at which attempts were lost.
 struct SuspectedCrash {
   EndpointIncarnation endpoint_;
   /// "ip:port".
   std::string address_;
   /// When the first attempt was lost.
   core::TimePoint first_loss_at_;
-  /// One for each request, in order of loss.
+  /// One per request, in order of loss.
   std::vector<LostAttempt> attempts_;
 };
 
-/// @brief Settings of the evidence.
+/// @brief Settings of CrashDetector.
 struct CrashDetectorSettings {
-  /// How long a loss waits for evidence: an endpoint is back under a new
-  /// incarnation, and in the published list, within some seconds.
+  /// How long a loss waits for confirmation: a restarted endpoint is in the
+  /// published list with its new incarnation within a few seconds.
   core::Duration confirmation_timeout_ = std::chrono::seconds(10);
-  /// Endpoint lives remembered, lost or crashed; the oldest give way.
+  /// Endpoint incarnations held, crashed or suspected; the oldest are evicted.
   std::size_t max_endpoints_ = 256;
-  /// Requests remembered of one endpoint life.
+  /// Requests held per endpoint incarnation.
   std::size_t max_requests_ = 64;
 };
 
-/// @brief Losses of one entry.
+/// @brief Lost attempts of one entry.
 class CrashDetector {
  public:
   explicit CrashDetector(CrashDetectorSettings settings = {})
       : settings_(settings) {}
 
-  /// @brief The connection of an attempt broke while it was under way.
+  /// @brief The connection of an attempt broke while it was in flight.
   [[nodiscard]] LossAction OnLost(const LostAttempt& attempt,
                                   const EndpointIncarnation& endpoint,
                                   const std::string& address,
                                   core::TimePoint now);
-  /// @brief The endpoint's process is known to have ended.
-  /// @return what was lost there; no attempts when that was known already.
+  /// @brief The endpoint's process is known to have terminated.
+  /// @return the attempts lost there; none when the crash was known already.
   [[nodiscard]] SuspectedCrash OnCrashed(const EndpointIncarnation& endpoint);
-  /// @brief The endpoint answered, or did not: nothing follows yet.
+  /// @brief The probe showed neither a crash nor its absence.
   void OnInconclusive(const EndpointIncarnation& endpoint);
-  /// @brief Losses that wait for evidence beyond that of a probe.
+  /// @brief Losses that the probe did not decide and that wait for other
+  /// confirmation.
   [[nodiscard]] std::vector<SuspectedCrash> Unconfirmed(core::TimePoint now);
-  /// @brief Whether a probe is to show if a request's last endpoint crashed.
+  /// @brief Whether a probe for a crash of the request's last endpoint is in
+  /// flight.
   [[nodiscard]] bool ProbePending(const RequestDigest& request) const;
 
  private:
@@ -85,7 +87,7 @@
   void Expire(core::TimePoint now);
 
   CrashDetectorSettings settings_;
-  /// In order of time.
+  /// Ordered by time.
   std::deque<Loss> losses_;
 };
 
--- a/packages/chalkwell/src/chalkwell/routing/request_digest.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_digest.cpp
@@ -1,5 +1,5 @@
-// BLAKE2b over the fields, each preceded by its length, so that no two contents
-// serialize alike.
+// BLAKE2b over the fields. Each is preceded by its length, so that different
+// contents have different serializations.
 #include "chalkwell/routing/request_digest.hpp"
 
 #include <sodium.h>
@@ -48,9 +48,9 @@
   const char* end = nullptr;
   const int failed = sodium_hex2bin(digest.bytes_.data(), kSize, text.data(),
                                     text.size(), nullptr, &size, &end);
-  const bool whole = end == text.data() + text.size();
-  return failed == 0 && whole && size == kSize ? std::optional(digest)
-                                               : std::nullopt;
+  const bool complete = end == text.data() + text.size();
+  return failed == 0 && complete && size == kSize ? std::optional(digest)
+                                                  : std::nullopt;
 }
 
 std::string RequestDigest::ToBytes() const {
--- a/packages/chalkwell/src/chalkwell/routing/request_digest.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_digest.hpp
@@ -1,5 +1,5 @@
-// Identity of what a caller asks for, the same in each of its tries and at each
-// entry.
+// Identifies a request by its content: the digest is the same in each retry and
+// at each entry.
 #pragma once
 
 #include <array>
@@ -13,22 +13,21 @@
 
 namespace chalkwell::routing {
 
-/// @brief What makes two requests the same; ids, deadlines and other headers
-/// differ from try to try.
+/// @brief Fields by which requests are identified. Ids, deadlines and other
+/// headers are excluded, as they differ between retries.
 struct RequestContent {
   core::ClientAccountId account_;
   std::string_view method_;
   std::string_view host_;
-  /// With the query.
+  /// Includes the query.
   std::string_view path_;
   std::string_view body_;
 };
 
 /// @brief A 128-bit digest of a request's content.
 ///
-/// The digest is collision resistant, not merely well distributed: a caller
-/// must not be able to construct a request that bears the digest of another
-/// account's.
+/// It is collision resistant, since a caller must not be able to construct a
+/// request with the digest of another account's request.
 class RequestDigest {
  public:
   static constexpr std::size_t kSize = 16;
@@ -36,10 +35,10 @@
   constexpr RequestDigest() = default;
 
   [[nodiscard]] static RequestDigest Of(const RequestContent& content);
-  /// @return nothing when the text does not hold kSize bytes.
+  /// @return none if the size is not kSize.
   [[nodiscard]] static std::optional<RequestDigest> FromBytes(
       std::string_view bytes);
-  /// @return nothing when the text is not hexadecimal or has another length.
+  /// @return none if the text is not hexadecimal or has another length.
   [[nodiscard]] static std::optional<RequestDigest> FromHex(
       std::string_view text);
 
--- a/packages/chalkwell/src/chalkwell/routing/request_quarantine.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_quarantine.cpp
@@ -1,5 +1,5 @@
-// Standings follow from the merged crashes alone, so that entries which hold
-// the same records agree.
+// A standing is a function of the merged crashes only, so that entries with the
+// same records agree.
 #include "chalkwell/routing/request_quarantine.hpp"
 
 #include <algorithm>
@@ -27,30 +27,29 @@
   return "clear";
 }
 
-RequestQuarantine::Entry& RequestQuarantine::EntryOf(
-    const RequestDigest& request) {
-  const auto found = entries_.find(request);
-  if (found != entries_.end()) {
+RequestQuarantine::Row& RequestQuarantine::RowOf(const RequestDigest& request) {
+  const auto found = table_.find(request);
+  if (found != table_.end()) {
     return found->second;
   }
-  MakeRoom();
-  auto& entry = entries_[request];
-  entry.record_.request_ = request;
-  return entry;
+  EvictIfFull();
+  auto& row = table_[request];
+  row.record_.request_ = request;
+  return row;
 }
 
-void RequestQuarantine::MakeRoom() {
-  if (entries_.size() < settings_.max_records_) {
+void RequestQuarantine::EvictIfFull() {
+  if (table_.size() < settings_.max_records_) {
     return;
   }
-  const auto oldest = std::ranges::min_element(
-      entries_, {},
-      [](const auto& row) { return LastCrash(row.second.record_); });
-  entries_.erase(oldest);
+  const auto oldest = std::ranges::min_element(table_, {}, [](const auto& row) {
+    return LastCrash(row.second.record_);
+  });
+  table_.erase(oldest);
 }
 
-bool RequestQuarantine::Insert(Entry& entry, const EndpointCrash& crash) {
-  auto& crashes = entry.record_.crashes_;
+bool RequestQuarantine::Insert(Row& row, const EndpointCrash& crash) {
+  auto& crashes = row.record_.crashes_;
   const auto known =
       std::ranges::find_if(crashes, [&](const EndpointCrash& other) {
         return SameIncarnation(other.endpoint_, crash.endpoint_);
@@ -78,7 +77,7 @@
   return found != completions_.end() && found->second >= crash.crashed_at_;
 }
 
-void RequestQuarantine::ForgetCompletions(core::TimePoint now) {
+void RequestQuarantine::ExpireCompletions(core::TimePoint now) {
   while (!completion_order_.empty()) {
     const auto& [at, request] = completion_order_.front();
     if (completion_order_.size() <= settings_.max_completions_ &&
@@ -97,20 +96,20 @@
                                     core::TimePoint now) {
   completions_[request] = now;
   completion_order_.emplace_back(now, request);
-  ForgetCompletions(now);
+  ExpireCompletions(now);
   return Clear(request);
 }
 
 bool RequestQuarantine::AddCrash(const RequestDigest& request,
                                  const EndpointCrash& crash) {
-  auto& entry = EntryOf(request);
+  auto& row = RowOf(request);
   auto known = crash;
   known.cleared_ = known.cleared_ || CompletedAfter(request, crash);
-  if (!Insert(entry, known)) {
+  if (!Insert(row, known)) {
     return false;
   }
-  entry.sampled_ = 0;
-  entry.trial_until_ = {};
+  row.sampled_ = 0;
+  row.trial_until_ = {};
   return true;
 }
 
@@ -128,109 +127,111 @@
 }
 
 bool RequestQuarantine::Clear(const RequestDigest& request) {
-  const auto found = entries_.find(request);
-  if (found == entries_.end()) {
+  const auto found = table_.find(request);
+  if (found == table_.end()) {
     return false;
   }
-  bool blamed = false;
+  bool attributed = false;
   for (auto& crash : found->second.record_.crashes_) {
-    blamed = blamed || !crash.cleared_;
+    attributed = attributed || !crash.cleared_;
     crash.cleared_ = true;
   }
-  if (blamed) {
+  if (attributed) {
     found->second.sampled_ = 0;
     found->second.trial_until_ = {};
   }
-  return blamed;
+  return attributed;
 }
 
 void RequestQuarantine::Expire(core::TimePoint now) {
-  std::erase_if(entries_, [&](const auto& row) {
+  std::erase_if(table_, [&](const auto& row) {
     return now - LastCrash(row.second.record_) >= settings_.record_retention_;
   });
-  ForgetCompletions(now);
+  ExpireCompletions(now);
 }
 
 void RequestQuarantine::SetTrialUntil(const RequestDigest& request,
                                       core::TimePoint until) {
-  const auto found = entries_.find(request);
-  if (found != entries_.end()) {
+  const auto found = table_.find(request);
+  if (found != table_.end()) {
     found->second.trial_until_ = until;
   }
 }
 
 bool RequestQuarantine::TrialActive(const RequestDigest& request,
                                     core::TimePoint now) const {
-  const auto found = entries_.find(request);
-  return found != entries_.end() && now < found->second.trial_until_;
+  const auto found = table_.find(request);
+  return found != table_.end() && now < found->second.trial_until_;
 }
 
-void RequestQuarantine::Add(Causes& causes, const EndpointCrash& crash) const {
+void RequestQuarantine::Add(Attribution& attribution,
+                            const EndpointCrash& crash) const {
   if (crash.cleared_) {
     return;
   }
-  const bool apart =
-      crash.crashed_at_ - causes.last_ >= settings_.same_cause_window_;
+  const bool separate =
+      crash.crashed_at_ - attribution.last_ >= settings_.same_cause_window_;
   const auto sent_at = crash.crashed_at_ - crash.elapsed_;
-  const bool sent_after = crash.elapsed_ >= settings_.min_run_time_ &&
-                          sent_at >= causes.last_ - settings_.max_clock_error_;
-  if (causes.count_ == 0) {
-    causes.first_ = crash.crashed_at_;
-  } else if (!apart && !sent_after) {
+  const bool sent_after =
+      crash.elapsed_ >= settings_.min_run_time_ &&
+      sent_at >= attribution.last_ - settings_.max_clock_error_;
+  if (attribution.count_ == 0) {
+    attribution.first_ = crash.crashed_at_;
+  } else if (!separate && !sent_after) {
     return;
   }
-  ++causes.count_;
-  causes.last_ = crash.crashed_at_;
+  ++attribution.count_;
+  attribution.last_ = crash.crashed_at_;
 }
 
-RequestQuarantine::Causes RequestQuarantine::CausesOf(
+RequestQuarantine::Attribution RequestQuarantine::AttributionOf(
     const RequestDigest& request) const {
-  Causes causes;
+  Attribution attribution;
   if (const auto* record = Find(request)) {
     for (const auto& crash : record->crashes_) {
-      Add(causes, crash);
+      Add(attribution, crash);
     }
   }
-  return causes;
+  return attribution;
 }
 
 std::size_t RequestQuarantine::AttributedCrashes(
     const RequestDigest& request) const {
-  return CausesOf(request).count_;
+  return AttributionOf(request).count_;
 }
 
 std::size_t RequestQuarantine::AttributedCrashesWith(
     const RequestDigest& request, const EndpointCrash& crash) const {
-  auto causes = CausesOf(request);
-  Add(causes, crash);
-  return causes.count_;
+  auto attribution = AttributionOf(request);
+  Add(attribution, crash);
+  return attribution.count_;
 }
 
-core::Duration RequestQuarantine::TermAfter(std::size_t blames) const {
-  auto term = settings_.initial_duration_;
-  for (auto n = settings_.quarantined_after_; n < blames; ++n) {
-    term = std::min(2 * term, settings_.max_duration_);
+core::Duration RequestQuarantine::DurationAfter(std::size_t crashes) const {
+  auto duration = settings_.initial_duration_;
+  for (auto n = settings_.quarantined_after_; n < crashes; ++n) {
+    duration = std::min(2 * duration, settings_.max_duration_);
   }
-  return term;
+  return duration;
 }
 
 core::TimePoint RequestQuarantine::QuarantinedUntil(
     const RequestDigest& request) const {
-  const auto causes = CausesOf(request);
+  const auto attribution = AttributionOf(request);
   const bool quarantined =
-      causes.count_ >= settings_.quarantined_after_ &&
-      causes.last_ - causes.first_ >= settings_.same_cause_window_;
-  return quarantined ? causes.last_ + TermAfter(causes.count_)
+      attribution.count_ >= settings_.quarantined_after_ &&
+      attribution.last_ - attribution.first_ >= settings_.same_cause_window_;
+  return quarantined ? attribution.last_ + DurationAfter(attribution.count_)
                      : core::TimePoint{};
 }
 
 Standing RequestQuarantine::StandingOf(const RequestDigest& request,
                                        core::TimePoint now) const {
-  if (entries_.empty()) {
+  if (table_.empty()) {
     return Standing::kClear;
   }
-  const auto blames = AttributedCrashes(request);
-  if (blames < settings_.suspected_after_) {
+  const auto crashes = AttributedCrashes(request);
+  if (crashes < settings_.suspected_after_) {
     return Standing::kClear;
   }
   return now < QuarantinedUntil(request) ? Standing::kQuarantined
@@ -238,43 +239,43 @@
 }
 
 const CrashRecord* RequestQuarantine::Find(const RequestDigest& request) const {
-  const auto found = entries_.find(request);
-  return found == entries_.end() ? nullptr : &found->second.record_;
+  const auto found = table_.find(request);
+  return found == table_.end() ? nullptr : &found->second.record_;
 }
 
 std::vector<CrashRecord> RequestQuarantine::Records() const {
   std::vector<CrashRecord> records;
-  records.reserve(entries_.size());
-  for (const auto& [request, entry] : entries_) {
-    records.push_back(entry.record_);
+  records.reserve(table_.size());
+  for (const auto& [request, row] : table_) {
+    records.push_back(row.record_);
   }
   return records;
 }
 
-std::vector<CrashRecord> RequestQuarantine::Sample(std::size_t most) {
+std::vector<CrashRecord> RequestQuarantine::Sample(std::size_t max_count) {
   struct Candidate {
-    Entry* entry_;
+    Row* row_;
     bool clear_;
   };
   std::vector<Candidate> order;
-  order.reserve(entries_.size());
-  for (auto& [request, entry] : entries_) {
+  order.reserve(table_.size());
+  for (auto& [request, row] : table_) {
     const bool clear = AttributedCrashes(request) < settings_.suspected_after_;
-    if (!clear || entry.sampled_ < settings_.max_clear_samples_) {
-      order.push_back({&entry, clear});
+    if (!clear || row.sampled_ < settings_.max_clear_samples_) {
+      order.push_back({&row, clear});
     }
   }
-  const auto count = std::min(most, order.size());
+  const auto count = std::min(max_count, order.size());
   std::ranges::partial_sort(
       order, order.begin() + static_cast<std::ptrdiff_t>(count), {},
       [](const Candidate& candidate) {
-        return std::pair(candidate.clear_, candidate.entry_->sampled_);
+        return std::pair(candidate.clear_, candidate.row_->sampled_);
       });
   std::vector<CrashRecord> records;
   records.reserve(count);
   for (std::size_t i = 0; i < count; ++i) {
-    ++order[i].entry_->sampled_;
-    records.push_back(order[i].entry_->record_);
+    ++order[i].row_->sampled_;
+    records.push_back(order[i].row_->record_);
   }
   return records;
 }
--- a/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
@@ -1,6 +1,6 @@
-// Requests under which endpoints crash. A request that was under way at several
-// endpoints as they crashed is suspected, then refused. The table is state that
-// entries merge: records arrive in any order, more than once, and late.
+// Quarantine of requests that crash endpoints. A request that was in flight at
+// several endpoints when they crashed is suspected, then refused. The table is
+// replicated state: entries merge records in any order, repeatedly and late.
 #pragma once
 
 #include <chrono>
@@ -20,31 +20,31 @@
 
 namespace chalkwell::routing {
 
-/// @brief An endpoint that crashed while a request was under way there.
+/// @brief A crash of an endpoint while a request was in flight there.
 struct EndpointCrash {
   EndpointIncarnation endpoint_;
-  /// Entry that saw it.
+  /// Entry that detected it.
   core::InstanceId reporter_;
-  /// By the clock of who holds the record.
+  /// By the clock of the process that holds the record.
   core::TimePoint crashed_at_;
-  /// How long the request had been under way there.
+  /// Time from sending the request there to the crash.
   core::Duration elapsed_{};
-  /// The request is known not to be the cause: one like it ran to its end
-  /// afterwards, or an operator said so. Never taken back.
+  /// The request is known not to be the cause: the same request completed
+  /// afterwards, or an operator cleared it. Never reset.
   bool cleared_ = false;
 };
 
-/// @brief What is known of one request.
+/// @brief Crashes recorded for one request.
 struct CrashRecord {
   RequestDigest request_;
-  /// In order of time; one for each endpoint life.
+  /// Ordered by time; one per endpoint incarnation.
   std::vector<EndpointCrash> crashes_;
 };
 
-/// @brief How a request is treated.
+/// @brief How entries treat a request.
 enum class Standing : std::uint8_t {
   kClear,
-  /// Runs one at a time, and is not repeated within a try.
+  /// Runs one at a time and is not retried by the entry.
   kSuspected,
   /// Refused.
   kQuarantined,
@@ -53,83 +53,85 @@
 /// @brief Text of a standing in logs and metrics.
 [[nodiscard]] std::string_view ToString(Standing standing) noexcept;
 
-/// @brief Settings of a quarantine.
+/// @brief Settings of RequestQuarantine.
 struct QuarantineSettings {
   std::size_t suspected_after_ = 2;
   std::size_t quarantined_after_ = 3;
-  /// Crashes that follow each other within this time count as one, unless the
-  /// request was sent after the earlier one: endpoints that fail together have
-  /// a cause of their own, and a popular request is under way at many of them.
-  /// From the first to the last crash of a quarantined request it is as long.
+  /// Crashes within this time of each other count as one, unless the request
+  /// was sent after the earlier one: endpoints that fail together have a common
+  /// cause, and a frequent request is in flight at many of them. It is also the
+  /// minimum time from the first to the last crash of a quarantined request.
   core::Duration same_cause_window_ = std::chrono::milliseconds(250);
-  /// A request that was sent after a crash needs as long to cause another: it
-  /// has to arrive, to be read and to begin.
+  /// Minimum time from sending a request to a crash that it can cause: it has
+  /// to arrive, be parsed and be started.
   core::Duration min_run_time_ = std::chrono::milliseconds(10);
-  /// How far the times of two crashes may be off that came from another entry.
+  /// Maximum error of the interval between two crashes that another entry
+  /// reported.
   core::Duration max_clock_error_ = std::chrono::milliseconds(5);
-  /// From the last crash until the request may be tried again, one at a time;
-  /// doubled with each further crash.
+  /// Time from the last crash until the request may be run again, one at a
+  /// time; doubled with each further crash, up to the maximum below.
   core::Duration initial_duration_ = std::chrono::seconds(60);
   core::Duration max_duration_ = std::chrono::minutes(30);
-  /// From the last crash until the request is forgotten.
+  /// Time from the last crash until the record is removed.
   core::Duration record_retention_ = std::chrono::hours(1);
-  /// Records kept; those whose last crash is oldest give way.
+  /// Maximum number of records; the one with the oldest last crash is evicted.
   std::size_t max_records_ = 1024;
-  /// Crashes kept of one request, the newest.
+  /// Crashes kept per request; the oldest are evicted.
   std::size_t max_crashes_ = 8;
-  /// How often a record is sampled that makes its request neither suspected nor
-  /// quarantined: by then every entry has it.
+  /// How many times the record of a clear request is sampled after a change:
+  /// by then every entry has received it.
   unsigned max_clear_samples_ = 6;
-  /// How long a completed run clears its request of crashes that are confirmed
-  /// only afterwards, and how many requests are remembered for that.
+  /// How long a completed run clears its request of earlier crashes that are
+  /// confirmed only afterwards, and the maximum number of completions kept.
   core::Duration completion_retention_ = std::chrono::seconds(15);
   std::size_t max_completions_ = 8192;
 };
 
-/// @brief What merging a record did.
+/// @brief Result of merging a record.
 struct MergeResult {
   bool changed_ = false;
-  /// The request completed here after a crash that the record blames it for.
+  /// The request completed here after a crash that the record attributes to it.
   bool cleared_ = false;
 };
 
-/// @brief Requests suspected at one entry.
+/// @brief Crash records and quarantine decisions of one entry.
 class RequestQuarantine {
  public:
   explicit RequestQuarantine(QuarantineSettings settings = {})
       : settings_(settings) {}
 
-  /// @brief An endpoint crashed while the request was under way there.
-  /// @return whether that is new.
+  /// @brief An endpoint crashed while the request was in flight there.
+  /// @return whether the record changed.
   bool AddCrash(const RequestDigest& request, const EndpointCrash& crash);
-  /// @brief Merges what another entry knows.
+  /// @brief Merges a record from another entry.
   MergeResult Merge(const CrashRecord& record);
-  /// @brief The request ran to its end: clears it of crashes before, also of
-  /// those that are learned of later.
-  /// @return whether it was blamed for anything.
+  /// @brief The request completed: clears it of earlier crashes, including
+  /// those that are reported later.
+  /// @return whether any crash was attributed to it.
   bool OnCompleted(const RequestDigest& request, core::TimePoint now);
-  /// @brief An operator lifts the quarantine.
-  /// @return whether it was blamed for anything.
+  /// @brief Clears the request of all its crashes, as when an operator lifts
+  /// the quarantine.
+  /// @return whether any crash was attributed to it.
   bool Clear(const RequestDigest& request);
-  /// @brief Forgets what is older than the memory.
+  /// @brief Removes records and completions past their retention time.
   void Expire(core::TimePoint now);
 
-  /// @brief Another attempt of a suspected request is under way somewhere, for
-  /// this long at the most; zero when it has ended.
+  /// @brief Another entry has a trial of a suspected request in flight,
+  /// until this time at max_count; the clock's epoch when it has ended.
   void SetTrialUntil(const RequestDigest& request, core::TimePoint until);
   [[nodiscard]] bool TrialActive(const RequestDigest& request,
                                  core::TimePoint now) const;
 
   [[nodiscard]] Standing StandingOf(const RequestDigest& request,
                                     core::TimePoint now) const;
-  /// @brief When a quarantined request may be tried again; the clock's epoch
-  /// for others.
+  /// @brief When a quarantined request may be run again; the clock's epoch for
+  /// other requests.
   [[nodiscard]] core::TimePoint QuarantinedUntil(
       const RequestDigest& request) const;
-  /// @brief Crashes with causes of their own that the request is blamed for.
+  /// @brief Number of independent crashes attributed to the request.
   [[nodiscard]] std::size_t AttributedCrashes(
       const RequestDigest& request) const;
-  /// @brief The same after one more crash.
+  /// @brief That number with one more crash.
   [[nodiscard]] std::size_t AttributedCrashesWith(
       const RequestDigest& request, const EndpointCrash& crash) const;
   [[nodiscard]] std::size_t suspected_after() const noexcept {
@@ -137,44 +139,45 @@
   }
   [[nodiscard]] const CrashRecord* Find(const RequestDigest& request) const;
   [[nodiscard]] std::vector<CrashRecord> Records() const;
-  /// @brief Some records for other entries: suspected requests first, of these
-  /// those that were sampled least often.
-  [[nodiscard]] std::vector<CrashRecord> Sample(std::size_t most);
-  [[nodiscard]] std::size_t size() const noexcept { return entries_.size(); }
+  /// @brief Records to send to other entries: those of suspected requests
+  /// first, then by how seldom they were sampled.
+  [[nodiscard]] std::vector<CrashRecord> Sample(std::size_t max_count);
+  [[nodiscard]] std::size_t size() const noexcept { return table_.size(); }
 
  private:
-  struct Entry {
+  struct Row {
     CrashRecord record_;
-    /// Until when a trial may be under way elsewhere.
+    /// Time until which a trial may be in flight at another entry.
     core::TimePoint trial_until_;
-    /// How often it was sampled since it changed.
+    /// Number of times it was sampled since its last change.
     unsigned sampled_ = 0;
   };
 
-  bool Insert(Entry& entry, const EndpointCrash& crash);
-  [[nodiscard]] Entry& EntryOf(const RequestDigest& request);
-  void MakeRoom();
-  /// @brief Whether a run completed after the crash.
+  bool Insert(Row& row, const EndpointCrash& crash);
+  [[nodiscard]] Row& RowOf(const RequestDigest& request);
+  void EvictIfFull();
+  /// @brief Whether a run of the request completed after the crash.
   [[nodiscard]] bool CompletedAfter(const RequestDigest& request,
                                     const EndpointCrash& crash) const;
-  void ForgetCompletions(core::TimePoint now);
-  /// Crashes of one request that have a cause of their own.
-  struct Causes {
+  void ExpireCompletions(core::TimePoint now);
+  /// @brief Independent crashes attributed to one request.
+  struct Attribution {
     std::size_t count_ = 0;
     core::TimePoint first_;
     core::TimePoint last_;
   };
 
-  void Add(Causes& causes, const EndpointCrash& crash) const;
-  [[nodiscard]] Causes CausesOf(const RequestDigest& request) const;
-  [[nodiscard]] core::Duration TermAfter(std::size_t blames) const;
+  /// @brief Counts the crash if it is independent of the previous one.
+  void Add(Attribution& attribution, const EndpointCrash& crash) const;
+  [[nodiscard]] Attribution AttributionOf(const RequestDigest& request) const;
+  [[nodiscard]] core::Duration DurationAfter(std::size_t crashes) const;
 
   QuarantineSettings settings_;
-  std::map<RequestDigest, Entry> entries_;
-  /// When a run of a request last completed; at most max_completions_.
+  std::map<RequestDigest, Row> table_;
+  /// Time of the last completed run by request; at max_count max_completions_.
   std::map<RequestDigest, core::TimePoint> completions_;
-  /// Completions in order of time; one superseded in `completions_` stays until
-  /// it expires.
+  /// Completions ordered by time; one that was superseded in `completions_`
+  /// stays until it expires.
   std::deque<std::pair<core::TimePoint, RequestDigest>> completion_order_;
 };
 
--- a/tests/routing/crash_detector_test.cpp
+++ b/tests/routing/crash_detector_test.cpp
@@ -1,4 +1,4 @@
-// Which lost attempts count as crashes of their endpoints.
+// Lost attempts that are attributed to crashes of their endpoints.
 #include "chalkwell/routing/crash_detector.hpp"
 
 #include <catch2/catch.hpp>
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 
 const core::TimePoint kStart = core::TimePoint{} + 1h;
-const EndpointIncarnation kLife{core::InstanceId("i-1"), {}};
+const EndpointIncarnation kEndpoint{core::InstanceId("i-1"), {}};
 constexpr auto kAddress = "10.0.0.1:80";
 
 RequestDigest Request(const std::string& body) {
@@ -17,78 +17,77 @@
       {core::ClientAccountId("a"), "POST", "h", "/x", body});
 }
 
-TEST_CASE("all attempts that a crash ended are found by one probe",
-          "[routing]") {
-  CrashDetector evidence;
-  CHECK(evidence.OnLost({Request("x"), 1s}, kLife, kAddress, kStart) ==
+TEST_CASE("one probe confirms all attempts lost in a crash", "[routing]") {
+  CrashDetector detector;
+  CHECK(detector.OnLost({Request("x"), 1s}, kEndpoint, kAddress, kStart) ==
         LossAction::kProbe);
-  CHECK(evidence.OnLost({Request("y"), 2s}, kLife, kAddress, kStart + 1ms) ==
-        LossAction::kWait);
-  CHECK(evidence.OnLost({Request("x"), 1s}, kLife, kAddress, kStart + 2ms) ==
-        LossAction::kWait);
-  CHECK(evidence.ProbePending(Request("x")));
-  const auto crash = evidence.OnCrashed(kLife);
+  CHECK(detector.OnLost({Request("y"), 2s}, kEndpoint, kAddress,
+                        kStart + 1ms) == LossAction::kWait);
+  CHECK(detector.OnLost({Request("x"), 1s}, kEndpoint, kAddress,
+                        kStart + 2ms) == LossAction::kWait);
+  CHECK(detector.ProbePending(Request("x")));
+  const auto crash = detector.OnCrashed(kEndpoint);
   CHECK(crash.first_loss_at_ == kStart);
   REQUIRE(crash.attempts_.size() == 2);
   CHECK(crash.attempts_[0].request_ == Request("x"));
   CHECK(crash.attempts_[1].request_ == Request("y"));
   CHECK(crash.attempts_[1].elapsed_ == 2s);
-  CHECK_FALSE(evidence.ProbePending(Request("x")));
+  CHECK_FALSE(detector.ProbePending(Request("x")));
   SECTION("it is reported once") {
-    CHECK(evidence.OnCrashed(kLife).attempts_.empty());
+    CHECK(detector.OnCrashed(kEndpoint).attempts_.empty());
   }
-  SECTION("a loss that is seen late counts at once") {
-    CHECK(evidence.OnLost({Request("z"), 1s}, kLife, kAddress, kStart + 1s) ==
-          LossAction::kCrashed);
+  SECTION("a loss reported after the crash counts at once") {
+    CHECK(detector.OnLost({Request("z"), 1s}, kEndpoint, kAddress,
+                          kStart + 1s) == LossAction::kCrashed);
   }
 }
 
-TEST_CASE("a loss at an endpoint that answers waits for other evidence",
+TEST_CASE("a loss at an endpoint that answers waits for other confirmation",
           "[routing]") {
-  CrashDetector evidence;
-  (void)evidence.OnLost({Request("x"), 1s}, kLife, kAddress, kStart);
-  CHECK(evidence.Unconfirmed(kStart).empty());
-  evidence.OnInconclusive(kLife);
-  CHECK_FALSE(evidence.ProbePending(Request("x")));
-  REQUIRE(evidence.Unconfirmed(kStart + 1s).size() == 1);
-  SECTION("that comes") {
-    CHECK(evidence.OnCrashed(kLife).attempts_.size() == 1);
-    CHECK(evidence.Unconfirmed(kStart + 1s).empty());
+  CrashDetector detector;
+  (void)detector.OnLost({Request("x"), 1s}, kEndpoint, kAddress, kStart);
+  CHECK(detector.Unconfirmed(kStart).empty());
+  detector.OnInconclusive(kEndpoint);
+  CHECK_FALSE(detector.ProbePending(Request("x")));
+  REQUIRE(detector.Unconfirmed(kStart + 1s).size() == 1);
+  SECTION("it is confirmed") {
+    CHECK(detector.OnCrashed(kEndpoint).attempts_.size() == 1);
+    CHECK(detector.Unconfirmed(kStart + 1s).empty());
   }
-  SECTION("that does not come") {
-    CHECK(evidence.Unconfirmed(kStart + 10s).empty());
-    CHECK(evidence.OnCrashed(kLife).attempts_.empty());
+  SECTION("it is not confirmed") {
+    CHECK(detector.Unconfirmed(kStart + 10s).empty());
+    CHECK(detector.OnCrashed(kEndpoint).attempts_.empty());
   }
 }
 
-TEST_CASE("a crash after a reset of the same endpoint's connections is seen",
+TEST_CASE("a crash after a connection reset at the same endpoint is detected",
           "[routing]") {
-  CrashDetector evidence;
-  (void)evidence.OnLost({Request("reset"), 1s}, kLife, kAddress, kStart);
-  evidence.OnInconclusive(kLife);
-  CHECK(evidence.OnLost({Request("x"), 1s}, kLife, kAddress, kStart + 1s) ==
+  CrashDetector detector;
+  (void)detector.OnLost({Request("reset"), 1s}, kEndpoint, kAddress, kStart);
+  detector.OnInconclusive(kEndpoint);
+  CHECK(detector.OnLost({Request("x"), 1s}, kEndpoint, kAddress, kStart + 1s) ==
         LossAction::kProbe);
-  const auto crash = evidence.OnCrashed(kLife);
+  const auto crash = detector.OnCrashed(kEndpoint);
   CHECK(crash.first_loss_at_ == kStart + 1s);
   REQUIRE(crash.attempts_.size() == 1);
   CHECK(crash.attempts_.front().request_ == Request("x"));
 }
 
-TEST_CASE("the memory of losses is bounded", "[routing]") {
+TEST_CASE("the number of losses held is bounded", "[routing]") {
   CrashDetectorSettings settings;
   settings.max_endpoints_ = 2;
   settings.max_requests_ = 2;
-  CrashDetector evidence(settings);
+  CrashDetector detector(settings);
   for (int i = 0; i < 5; ++i) {
-    const EndpointIncarnation life{core::InstanceId("i-" + std::to_string(i)),
-                                   {}};
+    const EndpointIncarnation endpoint{
+        core::InstanceId("i-" + std::to_string(i)), {}};
     for (int j = 0; j < 5; ++j) {
-      (void)evidence.OnLost({Request(std::to_string(j)), 1s}, life, kAddress,
-                            kStart);
+      (void)detector.OnLost({Request(std::to_string(j)), 1s}, endpoint,
+                            kAddress, kStart);
     }
-    evidence.OnInconclusive(life);
+    detector.OnInconclusive(endpoint);
   }
-  const auto waiting = evidence.Unconfirmed(kStart);
+  const auto waiting = detector.Unconfirmed(kStart);
   REQUIRE(waiting.size() == 2);
   CHECK(waiting.back().endpoint_.id_ == core::InstanceId("i-4"));
   CHECK(waiting.back().attempts_.size() == 2);
--- a/tests/routing/request_digest_test.cpp
+++ b/tests/routing/request_digest_test.cpp
@@ -1,4 +1,4 @@
-// Which requests count as the same.
+// Fields that the digest covers, and its encodings.
 #include "chalkwell/routing/request_digest.hpp"
 
 #include <catch2/catch.hpp>
@@ -10,7 +10,7 @@
   return {core::ClientAccountId("acct"), "POST", "h", "/stream/x?q=1", "body"};
 }
 
-TEST_CASE("requests that differ in any part have different digests",
+TEST_CASE("requests that differ in any field have different digests",
           "[routing]") {
   auto other = Content();
   SECTION("account") { other.account_ = core::ClientAccountId("acc"); }
@@ -27,14 +27,15 @@
   CHECK(RequestDigest::Of(other) != RequestDigest::Of(Content()));
 }
 
-TEST_CASE("a request digest survives its wire and text forms", "[routing]") {
+TEST_CASE("a request digest is unchanged by its binary and text encodings",
+          "[routing]") {
   const auto digest = RequestDigest::Of(Content());
   CHECK(digest == RequestDigest::Of(Content()));
   CHECK(RequestDigest::FromBytes(digest.ToBytes()) == digest);
   CHECK(RequestDigest::FromHex(digest.ToHex()) == digest);
 }
 
-TEST_CASE("what is no request digest is refused", "[routing]") {
+TEST_CASE("malformed request digests are rejected", "[routing]") {
   const auto text = GENERATE(as<std::string>{}, "", "ab", std::string(31, 'a'),
                              std::string(33, 'a'), std::string(32, 'g'));
   CHECK_FALSE(RequestDigest::FromHex(text).has_value());
--- a/tests/routing/request_quarantine_test.cpp
+++ b/tests/routing/request_quarantine_test.cpp
@@ -1,4 +1,4 @@
-// Which requests are suspected and refused, from the crashes that entries saw.
+// Standing of requests by the crashes that entries detected.
 #include "chalkwell/routing/request_quarantine.hpp"
 
 #include <rapidcheck.h>
@@ -45,30 +45,30 @@
       Row{"three, out of order",
           {Crash(3, 2s), Crash(1, 0s), Crash(2, 1s)},
           Standing::kQuarantined},
-      Row{"of three entries",
+      Row{"three, reported by three entries",
           {Crash(1, 0s, "e1"), Crash(2, 1s, "e2"), Crash(3, 2s, "e3")},
           Standing::kQuarantined},
-      Row{"one crash that three entries saw",
+      Row{"one crash reported by three entries",
           {Crash(1, 0s, "e1"), Crash(1, 1s, "e2"), Crash(1, 2s, "e3")},
           Standing::kClear},
-      Row{"a whole service at once",
+      Row{"all endpoints of a service at once",
           {Crash(1, 0ms), Crash(2, 10ms), Crash(3, 20ms), Crash(4, 200ms)},
           Standing::kClear},
-      Row{"sent on after each crash",
+      Row{"retried after each crash",
           {Crash(1, 0ms), Crash(2, 20ms, "e1", 20ms),
            Crash(3, 300ms, "e2", 20ms)},
           Standing::kQuarantined},
-      Row{"a service that fails within a moment, and attempts that follow it",
+      Row{"a service that fails within 60 ms, and retries during that time",
           {Crash(1, 0ms), Crash(2, 20ms, "e1", 20ms),
            Crash(3, 40ms, "e1", 20ms), Crash(4, 60ms, "e1", 20ms)},
           Standing::kSuspected},
-      Row{"sent on after a crash, by another entry's clock",
+      Row{"retried after a crash, by another entry's clock",
           {Crash(1, 0ms), Crash(2, 20ms, "e1", 22ms)},
           Standing::kSuspected},
-      Row{"sent on to an endpoint that was about to fail, too",
+      Row{"retried at an endpoint that was about to fail as well",
           {Crash(1, 0ms), Crash(2, 4ms, "e1", 3ms)},
           Standing::kClear},
-      Row{"a whole service twice",
+      Row{"all endpoints of a service, twice",
           {Crash(1, 0ms), Crash(2, 10ms), Crash(3, 3s), Crash(4, 3010ms)},
           Standing::kSuspected});
   CAPTURE(row.name_);
@@ -80,8 +80,7 @@
   CHECK(quarantine.StandingOf(Request("y"), kStart + 5s) == Standing::kClear);
 }
 
-TEST_CASE("a request that runs to its end is blamed for no earlier crash",
-          "[routing]") {
+TEST_CASE("a completed request is cleared of earlier crashes", "[routing]") {
   RequestQuarantine quarantine;
   const auto request = Request("popular");
   for (int i = 0; i < 3; ++i) {
@@ -90,13 +89,13 @@
   CHECK(quarantine.Clear(request));
   CHECK_FALSE(quarantine.Clear(request));
   CHECK(quarantine.StandingOf(request, kStart + 3s) == Standing::kClear);
-  SECTION("nor when an entry that does not know it publishes them again") {
+  SECTION("also when another entry publishes the crashes again") {
     for (int i = 0; i < 3; ++i) {
       CHECK_FALSE(quarantine.AddCrash(request, Crash(i, i * 1s)));
     }
     CHECK(quarantine.StandingOf(request, kStart + 3s) == Standing::kClear);
   }
-  SECTION("later crashes count anew") {
+  SECTION("later crashes count") {
     for (int i = 3; i < 6; ++i) {
       (void)quarantine.AddCrash(request, Crash(i, i * 1s));
     }
@@ -105,11 +104,11 @@
   }
 }
 
-TEST_CASE("a quarantined request is tried again after a term that doubles",
+TEST_CASE("a quarantine lasts twice as long after each further crash",
           "[routing]") {
   struct Row {
     int crashes_;
-    core::Duration term_;
+    core::Duration duration_;
   };
   const auto row =
       GENERATE(Row{3, 60s}, Row{4, 120s}, Row{5, 240s}, Row{20, 30min});
@@ -120,14 +119,14 @@
     (void)quarantine.AddCrash(request, Crash(i, i * 1s));
   }
   const auto last = kStart + (row.crashes_ - 1) * 1s;
-  CHECK(quarantine.QuarantinedUntil(request) == last + row.term_);
-  CHECK(quarantine.StandingOf(request, last + row.term_ - 1ms) ==
+  CHECK(quarantine.QuarantinedUntil(request) == last + row.duration_);
+  CHECK(quarantine.StandingOf(request, last + row.duration_ - 1ms) ==
         Standing::kQuarantined);
-  CHECK(quarantine.StandingOf(request, last + row.term_) ==
+  CHECK(quarantine.StandingOf(request, last + row.duration_) ==
         Standing::kSuspected);
 }
 
-TEST_CASE("a trial elsewhere ends with its time, a crash or a clearance",
+TEST_CASE("a trial elsewhere ends at its deadline, a crash or a clearance",
           "[routing]") {
   RequestQuarantine quarantine;
   const auto request = Request("x");
@@ -148,25 +147,28 @@
   }
 }
 
-TEST_CASE("a crash confirmed late does not blame a request that ran since",
-          "[routing]") {
+TEST_CASE(
+    "a crash confirmed late is not attributed to a request completed since",
+    "[routing]") {
   struct Row {
     std::string name_;
     core::Duration completed_{};
-    /// When the crashes are learned of.
-    core::Duration learned_{};
+    /// When the crashes are confirmed.
+    core::Duration confirmed_{};
     Standing standing_;
   };
   const auto row = GENERATE(
       Row{"completed before the crashes", -1s, 3s, Standing::kQuarantined},
-      Row{"between the first and the second", 500ms, 3s, Standing::kSuspected},
-      Row{"after the last", 2500ms, 3s, Standing::kClear},
-      Row{"after the last, long ago", 2500ms, 60s, Standing::kQuarantined});
+      Row{"completed between the first and the second", 500ms, 3s,
+          Standing::kSuspected},
+      Row{"completed after the last", 2500ms, 3s, Standing::kClear},
+      Row{"completed after the last, past the retention time", 2500ms, 60s,
+          Standing::kQuarantined});
   const bool merged = GENERATE(false, true);
   CAPTURE(row.name_, merged);
   RequestQuarantine quarantine;
   CHECK_FALSE(quarantine.OnCompleted(Request("x"), kStart + row.completed_));
-  quarantine.Expire(kStart + row.learned_);
+  quarantine.Expire(kStart + row.confirmed_);
   const CrashRecord record{Request("x"),
                            {Crash(1, 0s), Crash(2, 1s), Crash(3, 2s)}};
   if (merged) {
@@ -178,11 +180,11 @@
       CHECK(quarantine.AddCrash(record.request_, crash));
     }
   }
-  CHECK(quarantine.StandingOf(Request("x"), kStart + row.learned_) ==
+  CHECK(quarantine.StandingOf(Request("x"), kStart + row.confirmed_) ==
         row.standing_);
 }
 
-TEST_CASE("remembered completions are bounded", "[routing]") {
+TEST_CASE("the number of completions kept is limited", "[routing]") {
   QuarantineSettings settings;
   settings.max_completions_ = 2;
   RequestQuarantine quarantine(settings);
@@ -198,7 +200,7 @@
   CHECK(quarantine.AttributedCrashes(Request("z")) == 0);
 }
 
-TEST_CASE("the table is bounded and forgets", "[routing]") {
+TEST_CASE("records are evicted by number and age", "[routing]") {
   QuarantineSettings settings;
   settings.max_records_ = 4;
   RequestQuarantine quarantine(settings);
@@ -212,8 +214,9 @@
   CHECK(quarantine.size() == 0);
 }
 
-TEST_CASE("samples hold suspected requests first and drop the others in time",
-          "[routing]") {
+TEST_CASE(
+    "samples hold suspected requests first and omit clear ones after a while",
+    "[routing]") {
   QuarantineSettings settings;
   RequestQuarantine quarantine(settings);
   for (int i = 0; i < 6; ++i) {
@@ -230,7 +233,7 @@
   CHECK(quarantine.Sample(8).size() == 1);
 }
 
-TEST_CASE("entries that merged the same records agree, in whatever order",
+TEST_CASE("entries that merged the same records agree, whatever the order",
           "[routing]") {
   rc::check([] {
     const auto count = *rc::gen::inRange(1, 7);
@@ -238,7 +241,7 @@
     for (int i = 0; i < count; ++i) {
       auto crash = Crash(*rc::gen::inRange(0, 4),
                          *rc::gen::inRange(0, 4) * std::chrono::seconds(1));
-      // An endpoint life crashes once.
+      // An endpoint incarnation crashes once.
       crash.crashed_at_ =
           kStart + (crash.endpoint_.id_.value().back() - '0') * 1s;
       crash.cleared_ = *rc::gen::inRange(0, 4) == 0;
