--- a/packages/chalkwell/src/chalkwell/routing/event_splitter.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/event_splitter.cpp
@@ -1,4 +1,4 @@
-// An event ends with a blank line; its number stands on a line "id: N".
+// An event ends with a blank line; its id is in the field "id: N".
 #include "chalkwell/routing/event_splitter.hpp"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 constexpr std::string_view kIdField = "id:";
 
-/// Length of the first event with its blank line; 0 when none is complete.
+/// Length of the first event with its blank line; 0 when it is incomplete.
 std::size_t FirstEventSize(std::string_view bytes) {
   for (std::size_t at = bytes.find('\n'); at != std::string_view::npos;
        at = bytes.find('\n', at + 1)) {
@@ -24,7 +24,7 @@
   return 0;
 }
 
-std::optional<std::uint64_t> IdOf(std::string_view event) {
+std::optional<std::uint64_t> ParseId(std::string_view event) {
   std::size_t begin = 0;
   while (begin < event.size()) {
     const auto end = std::min(event.find('\n', begin), event.size());
@@ -49,29 +49,29 @@
 }  // namespace
 
 CompleteEvents EventSplitter::Append(std::string_view bytes) {
-  rest_.append(bytes);
-  CompleteEvents whole;
+  partial_event_.append(bytes);
+  CompleteEvents events;
   std::size_t begin = 0;
   for (;;) {
-    const auto left = std::string_view(rest_).substr(begin);
-    const auto size = FirstEventSize(left);
+    const auto remainder = std::string_view(partial_event_).substr(begin);
+    const auto size = FirstEventSize(remainder);
     if (size == 0) {
       break;
     }
-    const auto event = left.substr(0, size);
+    const auto event = remainder.substr(0, size);
     begin += size;
-    const auto id = IdOf(event);
+    const auto id = ParseId(event);
     if (id && last_id_ && *id <= *last_id_) {
       continue;
     }
     if (id) {
       last_id_ = id;
     }
-    whole.bytes_.append(event);
-    ++whole.count_;
+    events.bytes_.append(event);
+    ++events.count_;
   }
-  rest_.erase(0, begin);
-  return whole;
+  partial_event_.erase(0, begin);
+  return events;
 }
 
 }  // namespace chalkwell::routing
--- a/packages/chalkwell/src/chalkwell/routing/event_splitter.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/event_splitter.hpp
@@ -1,5 +1,6 @@
-// Splits a stream of server-sent events into whole events, so that an answer
-// can go on at another endpoint after the last one that was passed on.
+// Splits a stream of server-sent events into complete events, so that a
+// response can be resumed at another endpoint after the last event that was
+// forwarded.
 #pragma once
 
 #include <cstdint>
@@ -9,33 +10,33 @@
 
 namespace chalkwell::routing {
 
-/// @brief Whole events of one piece of a stream.
+/// @brief Complete events of one part of a stream.
 struct CompleteEvents {
-  /// As they arrived, blank lines included.
+  /// As received, blank lines included.
   std::string bytes_;
   std::uint64_t count_ = 0;
 };
 
-/// @brief Splitter of the answers to one request, over all its attempts.
+/// @brief Splits the responses to one request, over all its attempts.
 class EventSplitter {
  public:
-  /// @brief Takes bytes and returns the events they complete. Events numbered
-  /// no higher than the last one taken are left out: a resumed stream may
-  /// repeat them.
+  /// @brief Appends bytes and returns the events they complete. Events whose id
+  /// is not above that of the last complete event are omitted: a resumed stream
+  /// may repeat them.
   [[nodiscard]] CompleteEvents Append(std::string_view bytes);
-  /// @brief Bytes of an event that is not complete yet.
+  /// @brief Bytes of the incomplete event at the end.
   [[nodiscard]] const std::string& partial_event() const noexcept {
-    return rest_;
+    return partial_event_;
   }
-  /// @brief Forgets an incomplete event: its attempt has ended.
-  void DiscardPartialEvent() noexcept { rest_.clear(); }
-  /// @brief Number of the last whole event; none before the first.
+  /// @brief Discards an incomplete event, once its attempt has ended.
+  void DiscardPartialEvent() noexcept { partial_event_.clear(); }
+  /// @brief Id of the last complete event; none before the first.
   [[nodiscard]] std::optional<std::uint64_t> last_id() const noexcept {
     return last_id_;
   }
 
  private:
-  std::string rest_;
+  std::string partial_event_;
   std::optional<std::uint64_t> last_id_;
 };
 
--- a/packages/chalkwell/src/chalkwell/routing/first_byte_timeout.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/first_byte_timeout.cpp
@@ -1,4 +1,4 @@
-// Weights that end set a bound of their own.
+// Timeouts by target, prediction, endpoint state and version constraint.
 #include "chalkwell/routing/first_byte_timeout.hpp"
 
 #include <algorithm>
@@ -9,41 +9,44 @@
 
 using std::chrono::milliseconds;
 
-/// A first byte is overdue after this many times the target, and not before
-/// the time below: an endpoint that is merely busy is not left.
-constexpr int kTargets = 3;
-constexpr auto kLeast = milliseconds(1200);
-/// The same, in times of what was expected.
-constexpr int kPredictions = 2;
-/// A late one waits for those on time; its caller leaves before this.
-constexpr auto kLate = milliseconds(2500);
-/// An endpoint that fell silent is left after this: its machine is suspended or
-/// cut off, and a second endpoint needs time of its own.
-constexpr auto kSilent = milliseconds(500);
-/// An attempt on old weights that has no first byte so long after the time from
-/// which they are no longer chosen is given up. An endpoint may go on reading a
-/// prompt after its connection was closed, and begin.
-constexpr auto kOldWeights = milliseconds(800);
+/// The timeout as a multiple of the target and its minimum, so that a busy
+/// endpoint is not abandoned.
+constexpr int kTargetMultiple = 3;
+constexpr auto kMinTimeout = milliseconds(1200);
+/// The timeout as a multiple of the predicted time to first byte.
+constexpr int kPredictionMultiple = 2;
+/// Minimum timeout of an attempt that is not on time: it queues behind those
+/// that are. Its caller disconnects before this.
+constexpr auto kLateMinTimeout = milliseconds(2500);
+/// Timeout at an unresponsive endpoint: its machine is suspended or
+/// disconnected, and the attempt at a second endpoint needs time, too.
+constexpr auto kUnresponsiveTimeout = milliseconds(500);
+/// An attempt on an older version of the weights is abandoned when it has no
+/// first byte this long after the time from which it is no longer chosen. That
+/// has to be well before the version bound, since an endpoint may go on
+/// processing a prompt after its connection was closed and begin to respond.
+constexpr auto kOlderVersionGrace = milliseconds(800);
 
 }  // namespace
 
 core::TimePoint FirstByteDeadline(const PendingAttempt& attempt) {
-  core::Duration wait =
-      std::max<core::Duration>({attempt.target_latency_ * kTargets, kLeast,
-                                attempt.predicted_first_byte_ * kPredictions});
+  core::Duration timeout = std::max<core::Duration>(
+      {attempt.target_latency_ * kTargetMultiple, kMinTimeout,
+       attempt.predicted_first_byte_ * kPredictionMultiple});
   if (!attempt.on_time_) {
-    wait = std::max<core::Duration>(wait, kLate);
+    timeout = std::max<core::Duration>(timeout, kLateMinTimeout);
   }
   if (attempt.unresponsive_) {
-    wait = std::min<core::Duration>(wait, kSilent);
+    timeout = std::min<core::Duration>(timeout, kUnresponsiveTimeout);
   }
-  const auto overdue = attempt.sent_at_ + wait;
-  const bool ends =
+  const auto deadline = attempt.sent_at_ + timeout;
+  const bool older_version =
       attempt.weights_version_ &&
       *attempt.weights_version_ < attempt.version_constraint_.next_min_version_;
-  return ends ? std::min(overdue,
-                         attempt.version_constraint_.next_min_at_ + kOldWeights)
-              : overdue;
+  return older_version
+             ? std::min(deadline, attempt.version_constraint_.next_min_at_ +
+                                      kOlderVersionGrace)
+             : deadline;
 }
 
 }  // namespace chalkwell::routing
--- a/packages/chalkwell/src/chalkwell/routing/first_byte_timeout.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/first_byte_timeout.hpp
@@ -1,5 +1,5 @@
-// How long an entry waits for the first byte of an attempt before it tries
-// elsewhere.
+// Timeout for the first byte of an attempt, after which an entry abandons it
+// and tries another endpoint.
 #pragma once
 
 #include <cstdint>
@@ -10,25 +10,26 @@
 
 namespace chalkwell::routing {
 
-/// @brief An attempt whose first byte is awaited.
+/// @brief An attempt whose first byte has not arrived.
 struct PendingAttempt {
-  /// Within which the answer is worth most.
+  /// Target time to first byte of its route.
   core::Duration target_latency_{};
-  /// First byte as the choice expected it.
+  /// Time to first byte predicted when the endpoint was chosen.
   core::Duration predicted_first_byte_{};
-  /// Late ones wait for those on time.
+  /// Whether it could still meet the target when it was sent; a late attempt
+  /// has a lower priority at engines.
   bool on_time_ = true;
-  /// Weights that it is to begin on; none for plain services.
+  /// Version of the weights it starts on; none for services without weights.
   std::optional<std::uint64_t> weights_version_;
-  /// In force as it was sent.
+  /// Active when it was sent.
   VersionConstraint version_constraint_;
-  /// Nothing is heard of its endpoint any more, while others are heard.
+  /// Its endpoint is unresponsive while others are not.
   bool unresponsive_ = false;
   core::TimePoint sent_at_;
 };
 
-/// @brief When to give the attempt up, as far as is known now: an endpoint may
-/// fall silent meanwhile.
+/// @brief Time at which to abandon the attempt. Recompute it while waiting: an
+/// endpoint that becomes unresponsive brings it forward.
 [[nodiscard]] core::TimePoint FirstByteDeadline(const PendingAttempt& attempt);
 
 }  // namespace chalkwell::routing
--- a/packages/chalkwell/src/chalkwell/routing/request_age_estimator.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_age_estimator.cpp
@@ -1,5 +1,5 @@
-// The last times of each route, counted by value and, where they do not repeat,
-// in bins.
+// Histogram of the last times of each route, by value and, where values do not
+// repeat, by bin.
 #include "chalkwell/routing/request_age_estimator.hpp"
 
 #include <algorithm>
@@ -8,38 +8,41 @@
 namespace chalkwell::routing {
 namespace {
 
-/// Requests of a route that are remembered: some seconds of one entry's share.
-constexpr std::size_t kMemory = 192;
-/// Fewer than this show no distribution.
-constexpr std::size_t kLeast = 8;
-/// A time seen this often among them is that of fresh requests: scattered over
-/// seconds, three are seldom equal by chance.
+/// Requests kept per route: a few seconds of the requests of one entry.
+constexpr std::size_t kHistorySize = 192;
+/// Fewer requests do not show the distribution.
+constexpr std::size_t kMinSamples = 8;
+/// A time that occurs this often in the history is that of first attempts: of
+/// times scattered over seconds, three are rarely equal by chance.
 constexpr std::uint32_t kFrequent = 3;
-/// Bins between zero and the longest time; shorter ages are reported as zero.
+/// Bins between zero and the longest time; ages below the width of a bin are
+/// reported as zero.
 constexpr std::int64_t kBins = 12;
-/// A bin with less than this part of the usual count holds no fresh requests.
-constexpr double kDense = 0.6;
-/// Routes remembered; more are forgotten together.
+/// A bin with less than this fraction of the mean count of dense bins holds no
+/// first attempts.
+constexpr double kDenseFraction = 0.6;
+/// Maximum number of routes; when it is exceeded, all are discarded.
 constexpr std::size_t kMaxRoutes = 4096;
 
 using Counts = std::map<std::int64_t, std::uint32_t>;
 
-/// @brief Requests of one bin.
+/// @brief Requests in one bin.
 struct Bin {
   std::uint32_t count_ = 0;
-  /// Of them, those whose time is frequent.
+  /// Those of them whose time is frequent.
   std::uint32_t frequent_ = 0;
   std::int64_t lowest_ = 0;
 };
 
-std::int64_t WidthOf(const Counts& counts) {
+std::int64_t BinWidth(const Counts& counts) {
   return std::max<std::int64_t>(1, counts.rbegin()->first / kBins);
 }
 
-/// @param number counted from the bin of the longest time.
-Bin BinOf(const Counts& counts, std::int64_t number) {
-  const auto width = WidthOf(counts);
-  const auto highest = counts.rbegin()->first - number * width;
+/// @param index 0 is the bin of the longest times; later ones hold shorter
+/// times.
+Bin BinAt(const Counts& counts, std::int64_t index) {
+  const auto width = BinWidth(counts);
+  const auto highest = counts.rbegin()->first - index * width;
   Bin bin{.lowest_ = highest};
   for (auto time = counts.upper_bound(highest - width);
        time != counts.end() && time->first <= highest; ++time) {
@@ -50,13 +53,13 @@
   return bin;
 }
 
-/// Mean count of the first bin and of the dense ones that follow it.
-double UsualCount(const Counts& counts) {
-  double total = BinOf(counts, 0).count_;
+/// Mean count of the first bin and of the dense bins that follow it.
+double MeanDenseCount(const Counts& counts) {
+  double total = BinAt(counts, 0).count_;
   std::int64_t bins = 1;
   for (; bins < kBins; ++bins) {
-    const double count = BinOf(counts, bins).count_;
-    if (count * static_cast<double>(bins) < kDense * total) {
+    const double count = BinAt(counts, bins).count_;
+    if (count * static_cast<double>(bins) < kDenseFraction * total) {
       break;
     }
     total += count;
@@ -64,29 +67,29 @@
   return total / static_cast<double>(bins);
 }
 
-/// Age where callers of one kind all give the same time; nothing when no time
-/// above is frequent. Callers of different kinds may share a route: the next
-/// time above counts.
+/// Age where all callers of a kind set the same time; none when no longer time
+/// is frequent. Callers of different kinds may share a route, so the age is
+/// measured from the next longer frequent time.
 std::optional<std::int64_t> AgeByValue(const Counts& counts,
-                                       std::int64_t left) {
-  for (auto next = counts.lower_bound(left); next != counts.end(); ++next) {
+                                       std::int64_t left_ms) {
+  for (auto next = counts.lower_bound(left_ms); next != counts.end(); ++next) {
     if (next->second >= kFrequent) {
-      return next->first - left;
+      return next->first - left_ms;
     }
   }
   return std::nullopt;
 }
 
-/// Least age where callers of one kind give times from a range.
-std::int64_t AgeByBin(const Counts& counts, std::int64_t left) {
-  const auto dense = kDense * UsualCount(counts);
-  const auto width = WidthOf(counts);
-  auto number = (counts.rbegin()->first - left) / width;
-  auto bin = BinOf(counts, number);
-  while (number > 0 && bin.count_ < dense) {
-    bin = BinOf(counts, --number);
+/// Lower bound of the age where callers set times from a range.
+std::int64_t AgeByBin(const Counts& counts, std::int64_t left_ms) {
+  const auto min_count = kDenseFraction * MeanDenseCount(counts);
+  const auto width = BinWidth(counts);
+  auto index = (counts.rbegin()->first - left_ms) / width;
+  auto bin = BinAt(counts, index);
+  while (index > 0 && bin.count_ < min_count) {
+    bin = BinAt(counts, --index);
   }
-  const auto age = bin.lowest_ - left;
+  const auto age = bin.lowest_ - left_ms;
   return age < width ? 0 : age;
 }
 
@@ -97,28 +100,28 @@
   if (routes_.size() >= kMaxRoutes && !routes_.contains(route)) {
     routes_.clear();
   }
-  auto& seen = routes_[route];
-  const auto left =
+  auto& history = routes_[route];
+  const auto left_ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(time_left).count();
-  seen.last_.push_back(left);
-  ++seen.counts_[left];
-  if (seen.last_.size() > kMemory) {
-    const auto oldest = seen.counts_.find(seen.last_.front());
+  history.last_.push_back(left_ms);
+  ++history.counts_[left_ms];
+  if (history.last_.size() > kHistorySize) {
+    const auto oldest = history.counts_.find(history.last_.front());
     if (--oldest->second == 0) {
-      seen.counts_.erase(oldest);
+      history.counts_.erase(oldest);
     }
-    seen.last_.pop_front();
+    history.last_.pop_front();
   }
-  const auto longest = seen.counts_.rbegin()->first;
-  if (seen.last_.size() < kLeast) {
+  const auto longest = history.counts_.rbegin()->first;
+  if (history.last_.size() < kMinSamples) {
     return std::chrono::milliseconds(
-        AgeByValue(seen.counts_, left).value_or(longest - left));
+        AgeByValue(history.counts_, left_ms).value_or(longest - left_ms));
   }
-  const auto first = BinOf(seen.counts_, 0);
+  const auto first = BinAt(history.counts_, 0);
   const bool repeats = 2 * first.frequent_ >= first.count_;
   return std::chrono::milliseconds(
-      repeats ? AgeByValue(seen.counts_, left).value_or(0)
-              : AgeByBin(seen.counts_, left));
+      repeats ? AgeByValue(history.counts_, left_ms).value_or(0)
+              : AgeByBin(history.counts_, left_ms));
 }
 
 }  // namespace chalkwell::routing
--- a/packages/chalkwell/src/chalkwell/routing/request_age_estimator.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_age_estimator.hpp
@@ -1,4 +1,5 @@
-// How long ago a caller first asked, as the time it has left shows.
+// Estimates the time since a caller's first attempt from the time to its
+// deadline.
 #pragma once
 
 #include <chrono>
@@ -13,29 +14,30 @@
 
 namespace chalkwell::routing {
 
-/// @brief Learns the times that callers of each route give a fresh request.
+/// @brief Learns the time to the deadline of first attempts, by route.
 ///
-/// Where they set the same time to the millisecond, those that come back have
-/// what is left, scattered: a time that is seen again and again is that of
-/// fresh requests. Where each gives a time from a range, those that come back
-/// are fewer to a bin below it; their age is known up to that range only, and
-/// the least possible one is returned. With few requests seen, ages count from
-/// the longest time.
+/// Where callers set the same time to the millisecond, retries have the
+/// scattered remainders of it: a time that occurs often is that of first
+/// attempts. Where each caller sets a time from a range, retries lie below the
+/// range with fewer requests per bin; their age is then known only up to the
+/// width of the range, and the lower bound is returned. While few requests were
+/// seen, ages are measured from the longest time.
 class RequestAgeEstimator {
  public:
-  /// @brief Adds a request and returns its age; zero when it is not known.
+  /// @brief Adds a request and returns its estimated age; zero when not known.
   core::Duration AddAndEstimate(const std::string& route,
                                 core::Duration time_left);
 
  private:
-  struct Seen {
-    /// The last ones, oldest first; at most kMemory.
+  struct History {
+    /// Times of the last requests in milliseconds, oldest first; at most
+    /// kHistorySize.
     std::deque<std::int64_t> last_;
-    /// How often each of them is among the last.
+    /// Number of occurrences of each time in `last_`.
     std::map<std::int64_t, std::uint32_t> counts_;
   };
 
-  std::map<std::string, Seen> routes_;
+  std::map<std::string, History> routes_;
 };
 
 }  // namespace chalkwell::routing
--- a/packages/chalkwell/src/chalkwell/routing/request_tracker.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_tracker.cpp
@@ -1,4 +1,4 @@
-// Decisions on retries and outcomes.
+// Retry decisions and outcomes.
 #include "chalkwell/routing/request_tracker.hpp"
 
 #include <utility>
@@ -58,19 +58,19 @@
     return {};
   }
   if (!endpoint || now >= traits_.deadline_) {
-    return Finish(OutcomeWithoutAnswer());
+    return Finish(FailureOutcome());
   }
   ++attempt_;
   outstanding_ = true;
-  const auto resume_from = faults_.resume_from_start_ ? 0 : pieces_;
+  const auto resume_from = faults_.resume_from_start_ ? 0 : forwarded_events_;
   return {SendAttempt{attempt_, *endpoint, resume_from}};
 }
 
 RequestActions RequestTracker::OnResponseStarted(AttemptNumber attempt,
-                                                 bool right_weights,
+                                                 bool weights_match,
                                                  core::TimePoint now) {
   const bool current = !finished_ && outstanding_ && attempt == attempt_;
-  if (!current || right_weights || faults_.ignore_other_weights_) {
+  if (!current || weights_match || faults_.ignore_other_weights_) {
     return {};
   }
   RequestActions actions{CancelAttempt{attempt}};
@@ -81,7 +81,7 @@
 }
 
 bool RequestTracker::AcceptResponseBytes(AttemptNumber attempt,
-                                         std::uint64_t pieces) {
+                                         std::uint64_t events) {
   if (faults_.forward_late_answers_) {
     forwarded_ = true;
     return !finished_;
@@ -90,7 +90,7 @@
     return false;
   }
   forwarded_ = true;
-  pieces_ += pieces;
+  forwarded_events_ += events;
   return true;
 }
 
@@ -108,8 +108,8 @@
   may_have_run_ = may_have_run_ || (end == AttemptEnd::kLost &&
                                     !faults_.report_lost_as_not_run_);
   if (end == AttemptEnd::kRefusedNotRun && traits_.may_have_run_before_) {
-    // The agent refuses a ticket as "not run" only on its first use, and uses
-    // it up: nothing ran under it, and nothing will.
+    // The agent reports "not run" only on the first use of a ticket and marks
+    // it as used: no execution took place with it, and none can follow.
     may_have_run_ = false;
   }
   if (end == AttemptEnd::kComplete) {
@@ -118,10 +118,10 @@
   if (end == AttemptEnd::kLost && faults_.complete_on_loss_ && forwarded_) {
     return Finish(Outcome::kAnswered);
   }
-  if (MayTryAgain(end, now)) {
+  if (MayRetry(end, now)) {
     return {NextChoice()};
   }
-  return Finish(OutcomeWithoutAnswer());
+  return Finish(FailureOutcome());
 }
 
 RequestActions RequestTracker::Abort() {
@@ -134,18 +134,18 @@
     outstanding_ = false;
     actions.emplace_back(CancelAttempt{attempt_});
   }
-  for (auto& action : Finish(OutcomeWithoutAnswer())) {
+  for (auto& action : Finish(FailureOutcome())) {
     actions.push_back(std::move(action));
   }
   return actions;
 }
 
-bool RequestTracker::MayTryAgain(AttemptEnd end, core::TimePoint now) {
-  const bool certainly_not_run =
+bool RequestTracker::MayRetry(AttemptEnd end, core::TimePoint now) {
+  const bool not_executed =
       end == AttemptEnd::kNeverSent || end == AttemptEnd::kRefusedNotRun;
-  const bool harmless =
-      certainly_not_run || traits_.repeatable_ || faults_.retry_after_send_;
-  if (!harmless || (forwarded_ && !traits_.resumable_)) {
+  const bool safe =
+      not_executed || traits_.repeatable_ || faults_.retry_after_send_;
+  if (!safe || (forwarded_ && !traits_.resumable_)) {
     return false;
   }
   if (attempt_ >= traits_.max_attempts_ || now >= traits_.deadline_) {
@@ -155,7 +155,7 @@
       forwarded_ ? RetryKind::kResume : RetryKind::kRestart, now);
 }
 
-Outcome RequestTracker::OutcomeWithoutAnswer() const noexcept {
+Outcome RequestTracker::FailureOutcome() const noexcept {
   if (ran_) {
     return Outcome::kFailedRan;
   }
@@ -165,10 +165,10 @@
 RequestActions RequestTracker::Finish(Outcome outcome) {
   finished_ = true;
   FinishRequest finish{.outcome_ = outcome, .retry_after_ = std::nullopt};
-  const bool retry_makes_sense =
+  const bool retry_advisable =
       outcome == Outcome::kRefusedNotRun ||
       (outcome != Outcome::kAnswered && traits_.repeatable_);
-  if (retry_makes_sense) {
+  if (retry_advisable) {
     finish.retry_after_ = traits_.retry_after_;
   }
   return {finish};
--- a/packages/chalkwell/src/chalkwell/routing/request_tracker.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_tracker.hpp
@@ -1,5 +1,5 @@
-// Attempts and outcome of one request: every request ends in exactly one of
-// four outcomes, and "not run" is said only when it is certain.
+// State machine of one request over its attempts. Every request ends in exactly
+// one of four outcomes; "not run" is reported only when that is certain.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 namespace chalkwell::routing {
 
-/// @brief What a caller is told in the end.
+/// @brief Outcome of a request as reported to its caller.
 enum class Outcome : std::uint8_t {
   kAnswered,
   kRefusedNotRun,
@@ -29,15 +29,15 @@
 
 /// @brief How one attempt ended.
 enum class AttemptEnd : std::uint8_t {
-  /// The request never left this process.
+  /// The request was not sent.
   kNeverSent,
-  /// The agent refused it before handing it to the back end.
+  /// The agent refused it before forwarding it to the back end.
   kRefusedNotRun,
-  /// The back end ran it and failed.
+  /// The back end executed it and failed.
   kFailedRan,
-  /// The stream ended without a word: it may have run.
+  /// The stream ended without a reply: it may have been executed.
   kLost,
-  /// The whole answer has arrived.
+  /// The response is complete.
   kComplete,
 };
 
@@ -47,26 +47,26 @@
 /// @brief Number of an attempt within its request; the first is 1.
 using AttemptNumber = std::uint32_t;
 
-/// @brief Pick an endpoint that was not tried, then call OnChosen.
+/// @brief Choose an endpoint that was not tried yet, then call OnChosen.
 struct ChooseEndpoint {
-  /// Pieces of the answer have gone to the caller: only an endpoint with the
-  /// weights pinned before may go on with it.
+  /// Part of the response was forwarded: only an endpoint with the weights that
+  /// were pinned for it may resume it.
   bool same_weights_ = false;
 };
 struct SendAttempt {
   AttemptNumber attempt_ = 0;
   core::InstanceId endpoint_;
-  /// Pieces of the answer that the caller has; the answer goes on after them.
+  /// Number of events that were forwarded; the response resumes after them.
   std::uint64_t resume_from_ = 0;
 };
-/// @brief Tell the agent that the attempt is no longer wanted.
+/// @brief Cancel the attempt at the agent.
 struct CancelAttempt {
   AttemptNumber attempt_ = 0;
 };
-/// @brief Answer the caller now; nothing follows.
+/// @brief Respond to the caller; no action follows.
 struct FinishRequest {
   Outcome outcome_ = Outcome::kUnknown;
-  /// When a retry makes sense; absent when it does not.
+  /// Delay after which the caller may retry; none if a retry is not advisable.
   std::optional<core::Duration> retry_after_;
 };
 
@@ -74,7 +74,7 @@
     std::variant<ChooseEndpoint, SendAttempt, CancelAttempt, FinishRequest>;
 using RequestActions = std::vector<RequestAction>;
 
-/// @brief Faults that tests seed to show that the proofs can fail.
+/// @brief Injected faults, by which tests verify that their checks detect them.
 struct RequestFaults {
   bool retry_after_send_ = false;
   bool forward_late_answers_ = false;
@@ -87,72 +87,76 @@
   bool ignore_earlier_requests_ = false;
 };
 
-/// @brief What the tracker must know of the request.
+/// @brief Properties of a request and its limits.
 struct RequestTraits {
+  /// Whether it may be executed more than once.
   bool repeatable_ = false;
-  /// Whether another endpoint can go on with an answer that was begun.
+  /// Whether another endpoint can resume a response that was begun.
   bool resumable_ = false;
   core::TimePoint deadline_;
   AttemptNumber max_attempts_ = 3;
-  /// The caller brought a ticket that an earlier request may have used.
+  /// The caller supplied a ticket that an earlier request may have used.
   bool may_have_run_before_ = false;
-  /// Asked before each further attempt; false when the budget is spent.
+  /// Called before each further attempt; false if the retry budget is
+  /// exhausted.
   std::function<bool(RetryKind, core::TimePoint now)> may_retry_ =
       [](RetryKind, core::TimePoint) { return true; };
-  /// What `Retry-After` says.
+  /// Value of `Retry-After`.
   core::Duration retry_after_ = std::chrono::seconds(1);
 };
 
-/// @brief Decides attempts and outcome of one request.
+/// @brief Decides on the attempts and the outcome of one request.
 class RequestTracker {
  public:
   explicit RequestTracker(RequestTraits traits, RequestFaults faults = {});
 
   [[nodiscard]] bool finished() const noexcept { return finished_; }
   [[nodiscard]] AttemptNumber attempt() const noexcept { return attempt_; }
-  /// @brief Whether bytes have gone to the caller.
+  /// @brief Whether bytes of a response were forwarded to the caller.
   [[nodiscard]] bool forwarded() const noexcept { return forwarded_; }
 
   [[nodiscard]] RequestActions Start(core::TimePoint now);
-  /// @param endpoint nothing when no endpoint can take the request.
+  /// @param endpoint none if no endpoint can accept the request.
   [[nodiscard]] RequestActions OnChosen(
       const std::optional<core::InstanceId>& endpoint, core::TimePoint now);
-  /// @brief The back end has begun to answer.
-  /// @param right_weights whether it answers from the weights pinned for the
-  /// attempt; if not, not one byte may reach the caller.
+  /// @brief The back end has begun its response.
+  /// @param weights_match whether it uses the weights pinned for the attempt;
+  /// if not, no byte of it may be forwarded.
   [[nodiscard]] RequestActions OnResponseStarted(AttemptNumber attempt,
-                                                 bool right_weights,
+                                                 bool weights_match,
                                                  core::TimePoint now);
-  /// @brief Whether bytes of this attempt may go to the caller now; if so they
+  /// @brief Whether bytes of this attempt may be forwarded now; if so, they
   /// count as forwarded.
-  /// @param pieces whole pieces among them, from which an answer can go on.
+  /// @param events number of complete events in them, after which a response
+  /// can be resumed.
   [[nodiscard]] bool AcceptResponseBytes(AttemptNumber attempt,
-                                         std::uint64_t pieces = 1);
+                                         std::uint64_t events = 1);
   [[nodiscard]] RequestActions OnEnded(AttemptNumber attempt, AttemptEnd end,
                                        core::TimePoint now);
-  /// @brief The deadline passed or the caller went away.
+  /// @brief The deadline passed or the caller disconnected.
   [[nodiscard]] RequestActions Abort();
 
  private:
   [[nodiscard]] RequestActions Finish(Outcome outcome);
   [[nodiscard]] ChooseEndpoint NextChoice() const noexcept;
-  [[nodiscard]] Outcome OutcomeWithoutAnswer() const noexcept;
-  [[nodiscard]] bool MayTryAgain(AttemptEnd end, core::TimePoint now);
+  [[nodiscard]] Outcome FailureOutcome() const noexcept;
+  [[nodiscard]] bool MayRetry(AttemptEnd end, core::TimePoint now);
 
   RequestTraits traits_;
   RequestFaults faults_;
   AttemptNumber attempt_ = 0;
-  /// The current attempt has been sent and has not ended.
+  /// The current attempt was sent and has not ended.
   bool outstanding_ = false;
-  /// Some attempt was sent and its fate never became known.
+  /// An attempt was sent and it is unknown whether it was executed.
   bool may_have_run_ = false;
-  /// Some attempt is known to have run.
+  /// An attempt is known to have been executed.
   bool ran_ = false;
-  /// Only bytes of the current attempt may follow.
+  /// Bytes of a response were forwarded; only those of the current attempt may
+  /// follow.
   bool forwarded_ = false;
-  /// Whole pieces that the caller has.
-  std::uint64_t pieces_ = 0;
-  /// Set once; nothing is returned afterwards.
+  /// Number of complete events forwarded.
+  std::uint64_t forwarded_events_ = 0;
+  /// Set once; no actions are returned afterwards.
   bool finished_ = false;
 };
 
--- a/packages/chalkwell/src/chalkwell/routing/retry_budget.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/retry_budget.cpp
@@ -1,20 +1,20 @@
-// Counts of requests and retries in slices of a sliding window.
+// Sliding window of request and retry counts, in slices.
 #include "chalkwell/routing/retry_budget.hpp"
 
 #include <algorithm>
 
 namespace chalkwell::routing {
 
-std::int64_t RetryBudget::NumberAt(core::TimePoint now) const noexcept {
+std::int64_t RetryBudget::SliceIndexAt(core::TimePoint now) const noexcept {
   const auto slice = settings_.window_ / static_cast<int>(kSlices);
   return now.time_since_epoch() / slice;
 }
 
 RetryBudget::Slice& RetryBudget::SliceAt(core::TimePoint now) noexcept {
-  const auto number = NumberAt(now);
-  auto& slice = slices_[static_cast<std::size_t>(number) % kSlices];
-  if (slice.number_ != number) {
-    slice = Slice{.number_ = number};
+  const auto index = SliceIndexAt(now);
+  auto& slice = slices_[static_cast<std::size_t>(index) % kSlices];
+  if (slice.index_ != index) {
+    slice = Slice{.index_ = index};
   }
   return slice;
 }
@@ -22,11 +22,11 @@
 double RetryBudget::Available(RetryKind kind,
                               core::TimePoint now) const noexcept {
   const auto oldest =
-      NumberAt(now) - static_cast<std::int64_t>(kSlices) + std::int64_t{1};
+      SliceIndexAt(now) - static_cast<std::int64_t>(kSlices) + std::int64_t{1};
   double requests = 0;
   double retries = 0;
   for (const auto& slice : slices_) {
-    if (slice.number_ >= oldest) {
+    if (slice.index_ >= oldest) {
       requests += static_cast<double>(slice.requests_);
       retries += static_cast<double>(slice.retries_);
     }
--- a/packages/chalkwell/src/chalkwell/routing/retry_budget.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/retry_budget.hpp
@@ -1,5 +1,5 @@
-// Retry budget: retries are a share of the requests of a sliding window, so
-// that failures do not multiply load.
+// Retry budget: limits retries to a share of the requests in a sliding window,
+// so that failures do not multiply the load.
 #pragma once
 
 #include <array>
@@ -10,59 +10,60 @@
 
 namespace chalkwell::routing {
 
-/// @brief What a further attempt is for.
+/// @brief Purpose of a further attempt.
 enum class RetryKind : std::uint8_t {
-  /// Nothing has reached the caller: it can be told to come back.
+  /// Nothing was forwarded to the caller, which could retry instead.
   kRestart,
-  /// The answer has begun: without this attempt it is cut.
+  /// Part of the response was forwarded; without this attempt it is truncated.
   kResume,
 };
 
-/// @brief Settings of a budget.
+/// @brief Settings of RetryBudget.
 struct RetryBudgetSettings {
-  /// Retries allowed for each request of the window, 0 to 1.
+  /// Retries allowed per request in the window, 0 to 1.
   double share_ = 0.1;
-  /// Retries allowed in a window beyond that share.
+  /// Retries allowed per window in addition to that share.
   double reserve_ = 20;
-  /// Part of the reserve that only answers under way may use, 0 to 1.
+  /// Fraction of the reserve that is available to resumes only, 0 to 1.
   double resume_reserve_share_ = 0.5;
   core::Duration window_ = std::chrono::seconds(10);
 };
 
-/// @brief Allows retries by what the last window held.
+/// @brief Allows retries by the requests and retries of the last window.
 ///
-/// The loss of an endpoint breaks all its answers at once. They come first:
-/// fresh retries leave them a part of the reserve.
+/// The loss of an endpoint breaks all its responses at once. Resuming these has
+/// priority, so part of the reserve is not available to other retries.
 class RetryBudget {
  public:
   explicit RetryBudget(RetryBudgetSettings settings = {}) noexcept
       : settings_(settings) {}
 
-  /// @brief Retries that the window still allows; not below 0.
+  /// @brief Number of retries still allowed in the window; at least 0.
   [[nodiscard]] double Available(RetryKind kind,
                                  core::TimePoint now) const noexcept;
 
   void OnRequest(core::TimePoint now) noexcept;
-  /// @brief Changes the reserve, as when the entries that share it do.
+  /// @brief Changes the reserve, as when the number of entries sharing it
+  /// changes.
   void SetReserve(double reserve) noexcept { settings_.reserve_ = reserve; }
-  /// @brief Takes one retry if there is one.
+  /// @brief Consumes one retry if the budget allows it.
   [[nodiscard]] bool TryConsume(RetryKind kind, core::TimePoint now) noexcept;
 
  private:
   static constexpr std::size_t kSlices = 10;
 
-  /// @brief Counts of a tenth of a window.
+  /// @brief Counts for a tenth of the window.
   struct Slice {
-    std::int64_t number_ = -1;
+    std::int64_t index_ = -1;
     std::uint64_t requests_ = 0;
     std::uint64_t retries_ = 0;
   };
 
-  [[nodiscard]] std::int64_t NumberAt(core::TimePoint now) const noexcept;
+  [[nodiscard]] std::int64_t SliceIndexAt(core::TimePoint now) const noexcept;
   [[nodiscard]] Slice& SliceAt(core::TimePoint now) noexcept;
 
   RetryBudgetSettings settings_;
-  /// A ring; only slices numbered within the last window count.
+  /// Ring buffer; only slices whose index is in the last window count.
   std::array<Slice, kSlices> slices_{};
 };
 
--- a/packages/chalkwell/src/chalkwell/routing/retry_jitter.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/retry_jitter.cpp
@@ -1,14 +1,14 @@
-// Uniform times.
+// Uniformly distributed delays.
 #include "chalkwell/routing/retry_jitter.hpp"
 
 #include <algorithm>
 
 namespace chalkwell::routing {
 
-core::Duration RetryJitter::Draw(core::Duration longest) {
-  const auto most = std::max(longest, core::Duration{}).count();
+core::Duration RetryJitter::Draw(core::Duration max) {
+  const auto max_ticks = std::max(max, core::Duration{}).count();
   return core::Duration(std::uniform_int_distribution<core::Duration::rep>(
-      most - most / 4, most)(random_));
+      max_ticks - max_ticks / 4, max_ticks)(random_));
 }
 
 }  // namespace chalkwell::routing
--- a/packages/chalkwell/src/chalkwell/routing/retry_jitter.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/retry_jitter.hpp
@@ -1,7 +1,7 @@
-// When rejected callers come back. With the same Retry-After, those of one
-// moment come back together, and with the same time left each:
-// RequestAgeEstimator, which learns what fresh requests have left from times
-// that repeat, takes them for fresh.
+// Jitter for Retry-After. With a constant value, callers refused at the same
+// time retry at the same time and with equal remaining times to their
+// deadlines. RequestAgeEstimator, which takes times that repeat for those of
+// first attempts, would then take the retries for first attempts.
 #pragma once
 
 #include <cstdint>
@@ -12,13 +12,14 @@
 
 namespace chalkwell::routing {
 
-/// @brief Draws the times of one entry.
+/// @brief Draws the Retry-After values of one entry.
 class RetryJitter {
  public:
   explicit RetryJitter(std::uint64_t seed) : random_(seed) {}
 
-  /// @return between three quarters of the longest time and the longest time.
-  [[nodiscard]] core::Duration Draw(core::Duration longest);
+  /// @return a uniformly distributed value from 3/4 of the maximum to the
+  /// maximum.
+  [[nodiscard]] core::Duration Draw(core::Duration max);
 
  private:
   std::mt19937_64 random_;
--- a/tests/routing/event_splitter_test.cpp
+++ b/tests/routing/event_splitter_test.cpp
@@ -1,4 +1,4 @@
-// Streams of events: whole ones only, none twice, whatever the pieces.
+// Only complete events are returned, none twice, however the stream is split.
 #include "chalkwell/routing/event_splitter.hpp"
 
 #include <rapidcheck.h>
@@ -12,10 +12,10 @@
   return "id: " + std::to_string(id) + "\ndata: token\n\n";
 }
 
-TEST_CASE("only whole events are passed on", "[routing]") {
+TEST_CASE("only complete events are returned", "[routing]") {
   struct Row {
     std::string bytes_;
-    std::string whole_;
+    std::string complete_;
     std::uint64_t count_;
     std::string rest_;
   };
@@ -27,13 +27,13 @@
       Row{"versions: 2\nid: 4\ndata: a\n\n", "versions: 2\nid: 4\ndata: a\n\n",
           1, ""});
   EventSplitter splitter;
-  const auto whole = splitter.Append(row.bytes_);
-  CHECK(whole.bytes_ == row.whole_);
-  CHECK(whole.count_ == row.count_);
+  const auto events = splitter.Append(row.bytes_);
+  CHECK(events.bytes_ == row.complete_);
+  CHECK(events.count_ == row.count_);
   CHECK(splitter.partial_event() == row.rest_);
 }
 
-TEST_CASE("a resumed stream repeats nothing that was passed on", "[routing]") {
+TEST_CASE("events repeated by a resumed stream are omitted", "[routing]") {
   EventSplitter splitter;
   auto all = splitter.Append(Event(1) + Event(2) + "id: 3\nda").bytes_;
   CHECK(splitter.last_id() == 2);
@@ -42,7 +42,7 @@
   CHECK(all == Event(1) + Event(2) + Event(3) + Event(4));
 }
 
-TEST_CASE("pieces of any size give the same events", "[routing]") {
+TEST_CASE("the events do not depend on how the stream is split", "[routing]") {
   CHECK(rc::check([](const std::vector<std::uint8_t>& sizes) {
     std::string stream;
     for (std::uint64_t id = 1; id <= 20; ++id) {
@@ -52,9 +52,9 @@
     std::string out;
     std::size_t at = 0;
     for (const auto size : sizes) {
-      const auto piece = stream.substr(std::min(at, stream.size()), size);
-      out += splitter.Append(piece).bytes_;
-      at += piece.size();
+      const auto part = stream.substr(std::min(at, stream.size()), size);
+      out += splitter.Append(part).bytes_;
+      at += part.size();
     }
     out += splitter.Append(stream.substr(std::min(at, stream.size()))).bytes_;
     RC_ASSERT(out == stream);
--- a/tests/routing/first_byte_timeout_test.cpp
+++ b/tests/routing/first_byte_timeout_test.cpp
@@ -1,4 +1,4 @@
-// How long a first byte is awaited.
+// Timeouts for the first byte of an attempt.
 #include "chalkwell/routing/first_byte_timeout.hpp"
 
 #include <catch2/catch.hpp>
@@ -10,14 +10,14 @@
 
 const core::TimePoint kSent{1000s};
 
-TEST_CASE("how long the first byte of an attempt is awaited", "[routing]") {
+TEST_CASE("the first byte timeout of an attempt", "[routing]") {
   struct Row {
     std::string name_;
     PendingAttempt attempt_;
-    core::Duration patience_;
+    core::Duration timeout_;
   };
-  // The rule's time is 1.4 s before the bound.
-  const VersionConstraint ends{
+  // The constraint takes effect 1.4 s before the version bound.
+  const VersionConstraint constraint{
       .min_version_ = 0, .next_min_version_ = 2, .next_min_at_ = kSent + 260ms};
   auto row = GENERATE_COPY(
       Row{"a short target", {.target_latency_ = 100ms}, 1200ms},
@@ -25,39 +25,41 @@
       Row{"a long prompt",
           {.target_latency_ = 400ms, .predicted_first_byte_ = 1s},
           2000ms},
-      Row{"a late one", {.target_latency_ = 400ms, .on_time_ = false}, 2500ms},
-      // Seen: engines on frozen machines; their callers left after 2.4 s, half
-      // of which had gone by before the second attempt.
-      Row{"its endpoint fell silent",
+      Row{"a late attempt",
+          {.target_latency_ = 400ms, .on_time_ = false},
+          2500ms},
+      // Observed with engines on suspended machines: callers disconnected after
+      // 2.4 s, of which half had passed before the second attempt.
+      Row{"its endpoint is unresponsive",
           {.target_latency_ = 600ms, .unresponsive_ = true},
           500ms},
-      Row{"a late one whose endpoint fell silent",
+      Row{"late, its endpoint unresponsive",
           {.target_latency_ = 600ms, .on_time_ = false, .unresponsive_ = true},
           500ms},
-      Row{"the newest weights",
+      Row{"the newest version",
           {.target_latency_ = 500ms,
            .weights_version_ = 2,
-           .version_constraint_ = ends},
+           .version_constraint_ = constraint},
           1500ms},
-      // Seen: sent 1.66 s before the bound, given up 0.15 s before it, begun
-      // 19 ms after it.
-      Row{"old weights near their end",
+      // Observed: sent 1.66 s before the bound, abandoned 0.15 s before it,
+      // started by the endpoint 19 ms after it.
+      Row{"an older version near the end of its use",
           {.target_latency_ = 500ms,
            .weights_version_ = 1,
-           .version_constraint_ = ends},
+           .version_constraint_ = constraint},
           1060ms},
-      Row{"a late one on old weights",
+      Row{"late, on an older version",
           {.target_latency_ = 500ms,
            .on_time_ = false,
            .weights_version_ = 1,
-           .version_constraint_ = ends},
+           .version_constraint_ = constraint},
           1060ms},
-      Row{"a plain service",
-          {.target_latency_ = 300ms, .version_constraint_ = ends},
+      Row{"a service without weights",
+          {.target_latency_ = 300ms, .version_constraint_ = constraint},
           1200ms});
   CAPTURE(row.name_);
   row.attempt_.sent_at_ = kSent;
-  CHECK(FirstByteDeadline(row.attempt_) == kSent + row.patience_);
+  CHECK(FirstByteDeadline(row.attempt_) == kSent + row.timeout_);
 }
 
 }  // namespace
--- a/tests/routing/request_tracker_test.cpp
+++ b/tests/routing/request_tracker_test.cpp
@@ -1,4 +1,4 @@
-// One table of how attempts end and what the caller is told.
+// Outcomes of requests by the ends of their attempts.
 #include "chalkwell/routing/request_tracker.hpp"
 
 #include <catch2/catch.hpp>
@@ -10,8 +10,8 @@
 using enum AttemptEnd;
 
 constexpr auto kAnswered = Outcome::kAnswered;
-constexpr auto kToldNotRun = Outcome::kRefusedNotRun;
-constexpr auto kToldFailed = Outcome::kFailedRan;
+constexpr auto kReportedNotRun = Outcome::kRefusedNotRun;
+constexpr auto kReportedFailed = Outcome::kFailedRan;
 constexpr auto kUnknown = Outcome::kUnknown;
 
 const core::TimePoint kStart(1h);
@@ -51,23 +51,23 @@
        {true, false, {kLost, kComplete}, kAnswered, 2},
        {true, false, {kFailedRan, kComplete}, kAnswered, 2},
        {true, true, {kLost, kComplete}, kUnknown, 1},
-       {true, true, {kFailedRan}, kToldFailed, 1},
-       {true, false, {kRefusedNotRun, kRefusedNotRun}, kToldNotRun, 2},
+       {true, true, {kFailedRan}, kReportedFailed, 1},
+       {true, false, {kRefusedNotRun, kRefusedNotRun}, kReportedNotRun, 2},
        {true, false, {kLost, kRefusedNotRun}, kUnknown, 2},
-       {true, false, {kLost, kFailedRan, kRefusedNotRun}, kToldFailed, 3},
-       {true, false, std::vector<AttemptEnd>{}, kToldNotRun, 0},
+       {true, false, {kLost, kFailedRan, kRefusedNotRun}, kReportedFailed, 3},
+       {true, false, std::vector<AttemptEnd>{}, kReportedNotRun, 0},
        {false, false, {kComplete}, kAnswered, 1},
        {false, false, {kNeverSent, kComplete}, kAnswered, 2},
        {false, false, {kRefusedNotRun, kComplete}, kAnswered, 2},
        {false, false, {kLost, kComplete}, kUnknown, 1},
-       {false, false, {kFailedRan, kComplete}, kToldFailed, 1}}));
+       {false, false, {kFailedRan, kComplete}, kReportedFailed, 1}}));
   RequestTracker tracker(
       {.repeatable_ = row.repeatable_, .deadline_ = kStart + 1s});
   CHECK(Run(tracker, row.ends_, row.forwarded_) == row.outcome_);
   CHECK(tracker.attempt() == row.attempts_);
 }
 
-TEST_CASE("a caller's ticket makes refusal certain only by the agent",
+TEST_CASE("with a caller's ticket only the agent can report that nothing ran",
           "[routing]") {
   struct Row {
     std::vector<AttemptEnd> ends_;
@@ -75,13 +75,13 @@
   };
   const auto [ends, outcome] =
       GENERATE(Row{{}, kUnknown}, Row{{kNeverSent}, kUnknown},
-               Row{{kRefusedNotRun}, kToldNotRun});
+               Row{{kRefusedNotRun}, kReportedNotRun});
   RequestTracker tracker(
       {.deadline_ = kStart + 1s, .may_have_run_before_ = true});
   CHECK(Run(tracker, ends, false) == outcome);
 }
 
-TEST_CASE("an answer that was begun goes on after what the caller has",
+TEST_CASE("a response that was begun resumes after the events forwarded",
           "[routing]") {
   RequestTracker tracker(
       {.repeatable_ = true, .resumable_ = true, .deadline_ = kStart + 1s});
@@ -95,19 +95,21 @@
   CHECK(std::get<SendAttempt>(sent.back()).resume_from_ == 3);
 }
 
-TEST_CASE("retries stop at the budget and at the deadline", "[routing]") {
-  RequestTracker poor(
+TEST_CASE(
+    "retries stop when the budget is exhausted or the deadline has passed",
+    "[routing]") {
+  RequestTracker without_budget(
       {.repeatable_ = true,
        .deadline_ = kStart + 1s,
        .may_retry_ = [](RetryKind, core::TimePoint) { return false; }});
-  CHECK(Run(poor, {AttemptEnd::kLost, AttemptEnd::kComplete}, false) ==
-        kUnknown);
+  CHECK(Run(without_budget, {AttemptEnd::kLost, AttemptEnd::kComplete},
+            false) == kUnknown);
   RequestTracker late({.repeatable_ = true, .deadline_ = kStart});
   CHECK(std::get<FinishRequest>(late.Start(kStart).back()).outcome_ ==
-        kToldNotRun);
+        kReportedNotRun);
 }
 
-TEST_CASE("late answers and late ends are dropped", "[routing]") {
+TEST_CASE("responses and ends of earlier attempts are ignored", "[routing]") {
   RequestTracker tracker({.repeatable_ = true, .deadline_ = kStart + 1s});
   (void)tracker.Start(kStart);
   (void)tracker.OnChosen(core::InstanceId("a"), kStart);
@@ -118,8 +120,9 @@
   CHECK(tracker.AcceptResponseBytes(2));
 }
 
-TEST_CASE("an answer from other weights is cancelled before a byte",
-          "[routing]") {
+TEST_CASE(
+    "a response from other weights is cancelled before any byte is forwarded",
+    "[routing]") {
   RequestTracker tracker({.repeatable_ = true, .deadline_ = kStart + 1s});
   (void)tracker.Start(kStart);
   (void)tracker.OnChosen(core::InstanceId("a"), kStart);
@@ -129,7 +132,7 @@
   CHECK_FALSE(tracker.AcceptResponseBytes(1));
 }
 
-TEST_CASE("giving up is final at once", "[routing]") {
+TEST_CASE("giving up finishes the request at once", "[routing]") {
   RequestTracker tracker({.repeatable_ = true, .deadline_ = kStart + 1s});
   (void)tracker.Start(kStart);
   (void)tracker.OnChosen(core::InstanceId("a"), kStart);
