--- a/packages/chalkwell/src/chalkwell/routing/fair_queue.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/fair_queue.cpp
@@ -1,4 +1,4 @@
-// Start-time fair queueing; the pace of releases bounds what is queued.
+// Start-time fair queueing; the rate of releases bounds the queues.
 #include "chalkwell/routing/fair_queue.hpp"
 
 #include <algorithm>
@@ -6,12 +6,13 @@
 namespace chalkwell::routing {
 namespace {
 
-/// Weight of the newest interval in the smoothed pace.
+/// The newest release interval has a weight of 1/8 in the smoothed one.
 constexpr int kSmoothing = 8;
-/// Steps by which the usual service is followed: a slower one raises it nine
-/// times as much as a quicker one lowers it, so nine in ten lie below.
-constexpr int kServiceRise = 18;
-constexpr int kServiceFall = 162;
+/// Divisors of the steps of the quantile estimate: a sample above it raises it
+/// nine times as much as one below it lowers it, so that it converges to the
+/// 90th percentile.
+constexpr int kServiceTimeRise = 18;
+constexpr int kServiceTimeFall = 162;
 
 }  // namespace
 
@@ -23,13 +24,15 @@
   if (in_flight_ < limits_.max_in_flight_) {
     return {};
   }
-  const auto own = found == accounts_.end() ? 0 : found->second.queue_.size();
-  const auto busy = static_cast<std::size_t>(
+  const auto queued =
+      found == accounts_.end() ? 0 : found->second.queue_.size();
+  const auto other_accounts = static_cast<std::size_t>(
       std::ranges::count_if(accounts_, [&](const auto& entry) {
         return !entry.second.queue_.empty() && entry.first != account;
       }));
-  // Each other busy account takes a turn for each of ours.
-  return release_interval_ * static_cast<int>((own + 1) * (busy + 1));
+  // Each other account with a queue starts one request per request of this one.
+  return release_interval_ *
+         static_cast<int>((queued + 1) * (other_accounts + 1));
 }
 
 bool FairQueue::Offer(const QueuedRequest& request, core::TimePoint now) {
@@ -38,7 +41,7 @@
     return false;
   }
   const auto wait = EstimatedWait(request.account_);
-  if (now + wait + TimeToServe(request, now) >= request.deadline_) {
+  if (now + wait + ReservedServiceTime(request, now) >= request.deadline_) {
     return false;
   }
   if (account.queue_.empty()) {
@@ -76,12 +79,13 @@
 std::vector<QueuedRequest> FairQueue::TakeExpired(core::TimePoint now) {
   std::vector<QueuedRequest> expired;
   for (auto& [id, account] : accounts_) {
-    std::erase_if(account.queue_, [&](const Waiting& held) {
-      const auto serve = TimeToServe(held.request_, held.offered_at_);
-      if (held.request_.deadline_ > now + serve) {
+    std::erase_if(account.queue_, [&](const Waiting& item) {
+      const auto service_time =
+          ReservedServiceTime(item.request_, item.offered_at_);
+      if (item.request_.deadline_ > now + service_time) {
         return false;
       }
-      expired.push_back(held.request_);
+      expired.push_back(item.request_);
       return true;
     });
   }
@@ -91,8 +95,8 @@
 
 void FairQueue::Remove(std::uint64_t request) {
   for (auto& [id, account] : accounts_) {
-    waiting_ -= std::erase_if(account.queue_, [&](const Waiting& held) {
-      return held.request_.request_ == request;
+    waiting_ -= std::erase_if(account.queue_, [&](const Waiting& item) {
+      return item.request_.request_ == request;
     });
   }
 }
@@ -106,18 +110,18 @@
   last_release_ = now;
 }
 
-core::Duration FairQueue::TimeToServe(const QueuedRequest& request,
-                                      core::TimePoint offered_at) const {
-  return std::min(usual_service_, (request.deadline_ - offered_at) / 2);
+core::Duration FairQueue::ReservedServiceTime(
+    const QueuedRequest& request, core::TimePoint offered_at) const {
+  return std::min(service_time_p90_, (request.deadline_ - offered_at) / 2);
 }
 
-void FairQueue::OnServiceTime(core::Duration service) noexcept {
-  if (usual_service_ == core::Duration{}) {
-    usual_service_ = service;
-  } else if (service > usual_service_) {
-    usual_service_ += usual_service_ / kServiceRise;
+void FairQueue::OnServiceTime(core::Duration service_time) noexcept {
+  if (service_time_p90_ == core::Duration{}) {
+    service_time_p90_ = service_time;
+  } else if (service_time > service_time_p90_) {
+    service_time_p90_ += service_time_p90_ / kServiceTimeRise;
   } else {
-    usual_service_ -= usual_service_ / kServiceFall;
+    service_time_p90_ -= service_time_p90_ / kServiceTimeFall;
   }
 }
 
--- a/packages/chalkwell/src/chalkwell/routing/fair_queue.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/fair_queue.hpp
@@ -1,5 +1,5 @@
-// Admission: weighted fair share of the entry's capacity between client
-// accounts, with queues bounded by each request's deadline.
+// Admission: shares the entry's capacity between client accounts by weight,
+// with queues bounded by the deadlines of requests.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace chalkwell::routing {
 
-/// @brief A request that waits for its turn.
+/// @brief A request waiting to be started.
 struct QueuedRequest {
   std::uint64_t request_ = 0;
   core::ClientAccountId account_;
@@ -22,45 +22,44 @@
   core::TimePoint deadline_;
 };
 
-/// @brief Sizes of the queue.
+/// @brief Limits of the queue.
 struct QueueLimits {
-  /// Requests in flight at once.
+  /// Concurrent requests in flight.
   std::size_t max_in_flight_ = 256;
-  /// Requests waiting for one account.
+  /// Waiting requests per account.
   std::size_t max_waiting_ = 256;
 };
 
-/// @brief Start-time fair queueing over client accounts.
+/// @brief Start-time fair queueing (SFQ) over client accounts.
 class FairQueue {
  public:
   explicit FairQueue(QueueLimits limits);
 
   [[nodiscard]] std::size_t in_flight() const noexcept { return in_flight_; }
   [[nodiscard]] std::size_t waiting() const noexcept { return waiting_; }
-  /// @brief Time a new request of the account would wait, from the pace of
-  /// late; zero when nothing is known.
+  /// @brief Estimated wait of a new request of the account, by the recent rate
+  /// of releases; zero when that is not known.
   [[nodiscard]] core::Duration EstimatedWait(
       const core::ClientAccountId& account) const;
 
-  /// @brief Time within which most requests are answered once started; zero
-  /// when nothing is known.
+  /// @brief Estimated 90th percentile of service time; zero when not known.
   [[nodiscard]] core::Duration service_time_p90() const noexcept {
-    return usual_service_;
+    return service_time_p90_;
   }
 
-  /// @return false when the request must be refused at once: its account's
-  /// queue is full, or its deadline would pass in the queue or soon after.
+  /// @return false when the request must be refused: its account's queue is
+  /// full, or its deadline would pass in the queue or during service.
   [[nodiscard]] bool Offer(const QueuedRequest& request, core::TimePoint now);
-  /// @brief Next request to start, if one may.
+  /// @brief Dequeues the next request, if one may start.
   [[nodiscard]] std::optional<QueuedRequest> Next();
-  /// @brief Requests that can no longer be answered within their deadline.
+  /// @brief Removes requests that can no longer meet their deadline.
   [[nodiscard]] std::vector<QueuedRequest> TakeExpired(core::TimePoint now);
-  /// @brief The caller of a waiting request went away.
+  /// @brief Removes a waiting request whose caller disconnected.
   void Remove(std::uint64_t request);
-  /// @brief A started request has ended.
+  /// @brief Frees the place of a started request that has ended.
   void Release(core::TimePoint now);
-  /// @brief A started request was answered so long after its start.
-  void OnServiceTime(core::Duration service) noexcept;
+  /// @brief Adds a sample of the time from start to response.
+  void OnServiceTime(core::Duration service_time) noexcept;
   void SetMaxInFlight(std::size_t limit) noexcept {
     limits_.max_in_flight_ = limit;
   }
@@ -72,28 +71,28 @@
   };
   struct Account {
     std::deque<Waiting> queue_;
-    /// Virtual time at which its next request starts.
+    /// Virtual start time of its next request.
     double next_start_ = 0;
   };
 
-  /// @brief Time that a request is given once started: what most take, but at
-  /// most half of what it had when it was offered, so that a short deadline
-  /// among long answers is not refused unseen.
-  [[nodiscard]] core::Duration TimeToServe(const QueuedRequest& request,
-                                           core::TimePoint offered_at) const;
+  /// @brief Time reserved for serving a request: the 90th percentile of service
+  /// time, but at most half of the time to its deadline when it was offered, so
+  /// that short deadlines are not always refused where service times are long.
+  [[nodiscard]] core::Duration ReservedServiceTime(
+      const QueuedRequest& request, core::TimePoint offered_at) const;
 
   QueueLimits limits_;
   std::map<core::ClientAccountId, Account> accounts_;
-  /// Virtual time of the last start; only rises.
+  /// Virtual start time of the last request started; never decreases.
   double virtual_time_ = 0;
   std::size_t in_flight_ = 0;
-  /// Sum of all queues.
+  /// Total length of all queues.
   std::size_t waiting_ = 0;
-  /// Smoothed time between releases while others wait.
+  /// Exponentially smoothed time between releases while requests wait.
   core::Duration release_interval_{};
   std::optional<core::TimePoint> last_release_;
-  /// Follows the time that nine in ten are answered within.
-  core::Duration usual_service_{};
+  /// Running estimate of the 90th percentile of service time.
+  core::Duration service_time_p90_{};
 };
 
 }  // namespace chalkwell::routing
--- a/packages/chalkwell/src/chalkwell/routing/slot_queue.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/slot_queue.cpp
@@ -7,16 +7,16 @@
 namespace chalkwell::routing {
 
 std::size_t SlotQueue::active_senders(core::TimePoint now) const {
-  const auto active = std::ranges::count_if(last_offer_, [&](const auto& held) {
-    return now - held.second <= limits_.sender_activity_window_;
+  const auto active = std::ranges::count_if(last_offer_, [&](const auto& item) {
+    return now - item.second <= limits_.sender_activity_window_;
   });
   return std::max<std::size_t>(1, static_cast<std::size_t>(active));
 }
 
 SlotDecision SlotQueue::Offer(std::uint64_t run, const core::InstanceId& sender,
                               core::TimePoint now) {
-  std::erase_if(last_offer_, [&](const auto& held) {
-    return now - held.second > limits_.sender_activity_window_;
+  std::erase_if(last_offer_, [&](const auto& item) {
+    return now - item.second > limits_.sender_activity_window_;
   });
   last_offer_[sender] = now;
   if (in_use_ < limits_.capacity_ && waiting_ == 0) {
@@ -28,7 +28,7 @@
   }
   auto& queue = queues_[sender];
   if (queue.empty()) {
-    turns_.push_back(sender);
+    order_.push_back(sender);
   }
   queue.push_back(run);
   ++waiting_;
@@ -36,18 +36,18 @@
 }
 
 std::optional<std::uint64_t> SlotQueue::Next() {
-  if (in_use_ >= limits_.capacity_ || turns_.empty()) {
+  if (in_use_ >= limits_.capacity_ || order_.empty()) {
     return std::nullopt;
   }
-  const auto sender = std::move(turns_.front());
-  turns_.pop_front();
+  const auto sender = std::move(order_.front());
+  order_.pop_front();
   const auto queue = queues_.find(sender);
   const auto run = queue->second.front();
   queue->second.pop_front();
   if (queue->second.empty()) {
     queues_.erase(queue);
   } else {
-    turns_.push_back(sender);
+    order_.push_back(sender);
   }
   --waiting_;
   ++in_use_;
@@ -63,7 +63,7 @@
     queue.erase(found);
     --waiting_;
     if (queue.empty()) {
-      std::erase(turns_, sender);
+      std::erase(order_, sender);
       queues_.erase(core::InstanceId(sender));
     }
     return true;
@@ -77,7 +77,7 @@
     runs.insert(runs.end(), queue.begin(), queue.end());
   }
   queues_.clear();
-  turns_.clear();
+  order_.clear();
   waiting_ = 0;
   return runs;
 }
--- a/packages/chalkwell/src/chalkwell/routing/slot_queue.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/slot_queue.hpp
@@ -1,5 +1,5 @@
 // Slots of one endpoint, shared by the entries that send to it: a short queue
-// in front of the back end, in which entries take turns.
+// in front of the back end that is served round robin over entries.
 #pragma once
 
 #include <cstdint>
@@ -14,62 +14,63 @@
 
 namespace chalkwell::routing {
 
-/// @brief Sizes of an endpoint's queue.
+/// @brief Limits of an endpoint's queue.
 struct SlotLimits {
-  /// Runs at the back end at once.
+  /// Concurrent runs at the back end.
   std::size_t capacity_ = 32;
-  /// Runs that may wait for a slot, of all senders together.
+  /// Runs that may wait for a slot, over all senders.
   std::size_t max_waiting_ = 32;
-  /// A sender counts as active for this long after its last run.
+  /// A sender counts as active for this long after it last offered a run.
   core::Duration sender_activity_window_ = std::chrono::seconds(5);
 };
 
-/// @brief What becomes of a run that is offered.
+/// @brief Result of offering a run.
 enum class SlotDecision : std::uint8_t {
-  /// It has a slot; release it at its end.
+  /// It has a slot; call `Release` when it ends.
   kStart,
-  /// It waits; `Next` names it when its turn comes.
+  /// It waits until `Next` returns it.
   kWait,
-  /// There is no room; it has not run and never will.
+  /// The queue is full; the run is not started, now or later.
   kFull,
 };
 
-/// @brief Decides which run gets the next slot.
+/// @brief Assigns slots to runs.
 ///
-/// The endpoint is the one place that all its entries meet, so it alone knows
-/// how many share it; they learn that number with each answer.
+/// Only the endpoint receives runs from all its entries and so knows how many
+/// share it. It reports that number to them with each response.
 class SlotQueue {
  public:
   explicit SlotQueue(SlotLimits limits = {}) noexcept : limits_(limits) {}
 
   [[nodiscard]] std::size_t in_use() const noexcept { return in_use_; }
   [[nodiscard]] std::size_t waiting() const noexcept { return waiting_; }
-  /// @brief Senders active of late; at least 1.
+  /// @brief Number of recently active senders; at least 1.
   [[nodiscard]] std::size_t active_senders(core::TimePoint now) const;
 
   [[nodiscard]] SlotDecision Offer(std::uint64_t run,
                                    const core::InstanceId& sender,
                                    core::TimePoint now);
-  /// @brief Gives a free slot to the sender whose turn it is.
+  /// @brief Assigns a free slot to the next waiting run, round robin over
+  /// senders.
   [[nodiscard]] std::optional<std::uint64_t> Next();
-  /// @brief A waiting run was given up.
-  /// @return false when it does not wait.
+  /// @brief Removes a waiting run that was cancelled.
+  /// @return false if it is not waiting.
   bool Remove(std::uint64_t run);
-  /// @brief Empties the queue, for instance when the endpoint leaves.
+  /// @brief Removes all waiting runs, for instance when the endpoint drains.
   [[nodiscard]] std::vector<std::uint64_t> TakeWaiting();
-  /// @brief A run that had a slot has ended.
-  /// @warning Call it once for each slot given by `Offer` or `Next`.
+  /// @brief Frees the slot of a run that has ended.
+  /// @warning Call it exactly once for each slot assigned by `Offer` or `Next`.
   void Release() noexcept { --in_use_; }
 
  private:
   SlotLimits limits_;
   /// At most the capacity.
   std::size_t in_use_ = 0;
-  /// Sum of the queues in `queues_`.
+  /// Total length of the queues in `queues_`.
   std::size_t waiting_ = 0;
   std::map<core::InstanceId, std::deque<std::uint64_t>> queues_;
-  /// Senders with a queue that is not empty, next turn first.
-  std::deque<core::InstanceId> turns_;
+  /// Senders with waiting runs, in round robin order.
+  std::deque<core::InstanceId> order_;
   std::map<core::InstanceId, core::TimePoint> last_offer_;
 };
 
--- a/tests/routing/slot_queue_test.cpp
+++ b/tests/routing/slot_queue_test.cpp
@@ -1,5 +1,5 @@
-// Slots of an endpoint: a table of verdicts, and random lives against a simple
-// oracle.
+// Slots of an endpoint: a table of results, and random sequences of calls
+// checked against a reference model.
 #include "chalkwell/routing/slot_queue.hpp"
 
 #include <rapidcheck.h>
@@ -36,7 +36,8 @@
   CHECK(slots.Offer(++run, kSouth, kStart) == row.verdict_);
 }
 
-TEST_CASE("entries take turns, whoever sends more", "[routing]") {
+TEST_CASE("slots are assigned round robin over entries, whatever their load",
+          "[routing]") {
   SlotQueue slots({.capacity_ = 1, .max_waiting_ = 10});
   (void)slots.Offer(1, kNorth, kStart);
   for (const std::uint64_t run : {2, 3, 4}) {
@@ -52,7 +53,7 @@
   CHECK(order == std::vector<std::uint64_t>{2, 5, 3, 4});
 }
 
-TEST_CASE("sharers are the senders of late, at least one", "[routing]") {
+TEST_CASE("recently active senders are counted, at least one", "[routing]") {
   SlotQueue slots({.sender_activity_window_ = 5s});
   CHECK(slots.active_senders(kStart) == 1);
   (void)slots.Offer(1, kNorth, kStart);
@@ -62,58 +63,59 @@
   CHECK(slots.active_senders(kStart + 60s) == 1);
 }
 
-/// What must be true, kept as plainly as can be.
-struct SlotOracle {
+/// Reference model.
+struct SlotModel {
   std::set<std::uint64_t> running_;
   std::map<std::uint64_t, int> waiting_;
 };
 
-TEST_CASE("no run is lost or started twice, and slots do not stay empty",
-          "[routing]") {
+TEST_CASE(
+    "no run is lost or started twice, and no slot is free while runs wait",
+    "[routing]") {
   rc::prop("slot queue", [] {
     constexpr std::size_t kCapacity = 3;
     constexpr std::size_t kMaxWaiting = 5;
     SlotQueue slots({.capacity_ = kCapacity, .max_waiting_ = kMaxWaiting});
-    SlotOracle oracle;
+    SlotModel model;
     std::uint64_t next = 0;
     const auto start_waiting = [&] {
       while (const auto run = slots.Next()) {
-        RC_ASSERT(oracle.waiting_.erase(*run) == 1U);
-        RC_ASSERT(oracle.running_.insert(*run).second);
+        RC_ASSERT(model.waiting_.erase(*run) == 1U);
+        RC_ASSERT(model.running_.insert(*run).second);
       }
     };
     const auto steps =
         *rc::gen::container<std::vector<int>>(300, rc::gen::inRange(0, 100));
-    for (const int lot : steps) {
-      const int sender = lot % 4;
-      if (lot < 60) {
+    for (const int step : steps) {
+      const int sender = step % 4;
+      if (step < 60) {
         const auto verdict = slots.Offer(
             ++next, core::InstanceId(std::to_string(sender)), kStart);
-        const bool full = oracle.running_.size() == kCapacity;
+        const bool full = model.running_.size() == kCapacity;
         RC_ASSERT((verdict == SlotDecision::kStart) == !full);
         if (verdict == SlotDecision::kStart) {
-          oracle.running_.insert(next);
+          model.running_.insert(next);
         } else if (verdict == SlotDecision::kWait) {
-          oracle.waiting_[next] = sender;
+          model.waiting_[next] = sender;
         } else {
-          RC_ASSERT(oracle.waiting_.size() == kMaxWaiting);
+          RC_ASSERT(model.waiting_.size() == kMaxWaiting);
         }
-      } else if (lot < 85 && !oracle.running_.empty()) {
-        oracle.running_.erase(oracle.running_.begin());
+      } else if (step < 85 && !model.running_.empty()) {
+        model.running_.erase(model.running_.begin());
         slots.Release();
         start_waiting();
-      } else if (lot < 97 && !oracle.waiting_.empty()) {
-        const auto run = oracle.waiting_.begin()->first;
-        oracle.waiting_.erase(run);
+      } else if (step < 97 && !model.waiting_.empty()) {
+        const auto run = model.waiting_.begin()->first;
+        model.waiting_.erase(run);
         RC_ASSERT(slots.Remove(run));
         RC_ASSERT(!slots.Remove(run));
-      } else if (lot >= 97) {
-        RC_ASSERT(slots.TakeWaiting().size() == oracle.waiting_.size());
-        oracle.waiting_.clear();
+      } else if (step >= 97) {
+        RC_ASSERT(slots.TakeWaiting().size() == model.waiting_.size());
+        model.waiting_.clear();
       }
-      RC_ASSERT(slots.in_use() == oracle.running_.size());
-      RC_ASSERT(slots.waiting() == oracle.waiting_.size());
-      RC_ASSERT(oracle.waiting_.empty() || oracle.running_.size() == kCapacity);
+      RC_ASSERT(slots.in_use() == model.running_.size());
+      RC_ASSERT(slots.waiting() == model.waiting_.size());
+      RC_ASSERT(model.waiting_.empty() || model.running_.size() == kCapacity);
     }
   });
 }
