--- a/packages/chalkwell/src/chalkwell/bundle/bundle.cpp
+++ b/packages/chalkwell/src/chalkwell/bundle/bundle.cpp
@@ -1,4 +1,4 @@
-// Canonical JSON of bundles and manifests, with checks that name the field.
+// Canonical JSON of bundles and manifests; parse errors name the invalid field.
 #include "chalkwell/bundle/bundle.hpp"
 
 #include <algorithm>
--- a/packages/chalkwell/src/chalkwell/bundle/bundle.hpp
+++ b/packages/chalkwell/src/chalkwell/bundle/bundle.hpp
@@ -1,5 +1,5 @@
-// The bundle (what operators sign) and the manifest (what it names): the
-// manifest lists the chunks of each file by digest.
+// The bundle, which operators sign, and the manifest that it refers to by
+// digest. The manifest lists the chunks of each file by digest.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace chalkwell::bundle {
 
-/// @brief A contiguous piece of one file.
+/// @brief A contiguous range of one file.
 struct Chunk {
   core::Digest digest_;
   /// Bytes, more than zero.
@@ -22,12 +22,12 @@
   friend bool operator==(const Chunk&, const Chunk&) = default;
 };
 
-/// @brief What a file is to the engine.
+/// @brief How the engine uses a file.
 enum class FileKind : std::uint8_t { kModel, kAdapter };
 
 /// @brief One file of the weights.
 struct ManifestFile {
-  /// Relative, without "." or ".." parts.
+  /// Relative, without "." or ".." components.
   std::string path_;
   FileKind kind_ = FileKind::kModel;
   std::vector<Chunk> chunks_;
@@ -35,40 +35,42 @@
   [[nodiscard]] std::uint64_t size() const noexcept;
 };
 
-/// @brief All files of one version of the weights; content-addressed.
+/// @brief All files of one version of the weights, identified by content
+/// digest.
 struct Manifest {
-  /// Ordered by path; no path twice.
+  /// Ordered by path; paths are unique.
   std::vector<ManifestFile> files_;
 
-  /// @brief Chunks of all files in order; an index into it names a chunk.
+  /// @brief Chunks of all files in order; the index in it identifies a chunk.
   [[nodiscard]] std::vector<Chunk> AllChunks() const;
   [[nodiscard]] std::uint64_t total_size() const noexcept;
 };
 
-/// @brief A versioned order to the fleet.
+/// @brief The weights that the endpoints of the given roles have to serve, as
+/// published by operators.
 struct Bundle {
-  /// Rises by operators' hand; at least 1. The highest signed one is in force.
+  /// At least 1, incremented by operators; the highest signed version is
+  /// active.
   std::uint64_t version_ = 0;
   std::string model_;
   std::vector<std::string> adapters_;
-  /// Roles of the endpoints that shall run it; at least one.
+  /// Roles of the endpoints that serve it; at least one.
   std::vector<core::Role> roles_;
   core::Digest manifest_;
-  /// Bytes of all chunks.
+  /// Total size of all chunks in bytes.
   std::uint64_t total_size_ = 0;
 
   [[nodiscard]] bool AppliesTo(const core::Role& role) const noexcept;
 };
 
-/// @brief Canonical JSON of a bundle: equal bundles give equal bytes.
+/// @brief Writes canonical JSON: equal bundles give equal bytes.
 [[nodiscard]] std::string Serialize(const Bundle& bundle);
+/// @brief Writes canonical JSON: equal manifests give equal bytes.
 [[nodiscard]] std::string Serialize(const Manifest& manifest);
-/// @brief Reads a bundle.
-/// @throws core::Error that names the field and the fix.
+/// @throws core::Error that names the invalid field and how to correct it.
 [[nodiscard]] Bundle ParseBundle(std::string_view text);
-/// @brief Reads a manifest.
-/// @throws core::Error that names the field and the fix, also for path escapes
-/// and duplicate names.
+/// @throws core::Error that names the invalid field and how to correct it, also
+/// for paths that leave the root directory and duplicate paths.
 [[nodiscard]] Manifest ParseManifest(std::string_view text);
 
 }  // namespace chalkwell::bundle
--- a/packages/chalkwell/src/chalkwell/bundle/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/bundle/fwd.hpp
@@ -1,4 +1,5 @@
-// Vocabulary of the bundle module: what operators sign and what it names.
+// Forward declarations of the bundle module: signed bundles and their
+// manifests.
 #pragma once
 
 namespace chalkwell::bundle {
--- a/packages/chalkwell/src/chalkwell/bundle/signature.cpp
+++ b/packages/chalkwell/src/chalkwell/bundle/signature.cpp
@@ -1,4 +1,4 @@
-// Signatures by libsodium; envelopes as JSON with hexadecimal fields.
+// Signatures use libsodium; envelopes are JSON with hexadecimal signatures.
 #include "chalkwell/bundle/signature.hpp"
 
 #include <sodium.h>
@@ -29,6 +29,7 @@
   return parsed && written == size && text.size() == 2 * size;
 }
 
+/// The bytes that a signature covers: context, a zero byte, payload.
 std::string SignedBytes(std::string_view context, std::string_view payload) {
   std::string bytes(context);
   bytes.push_back('\0');
--- a/packages/chalkwell/src/chalkwell/bundle/signature.hpp
+++ b/packages/chalkwell/src/chalkwell/bundle/signature.hpp
@@ -1,4 +1,4 @@
-// Ed25519 keys and signed envelopes; several keys may be trusted at once.
+// Ed25519 keys and signed envelopes. Several keys may be trusted at a time.
 #pragma once
 
 #include <array>
@@ -19,7 +19,7 @@
 struct PublicKey {
   std::array<std::uint8_t, 32> bytes_{};
 
-  /// @brief Short name of the key: the first 16 digits of its digest.
+  /// @brief Key id: the first 16 hexadecimal digits of the key's digest.
   [[nodiscard]] std::string KeyId() const;
   [[nodiscard]] std::string ToHex() const;
   [[nodiscard]] static std::optional<PublicKey> FromHex(std::string_view text);
@@ -33,7 +33,8 @@
   std::array<std::uint8_t, 64> secret_{};
 
   [[nodiscard]] static KeyPair Generate();
-  /// @brief Derives the pair from a 32-byte seed; for tests and demos only.
+  /// @brief Derives the pair from a seed, which is truncated or zero-padded to
+  /// 32 bytes; for tests and demos only.
   [[nodiscard]] static KeyPair FromSeed(std::string_view seed);
   [[nodiscard]] std::string SecretToHex() const;
   [[nodiscard]] static std::optional<KeyPair> FromSecretHex(
@@ -47,18 +48,19 @@
   std::string signature_;
 };
 
-/// @brief Signs a payload; equal input gives equal bytes.
-/// @param context names what is signed, so that no document passes for another.
+/// @brief Signs a payload deterministically.
+/// @param context domain separation: identifies the kind of document, so that a
+/// signature is not valid for another kind.
 [[nodiscard]] SignedEnvelope Sign(const KeyPair& key, std::string_view context,
                                   std::string payload);
 [[nodiscard]] std::string Serialize(const SignedEnvelope& envelope);
-/// @throws core::Error that names the field and the fix.
+/// @throws core::Error that names the invalid field and how to correct it.
 [[nodiscard]] SignedEnvelope ParseEnvelope(std::string_view text);
 
-/// @brief Result of checking a signature.
+/// @brief Result of verifying a signature.
 enum class SignatureVerdict : std::uint8_t { kValid, kUnknownKey, kInvalid };
 
-/// @brief The set of keys whose signatures count.
+/// @brief The set of keys whose signatures are accepted.
 class TrustedKeys {
  public:
   TrustedKeys() = default;
@@ -73,9 +75,9 @@
   std::map<std::string, PublicKey> keys_;
 };
 
-/// @brief Context under which bundles are signed.
+/// @brief Signature context of bundles.
 inline constexpr std::string_view kBundleContext = "chalkwell-bundle-v1";
-/// @brief Context under which lists of trusted keys are signed.
+/// @brief Signature context of lists of trusted keys.
 inline constexpr std::string_view kTrustContext = "chalkwell-trust-v1";
 
 }  // namespace chalkwell::bundle
--- a/tests/bundle/bundle_test.cpp
+++ b/tests/bundle/bundle_test.cpp
@@ -1,4 +1,5 @@
-// Bundles and manifests: what is refused, with which field.
+// Bundles and manifests: serialization, and the rejection of invalid documents
+// with the name of the invalid field.
 #include "chalkwell/bundle/bundle.hpp"
 
 #include <catch2/catch.hpp>
@@ -16,7 +17,7 @@
          R"(","size":)" + size + "}]}]}";
 }
 
-TEST_CASE("a bundle survives its canonical form", "[bundle]") {
+TEST_CASE("a bundle round-trips through its canonical JSON", "[bundle]") {
   Bundle bundle;
   bundle.version_ = 3;
   bundle.model_ = "model";
@@ -30,7 +31,7 @@
   CHECK_FALSE(ParseBundle(text).AppliesTo(core::Role("records")));
 }
 
-TEST_CASE("a malformed bundle names its field", "[bundle]") {
+TEST_CASE("the error of a malformed bundle names the field", "[bundle]") {
   using Row = std::tuple<std::string, std::string>;
   const auto [text, field] = GENERATE_COPY(
       Row{"", "bundle"}, Row{"[]", "bundle"}, Row{"{}", "version"},
@@ -44,14 +45,14 @@
   CHECK_THROWS_WITH(ParseBundle(text), Catch::Contains("'" + field + "'"));
 }
 
-TEST_CASE("paths that escape are refused", "[bundle]") {
+TEST_CASE("paths that leave the root directory are rejected", "[bundle]") {
   const auto path = GENERATE(as<std::string>{}, "/etc/passwd", "../x", "a/../b",
                              "a//b", "./a", "a/", "a\\\\b");
   CHECK_THROWS_WITH(ParseManifest(ManifestWith(path, "1")),
                     Catch::Contains("files.path"));
 }
 
-TEST_CASE("empty chunks and duplicate names are refused", "[bundle]") {
+TEST_CASE("empty chunks and duplicate paths are rejected", "[bundle]") {
   CHECK_THROWS_AS(ParseManifest(ManifestWith("a", "0")), core::Error);
   const auto one = ManifestWith("a", "1");
   const auto file = one.substr(10, one.size() - 12);
--- a/tests/bundle/signature_test.cpp
+++ b/tests/bundle/signature_test.cpp
@@ -1,4 +1,5 @@
-// Signatures: only trusted keys, exact bytes, right context.
+// Signatures are valid only with a trusted key, the exact payload and the same
+// context.
 #include "chalkwell/bundle/signature.hpp"
 
 #include <catch2/catch.hpp>
@@ -8,7 +9,8 @@
 namespace chalkwell::bundle {
 namespace {
 
-TEST_CASE("a signature counts only as given", "[bundle]") {
+TEST_CASE("a signature is valid only for its key, payload and context",
+          "[bundle]") {
   const auto key = KeyPair::FromSeed("a");
   const auto other = KeyPair::FromSeed("b");
   const TrustedKeys trusted({key.public_});
@@ -22,7 +24,8 @@
   CHECK(trusted.Verify(changed, kBundleContext) == SignatureVerdict::kInvalid);
 }
 
-TEST_CASE("envelopes and keys survive their text forms", "[bundle]") {
+TEST_CASE("envelopes and keys round-trip through their text forms",
+          "[bundle]") {
   const auto key = KeyPair::FromSeed("a");
   const auto envelope = Sign(key, kBundleContext, "payload");
   const auto parsed = ParseEnvelope(Serialize(envelope));
@@ -32,7 +35,7 @@
   CHECK_FALSE(PublicKey::FromHex("12").has_value());
 }
 
-TEST_CASE("a malformed envelope names its field", "[bundle]") {
+TEST_CASE("the error of a malformed envelope names the field", "[bundle]") {
   using Row = std::tuple<std::string, std::string>;
   const auto [text, field] = GENERATE_COPY(
       Row{"{}", "payload"}, Row{R"({"payload":"p"})", "key_id"},
