--- a/packages/chalkwell/src/chalkwell/swarm/assembly.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/assembly.cpp
@@ -1,4 +1,4 @@
-// Digest checks.
+// Digest verification of chunks.
 #include "chalkwell/swarm/assembly.hpp"
 
 #include <utility>
--- a/packages/chalkwell/src/chalkwell/swarm/assembly.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/assembly.hpp
@@ -1,5 +1,5 @@
-// Assembly of one version's weights from chunks of any source: a chunk counts
-// only when its digest is right.
+// Assembly of one version's weights from chunks of any source. A chunk counts
+// only after its digest has been verified.
 #pragma once
 
 #include <cstddef>
@@ -12,17 +12,18 @@
 
 namespace chalkwell::swarm {
 
-/// @brief Faults that tests seed to show that the proofs can fail.
+/// @brief Faults that mutation tests inject to show that the checks detect
+/// them.
 struct AssemblyFaults {
   bool skip_digest_check_ = false;
   bool complete_too_early_ = false;
 };
 
-/// @brief Whether the bytes are the chunk.
+/// @brief Whether the bytes have the size and the digest of the chunk.
 [[nodiscard]] bool MatchesChunk(const bundle::Chunk& chunk,
                                 std::string_view bytes);
 
-/// @brief The verified chunks of one manifest.
+/// @brief Tracks which chunks of one manifest are verified.
 class Assembly {
  public:
   Assembly() = default;
@@ -33,19 +34,20 @@
     return chunks_;
   }
   [[nodiscard]] const ChunkSet& held() const noexcept { return held_; }
-  /// @brief Whether every chunk is there.
+  /// @brief Whether every chunk is verified.
   [[nodiscard]] bool complete() const noexcept;
 
-  /// @brief Takes the bytes of a chunk.
-  /// @return false when they are not that chunk; they must be dropped.
+  /// @brief Verifies the bytes of a chunk and adds it.
+  /// @return false when the digest or the index does not match; the caller must
+  /// discard the bytes.
   [[nodiscard]] bool VerifyAndAdd(std::size_t index, std::string_view bytes);
-  /// @brief The engine itself says that it holds the chunk.
+  /// @brief Adds a chunk that the engine reports as present and verified.
   void MarkHeld(std::size_t index);
 
  private:
   std::vector<bundle::Chunk> chunks_;
   AssemblyFaults faults_;
-  /// Only chunks whose digest was checked, here or by the engine.
+  /// Chunks whose digest was verified, here or by the engine.
   ChunkSet held_;
 };
 
--- a/packages/chalkwell/src/chalkwell/swarm/chunk_set.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/chunk_set.cpp
@@ -1,4 +1,4 @@
-// Bit set and its wire form.
+// Bit operations and the wire encoding.
 #include "chalkwell/swarm/chunk_set.hpp"
 
 namespace chalkwell::swarm {
--- a/packages/chalkwell/src/chalkwell/swarm/chunk_set.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/chunk_set.hpp
@@ -1,4 +1,4 @@
-// A set of chunk indexes of one manifest.
+// Set of chunk indexes of one manifest.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,8 @@
 
 namespace chalkwell::swarm {
 
-/// @brief Bit set of a size known at run time, with a compact wire form.
+/// @brief Bit set whose size is fixed at run time, with a compact wire
+/// encoding.
 class ChunkSet {
  public:
   ChunkSet() = default;
@@ -28,15 +29,16 @@
   bool Add(std::size_t index);
   void Remove(std::size_t index);
 
-  /// @brief One bit a chunk, eight to a byte.
+  /// @brief Encodes one bit per chunk, least significant bit first.
   [[nodiscard]] std::string ToBytes() const;
-  /// @param size number of chunks; surplus bits are ignored.
+  /// @brief Decodes `ToBytes`; missing bits are clear, surplus bits are
+  /// ignored.
+  /// @param size number of chunks.
   [[nodiscard]] static ChunkSet FromBytes(std::string_view bytes,
                                           std::size_t size);
 
  private:
   std::vector<bool> bits_;
-  /// Number of bits set.
   std::size_t count_ = 0;
 };
 
--- a/packages/chalkwell/src/chalkwell/swarm/fetch_window.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/fetch_window.hpp
@@ -1,5 +1,6 @@
-// How many chunks to ask for at once: enough to fill the link, so few that live
-// requests do not wait behind them.
+// Congestion window of a fetch: limits the outstanding chunk requests so that
+// chunks fill the link without a long queue, in which request traffic would
+// wait.
 #pragma once
 
 #include <cstddef>
@@ -11,68 +12,72 @@
 
 namespace chalkwell::swarm {
 
-/// @brief Settings of a window.
 struct FetchWindowSettings {
-  std::size_t least_ = 1;
-  /// Fills a link of 7 Mbit/s over 6 ms to holders that have others to serve.
-  std::size_t first_ = 6;
-  std::size_t most_ = 8;
-  /// Rate of the own link as set; 0 means unknown, chunks then take no time.
+  std::size_t min_size_ = 1;
+  /// Fills a link of 7 Mbit/s and 6 ms to peers that serve other members too.
+  std::size_t initial_size_ = 6;
+  std::size_t max_size_ = 8;
+  /// Configured rate of the local link. 0 means unknown: the transmission time
+  /// of chunks is then taken as zero.
   std::uint64_t bytes_per_second_ = 0;
-  /// The window grows while chunks take less than this beyond their time on a
-  /// link that carries nothing else.
+  /// The window grows while the queueing delay is below this; the queueing
+  /// delay is the transfer time beyond the transmission time on an idle link.
   core::Duration grow_below_ = std::chrono::milliseconds(90);
-  /// It shrinks when they take longer than this: requests wait as long behind
-  /// them, a part of their target.
+  /// The window shrinks when the queueing delay is above this. Request traffic
+  /// waits in the same queue, so the limit is a part of the latency target.
   core::Duration shrink_above_ = std::chrono::milliseconds(180);
-  /// A link that brings less than this part of its rate is narrowed. Holders
-  /// that serve many give a third of it.
-  double narrowed_share_ = 0.2;
-  /// Between two cuts: what was asked for before the first must drain.
-  core::Duration cut_interval_ = std::chrono::milliseconds(300);
+  /// A link that delivers less than this fraction of its configured rate counts
+  /// as degraded. Peers that serve many members deliver a third of the rate,
+  /// which must not count.
+  double degraded_rate_fraction_ = 0.2;
+  /// Minimum time between two decreases: chunks requested before the first must
+  /// arrive before their delay shows its effect.
+  core::Duration min_decrease_interval_ = std::chrono::milliseconds(300);
 };
 
-/// @brief Window of a fetch, steered by how long chunks are under way on the
-/// own link: one more with each window of chunks while it is quick, half of it
-/// when it is not.
+/// @brief Window with additive increase and multiplicative decrease, controlled
+/// by the queueing delay of the local link: it grows by one per window of
+/// chunks while the delay is low, and is halved when it is high.
 class FetchWindow {
  public:
   explicit FetchWindow(FetchWindowSettings settings);
 
-  /// @brief A fetch begins; a window that was cut stays so.
+  /// @brief Starts a fetch: a window above its initial size is reset to it, a
+  /// smaller one is kept.
   void Start() noexcept;
-  /// @brief A chunk arrived.
-  /// @param transfer from its request to its last byte, less what its sender
-  /// says that it waited there.
+  /// @brief Records a received chunk.
+  /// @param transfer time from the request to the last byte, less the waiting
+  /// time that the sender reports.
   void OnChunkReceived(core::Duration transfer, std::size_t bytes,
                        core::TimePoint now);
-  /// @brief Chunks that may be asked for at once; from least to most.
+  /// @brief Number of chunk requests that may be outstanding.
   [[nodiscard]] std::size_t size() const noexcept { return size_; }
-  /// @brief How long the own link holds back what comes in, as the quickest of
-  /// the last chunks shows: one sender's slow link does not count. Zero when
-  /// no chunk came of late.
+  /// @brief Queueing delay of the local link: the minimum over the recent
+  /// chunks, so that one sender's slow link does not count. Zero when no chunk
+  /// was received recently.
   [[nodiscard]] core::Duration QueueingDelay(core::TimePoint now) const;
-  /// @brief Whether the link carries far less than it is set to. False when the
-  /// rate is not set or no chunk came of late.
+  /// @brief Whether the link delivers far less than its configured rate. False
+  /// when the rate is unknown or no chunk was received recently.
   [[nodiscard]] bool LinkDegraded(core::TimePoint now) const;
 
  private:
   struct Sample {
     core::TimePoint at_;
-    core::Duration excess_;
-    /// Chunks under way together, times their bytes, by the time of this one.
+    core::Duration queueing_delay_;
+    /// Bytes of a whole window of chunks over the transfer time of this one.
     double bytes_per_second_ = 0;
   };
 
-  [[nodiscard]] bool Remembered(core::TimePoint now) const;
+  /// @brief Whether the newest sample is recent enough to be used.
+  [[nodiscard]] bool HasRecentSample(core::TimePoint now) const;
 
   FetchWindowSettings settings_;
   std::size_t size_;
-  /// Chunks that arrived since the window last changed.
-  std::size_t arrived_ = 0;
-  core::TimePoint cut_at_;
-  /// In order of time; what is older than the window of samples goes, but the
-  /// newest.
+  /// Chunks received since the window last changed.
+  std::size_t received_ = 0;
+  core::TimePoint decreased_at_;
+  /// Ordered by time. Samples older than the sampling window are removed,
+  /// except for the newest one.
   std::deque<Sample> samples_;
 };
 
--- a/packages/chalkwell/src/chalkwell/swarm/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/fwd.hpp
@@ -1,4 +1,5 @@
-// Vocabulary of the swarm module: which chunk, from whom, at what pace.
+// Forward declarations of the swarm module, which plans and paces the fetch of
+// chunks from peers and from the origin.
 #pragma once
 
 #include <cstdint>
--- a/packages/chalkwell/src/chalkwell/swarm/manifest_search.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/manifest_search.cpp
@@ -1,5 +1,6 @@
-// Each member has an order of holders of its own: all would ask the same one
-// else, and its link carries some 150 manifests a second.
+// Each member ranks the holders in an order of its own. In a common order all
+// members would ask the same holder, whose link carries some 150 manifests per
+// second.
 #include "chalkwell/swarm/manifest_search.hpp"
 
 #include <utility>
@@ -18,7 +19,7 @@
   asked_.clear();
 }
 
-const SwarmMember* ManifestSearch::Best(
+const SwarmMember* ManifestSearch::BestHolder(
     std::span<const SwarmMember> holders) const {
   const SwarmMember* best = nullptr;
   std::pair<bool, std::uint64_t> best_key;
@@ -38,24 +39,24 @@
 std::optional<ManifestSource> ManifestSearch::Next(
     std::span<const SwarmMember> holders,
     std::optional<std::size_t> origin_rank, core::TimePoint now) {
-  if (asked_at_ && now - *asked_at_ < settings_.patience_) {
+  if (asked_at_ && now - *asked_at_ < settings_.hedge_delay_) {
     return std::nullopt;
   }
-  if (const auto* holder = Best(holders)) {
+  if (const auto* holder = BestHolder(holders)) {
     asked_at_ = now;
     asked_.insert(holder->id_);
     return ManifestSource{holder->id_};
   }
-  const bool origin =
-      origin_rank &&
-      now - started_ >= settings_.origin_step_ * static_cast<int>(*origin_rank);
-  if (origin) {
+  const bool ask_origin =
+      origin_rank && now - started_ >= settings_.origin_rank_delay_ *
+                                           static_cast<int>(*origin_rank);
+  if (ask_origin) {
     asked_at_ = now;
     asked_.clear();
     return ManifestSource{};
   }
   if (!holders.empty()) {
-    // All were asked, and the origin cannot be.
+    // All holders were asked and the origin must not be: start over.
     asked_at_ = now;
     asked_.clear();
   }
--- a/packages/chalkwell/src/chalkwell/swarm/manifest_search.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/manifest_search.hpp
@@ -1,7 +1,8 @@
-// Whom to ask for the manifest of a version: nothing can be fetched before it.
-// Neighbours that have it first, then members of other failure domains, then
-// the origin, which only one of each failure domain asks at once. An ask that
-// is not answered soon is not waited for: the next source is asked beside it.
+// Selects the source to request a version's manifest from; no chunk can be
+// fetched without it. Members of the local failure domain that hold it come
+// first, then remote members, then the origin, which one member of each failure
+// domain asks at a time. When a request is not answered soon, the next source
+// is asked in parallel.
 #pragma once
 
 #include <cstdint>
@@ -15,22 +16,22 @@
 
 namespace chalkwell::swarm {
 
-/// @brief Settings of a search.
 struct ManifestSearchSettings {
-  /// An ask that lasts longer has the next one beside it. An answer takes some
-  /// 10 ms. After a loss of power of all machines 43 agents of one failure
-  /// domain waited 1.5 s for connections that a full link had dropped, and
-  /// their engines served 2.5 s after all others.
-  core::Duration patience_ = std::chrono::milliseconds(250);
-  /// The next in rank asks the origin after this: a manifest weighs a sixth of
-  /// a chunk. With 300 ms the first chunks of eight new engines were asked for
-  /// after 0.54 s.
-  core::Duration origin_step_ = std::chrono::milliseconds(50);
+  /// A request without a reply for this long has the next source asked in
+  /// parallel; a reply usually takes some 10 ms. Without it, after a power loss
+  /// of all machines, 43 agents of one failure domain waited 1.5 s for
+  /// connections that a saturated link had dropped, and their engines served
+  /// 2.5 s after all others.
+  core::Duration hedge_delay_ = std::chrono::milliseconds(250);
+  /// Time per rank that a member waits before it asks the origin. It can be
+  /// short because a manifest has a sixth of a chunk's size; with 300 ms the
+  /// first chunks of eight new engines were requested after 0.54 s.
+  core::Duration origin_rank_delay_ = std::chrono::milliseconds(50);
 };
 
-/// @brief One to ask.
+/// @brief A source of the manifest: a peer or the origin.
 struct ManifestSource {
-  /// Absent: the origin.
+  /// None for the origin.
   std::optional<core::InstanceId> peer_;
 };
 
@@ -41,26 +42,27 @@
                           ManifestSearchSettings settings = {});
 
   void Start(core::TimePoint now);
-  /// @brief Whom to ask now; it counts as asked from then on.
+  /// @brief Returns the source to ask now, if any, and records it as asked.
   /// @param holders members that announced the manifest.
-  /// @param origin_rank members of the own failure domain that ask the origin
-  /// before this one; none while the origin may not be asked.
+  /// @param origin_rank number of members of the local failure domain that ask
+  /// the origin before this one; none while the origin must not be asked.
   [[nodiscard]] std::optional<ManifestSource> Next(
       std::span<const SwarmMember> holders,
       std::optional<std::size_t> origin_rank, core::TimePoint now);
-  /// @brief An ask brought nothing: the next source need not wait.
+  /// @brief The last request failed: the next source may be asked at once.
   void OnRequestFailed() noexcept { asked_at_.reset(); }
 
  private:
-  [[nodiscard]] const SwarmMember* Best(
+  /// @brief The preferred holder among those not asked yet, or null.
+  [[nodiscard]] const SwarmMember* BestHolder(
       std::span<const SwarmMember> holders) const;
 
   SwarmMember self_;
   ManifestSearchSettings settings_;
   core::TimePoint started_;
-  /// The last ask, unless it failed.
+  /// Time of the last request, unless it failed.
   std::optional<core::TimePoint> asked_at_;
-  /// Peers asked so far.
+  /// Peers asked since the last round over all sources ended.
   std::set<core::InstanceId> asked_;
 };
 
--- a/packages/chalkwell/src/chalkwell/swarm/neighbours.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/neighbours.cpp
@@ -1,4 +1,5 @@
-// Orders and ranks by hashing: all members know them without asking.
+// Orders and ranks come from rendezvous hashing, so that all members agree on
+// them without communication.
 #include "chalkwell/swarm/neighbours.hpp"
 
 #include <algorithm>
@@ -13,8 +14,9 @@
 
 using Ids = std::vector<core::InstanceId>;
 
-/// Members in one of the orders that all know; another order for each number.
-Ids InOrder(Ids members, std::size_t number) {
+/// Sorts the members into the pseudo-random order with the given number, which
+/// is the same at all members.
+Ids Shuffled(Ids members, std::size_t number) {
   const auto name = "swarm-neighbours-" + std::to_string(number);
   std::ranges::sort(members, {}, [&](const core::InstanceId& id) {
     return std::pair(core::RendezvousScore(name, id.value()), id);
@@ -26,27 +28,27 @@
   return static_cast<std::size_t>(std::ranges::find(order, id) - order.begin());
 }
 
-/// Those before and behind a member in several orders, each closed to a circle.
-std::set<core::InstanceId> Beside(const core::InstanceId& self,
-                                  const Ids& members, std::size_t most) {
-  std::set<core::InstanceId> beside;
+/// Predecessors and successors of a member on several rings.
+std::set<core::InstanceId> RingNeighbours(const core::InstanceId& self,
+                                          const Ids& members,
+                                          std::size_t max_count) {
+  std::set<core::InstanceId> neighbours;
   const auto size = members.size();
-  for (std::size_t circle = 0; circle < (most + 1) / 2; ++circle) {
-    const auto order = InOrder(members, circle);
-    const auto own = PositionOf(self, order);
-    beside.insert(order[(own + 1) % size]);
-    beside.insert(order[(own + size - 1) % size]);
+  for (std::size_t ring = 0; ring < (max_count + 1) / 2; ++ring) {
+    const auto order = Shuffled(members, ring);
+    const auto position = PositionOf(self, order);
+    neighbours.insert(order[(position + 1) % size]);
+    neighbours.insert(order[(position + size - 1) % size]);
   }
-  beside.erase(self);
-  return beside;
+  neighbours.erase(self);
+  return neighbours;
 }
 
-/// The first members of each other failure domain in the order of an item,
-/// quick ones first.
-std::set<core::InstanceId> FirstElsewhere(std::string_view item,
-                                          const SwarmMember& self,
-                                          std::span<const SwarmMember> members,
-                                          std::size_t of_each) {
+/// The first members of each remote failure domain in the priority order of an
+/// item; members on degraded links come last.
+std::set<core::InstanceId> FirstOfRemoteDomains(
+    std::string_view item, const SwarmMember& self,
+    std::span<const SwarmMember> members, std::size_t per_domain) {
   std::vector<SwarmMember> order;
   for (const auto& member : members) {
     if (member.domain_ != self.domain_) {
@@ -55,13 +57,13 @@
   }
   std::ranges::sort(
       order, std::ranges::greater{}, [&](const SwarmMember& member) {
-        return std::pair(!member.slow_,
+        return std::pair(!member.degraded_,
                          core::RendezvousScore(item, member.id_.value()));
       });
-  std::map<core::FailureDomainId, std::size_t> taken;
+  std::map<core::FailureDomainId, std::size_t> chosen;
   std::set<core::InstanceId> first;
   for (const auto& member : order) {
-    if (taken[member.domain_]++ < of_each) {
+    if (chosen[member.domain_]++ < per_domain) {
       first.insert(member.id_);
     }
   }
@@ -77,23 +79,25 @@
   for (const auto& member : members) {
     domains[member.domain_].push_back(member.id_);
   }
-  auto& own = domains[self.domain_];
-  if (std::ranges::find(own, self.id_) == own.end()) {
-    // A newcomer that the others do not know yet: they answer it.
-    own.push_back(self.id_);
+  auto& local_ids = domains[self.domain_];
+  if (std::ranges::find(local_ids, self.id_) == local_ids.end()) {
+    // A new member that the others do not know yet; they reply to its
+    // announcements.
+    local_ids.push_back(self.id_);
   }
-  const auto near = InOrder(own, 0);
-  const auto position = PositionOf(self.id_, near);
-  const auto beside = Beside(self.id_, near, settings.near_);
-  Ids neighbours(beside.begin(), beside.end());
+  const auto local = Shuffled(local_ids, 0);
+  const auto position = PositionOf(self.id_, local);
+  const auto ring_neighbours = RingNeighbours(self.id_, local, settings.local_);
+  Ids neighbours(ring_neighbours.begin(), ring_neighbours.end());
   for (const auto& [domain, ids] : domains) {
-    const auto far = InOrder(ids, 0);
+    const auto remote = Shuffled(ids, 0);
     const auto count =
-        domain == self.domain_ ? 0 : std::min(settings.far_, far.size());
-    // Where this one stands in its domain, so that each is told by as many.
-    const auto opposite = position * far.size() / near.size();
+        domain == self.domain_ ? 0 : std::min(settings.remote_, remote.size());
+    // Maps the own relative position to the remote domain, so that each remote
+    // member receives announcements from equally many members.
+    const auto counterpart = position * remote.size() / local.size();
     for (std::size_t i = 0; i < count; ++i) {
-      neighbours.push_back(far[(opposite + i) % far.size()]);
+      neighbours.push_back(remote[(counterpart + i) % remote.size()]);
     }
   }
   return neighbours;
@@ -103,7 +107,8 @@
                                        const SwarmMember& self,
                                        std::span<const SwarmMember> members,
                                        const NeighbourSettings& settings) {
-  return FirstElsewhere(chunk, self, members, settings.importers_);
+  return FirstOfRemoteDomains(chunk, self, members,
+                              settings.importers_per_domain_);
 }
 
 }  // namespace chalkwell::swarm
--- a/packages/chalkwell/src/chalkwell/swarm/neighbours.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/neighbours.hpp
@@ -1,7 +1,7 @@
-// Whom a member of the swarm tells what it holds: few neighbours of its failure
-// domain, one of each other domain, and for pieces that it drew from the origin
-// those who import them into the other domains. How much one member tells does
-// not grow with the swarm.
+// Recipients of a member's announcements of the chunks that it holds: a few
+// neighbours in its failure domain, one member of each remote domain, and for
+// chunks that it fetched from the origin the members that import them into the
+// remote domains. The number of recipients does not grow with the swarm.
 #pragma once
 
 #include <set>
@@ -14,29 +14,32 @@
 
 namespace chalkwell::swarm {
 
-/// @brief Settings of the neighbours.
 struct NeighbourSettings {
-  /// Of the own failure domain, at most. Each is told by as many as it tells:
-  /// chosen one by one, some were told by two or three, and of 204 members,
-  /// half of which were whole 4.0 s after a naming, the last was after 5.6 s;
-  /// now after 4.1 s, in simulated time. A piece reaches 40 members by two
-  /// hops, 350 by three.
-  std::size_t near_ = 8;
-  /// Of each other failure domain: what a domain lacks is found in another one
-  /// although its importer is gone.
-  std::size_t far_ = 1;
-  /// Importers told of a piece that was drawn here, in each other domain: the
-  /// second follows when the first is silent.
-  std::size_t importers_ = 2;
+  /// Maximum number of neighbours in the local failure domain. Each member
+  /// receives announcements from as many members as it announces to. When
+  /// neighbours were chosen independently, some members received from only two
+  /// or three, and of 204 members, half of which were complete 4.0 s after the
+  /// publication of a version, the last was complete after 5.6 s; now it is
+  /// after 4.1 s, in simulated time. An announcement reaches 40 members in two
+  /// hops, 350 in three.
+  std::size_t local_ = 8;
+  /// Number of neighbours in each remote failure domain, so that a domain finds
+  /// chunks in another one even if their importer is lost.
+  std::size_t remote_ = 1;
+  /// Number of importers in each remote failure domain that a chunk fetched
+  /// from the origin is announced to: the second takes over when the first
+  /// makes no progress.
+  std::size_t importers_per_domain_ = 2;
 };
 
-/// @brief Members that are told whatever is held.
+/// @brief Members that every chunk held by `self` is announced to.
 [[nodiscard]] std::vector<core::InstanceId> NeighboursOf(
     const SwarmMember& self, std::span<const SwarmMember> members,
     const NeighbourSettings& settings = {});
 
-/// @brief Members that import a chunk into the other failure domains.
-/// @param chunk name of the chunk's content, as the planner ranks by it.
+/// @brief Members assigned to import a chunk into the remote failure domains.
+/// @param chunk hexadecimal digest of the chunk, by which the planner ranks
+/// too.
 [[nodiscard]] std::set<core::InstanceId> ImportersOf(
     std::string_view chunk, const SwarmMember& self,
     std::span<const SwarmMember> members,
--- a/packages/chalkwell/src/chalkwell/swarm/older_version_chunks.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/older_version_chunks.cpp
@@ -1,4 +1,4 @@
-// Copies are made one by one as pieces are overwritten.
+// Chunks are copied one by one as they are overwritten.
 #include "chalkwell/swarm/older_version_chunks.hpp"
 
 #include <utility>
@@ -15,36 +15,36 @@
   version_ = 0;
   available_ = {};
   copies_.clear();
-  bytes_ = 0;
+  copied_bytes_ = 0;
 }
 
-bool OlderVersionChunks::NeedsCopy(std::size_t piece) const {
-  return available_.Has(piece) && !copies_.contains(piece);
+bool OlderVersionChunks::NeedsCopy(std::size_t chunk) const {
+  return available_.Has(chunk) && !copies_.contains(chunk);
 }
 
-void OlderVersionChunks::SaveCopy(std::size_t piece, std::string bytes) {
-  if (!NeedsCopy(piece)) {
+void OlderVersionChunks::SaveCopy(std::size_t chunk, std::string bytes) {
+  if (!NeedsCopy(chunk)) {
     return;
   }
-  if (bytes_ + bytes.size() > most_bytes_) {
-    Remove(piece);
+  if (copied_bytes_ + bytes.size() > max_bytes_) {
+    Remove(chunk);
     return;
   }
-  bytes_ += bytes.size();
-  copies_.emplace(piece, std::move(bytes));
+  copied_bytes_ += bytes.size();
+  copies_.emplace(chunk, std::move(bytes));
 }
 
-void OlderVersionChunks::Remove(std::size_t piece) {
-  available_.Remove(piece);
-  const auto copy = copies_.find(piece);
+void OlderVersionChunks::Remove(std::size_t chunk) {
+  available_.Remove(chunk);
+  const auto copy = copies_.find(chunk);
   if (copy != copies_.end()) {
-    bytes_ -= copy->second.size();
+    copied_bytes_ -= copy->second.size();
     copies_.erase(copy);
   }
 }
 
-const std::string* OlderVersionChunks::FindCopy(std::size_t piece) const {
-  const auto copy = copies_.find(piece);
+const std::string* OlderVersionChunks::FindCopy(std::size_t chunk) const {
+  const auto copy = copies_.find(chunk);
   return copy == copies_.end() ? nullptr : &copy->second;
 }
 
--- a/packages/chalkwell/src/chalkwell/swarm/older_version_chunks.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/older_version_chunks.hpp
@@ -1,5 +1,6 @@
-// Pieces of the weights that an engine serves, while newer ones overwrite them
-// in its staging: engines that start in the middle of a roll can have them.
+// Chunks of the version that an engine serves, kept while a newer version
+// overwrites them in its staging area: engines that start during a rollout can
+// fetch them.
 #pragma once
 
 #include <cstddef>
@@ -11,42 +12,42 @@
 
 namespace chalkwell::swarm {
 
-/// @brief Pieces of one older version: staged ones, and copies of those that
-/// were overwritten.
+/// @brief Chunks of one older version: those still staged, and copies of those
+/// that were overwritten.
 class OlderVersionChunks {
  public:
-  /// @param most_bytes of all copies together.
-  explicit OlderVersionChunks(std::size_t most_bytes)
-      : most_bytes_(most_bytes) {}
+  /// @param max_bytes limit of the total size of all copies.
+  explicit OlderVersionChunks(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  /// @brief Begins with what is staged of a version; forgets any other.
+  /// @brief Starts with the staged chunks of a version and discards any other
+  /// version.
   void Start(std::uint64_t version, ChunkSet staged);
   void Clear();
 
-  /// @brief 0 while there is none.
+  /// @brief 0 when no version is kept.
   [[nodiscard]] std::uint64_t version() const noexcept { return version_; }
-  /// @brief Pieces that can be given.
+  /// @brief Chunks that can be sent to peers.
   [[nodiscard]] const ChunkSet& available() const noexcept {
     return available_;
   }
-  /// @brief Whether a piece would be lost if it were overwritten now.
-  [[nodiscard]] bool NeedsCopy(std::size_t piece) const;
-  /// @brief Keeps a copy of a staged piece. It is lost once it is overwritten
-  /// when there is no room for it.
-  void SaveCopy(std::size_t piece, std::string bytes);
-  /// @brief A piece can no longer be read.
-  void Remove(std::size_t piece);
-  /// @return null when there is no copy of the piece.
-  [[nodiscard]] const std::string* FindCopy(std::size_t piece) const;
+  /// @brief Whether a chunk would be lost if it were overwritten now.
+  [[nodiscard]] bool NeedsCopy(std::size_t chunk) const;
+  /// @brief Keeps a copy of a staged chunk that is about to be overwritten.
+  /// When the copy exceeds the limit, the chunk is no longer available.
+  void SaveCopy(std::size_t chunk, std::string bytes);
+  /// @brief Removes a chunk that can no longer be read, with its copy.
+  void Remove(std::size_t chunk);
+  /// @return null when there is no copy of the chunk.
+  [[nodiscard]] const std::string* FindCopy(std::size_t chunk) const;
 
  private:
-  std::size_t most_bytes_;
+  std::size_t max_bytes_;
   std::uint64_t version_ = 0;
   ChunkSet available_;
-  /// All of them are available.
+  /// By chunk index; every chunk with a copy is also in `available_`.
   std::map<std::size_t, std::string> copies_;
-  /// Of the copies; at most `most_bytes_`.
-  std::size_t bytes_ = 0;
+  /// Total size of the copies; at most `max_bytes_`.
+  std::size_t copied_bytes_ = 0;
 };
 
 }  // namespace chalkwell::swarm
--- a/packages/chalkwell/src/chalkwell/swarm/origin_progress.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/origin_progress.cpp
@@ -1,4 +1,4 @@
-// The rate is that of the last second.
+// The rate is measured over the last second.
 #include "chalkwell/swarm/origin_progress.hpp"
 
 #include <chrono>
@@ -6,49 +6,50 @@
 namespace chalkwell::swarm {
 namespace {
 
-/// Long against the gaps between pieces of a source of a few Mbit/s, short
-/// against an outage.
-constexpr auto kSpan = std::chrono::seconds(1);
+/// Sampling window: long compared with the gaps between chunks of an origin of
+/// a few Mbit/s, short compared with an outage.
+constexpr auto kSamplingWindow = std::chrono::seconds(1);
 
 }  // namespace
 
-void OriginProgress::Start(std::size_t pieces, core::TimePoint now) {
-  pieces_ = pieces;
+void OriginProgress::Start(std::size_t chunks, core::TimePoint now) {
+  chunks_ = chunks;
   started_ = now;
   samples_.clear();
 }
 
-void OriginProgress::OnAvailable(std::size_t seen, core::TimePoint now) {
-  if (samples_.empty() || seen != samples_.back().seen_) {
-    samples_.push_back({now, seen});
+void OriginProgress::OnAvailable(std::size_t available, core::TimePoint now) {
+  if (samples_.empty() || available != samples_.back().available_) {
+    samples_.push_back({now, available});
   }
-  while (samples_.size() > 1 && now - samples_[1].at_ >= kSpan) {
+  while (samples_.size() > 1 && now - samples_[1].at_ >= kSamplingWindow) {
     samples_.pop_front();
   }
 }
 
 bool OriginProgress::HasRate(core::TimePoint now) const {
-  return now - started_ >= kSpan;
+  return now - started_ >= kSamplingWindow;
 }
 
 std::optional<core::Duration> OriginProgress::TimeLeft(
     core::TimePoint now) const {
-  if (pieces_ == 0 || samples_.empty()) {
+  if (chunks_ == 0 || samples_.empty()) {
     return std::nullopt;
   }
-  const auto seen = samples_.back().seen_;
-  if (seen >= pieces_) {
+  const auto available = samples_.back().available_;
+  if (available >= chunks_) {
     return core::Duration{};
   }
-  const auto appeared = seen - samples_.front().seen_;
-  if (!HasRate(now) || appeared == 0 || now - samples_.back().at_ >= kSpan) {
+  const auto gained = available - samples_.front().available_;
+  if (!HasRate(now) || gained == 0 ||
+      now - samples_.back().at_ >= kSamplingWindow) {
     return std::nullopt;
   }
   const auto span = now - samples_.front().at_;
-  const auto left = static_cast<double>(pieces_ - seen);
+  const auto remaining = static_cast<double>(chunks_ - available);
   return std::chrono::duration_cast<core::Duration>(
-      std::chrono::duration<double, core::Duration::period>(span) * left /
-      static_cast<double>(appeared));
+      std::chrono::duration<double, core::Duration::period>(span) * remaining /
+      static_cast<double>(gained));
 }
 
 }  // namespace chalkwell::swarm
--- a/packages/chalkwell/src/chalkwell/swarm/origin_progress.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/origin_progress.hpp
@@ -1,5 +1,5 @@
-// How soon the rest of a version is out of its source, by the rate at which
-// pieces appeared among the members so far.
+// Estimates when every chunk of a version has left the origin, from the rate at
+// which chunks became available among the members.
 #pragma once
 
 #include <cstddef>
@@ -10,31 +10,32 @@
 
 namespace chalkwell::swarm {
 
-/// @brief Pieces of one version that some member holds, over time.
+/// @brief Number of chunks of one version that some member holds, over time.
 class OriginProgress {
  public:
-  /// @brief A fetch begins: nothing is known of its pieces.
-  /// @param pieces of the version; 0 while its manifest is not known.
-  void Start(std::size_t pieces, core::TimePoint now);
-  /// @param seen pieces that some member is known to hold.
-  void OnAvailable(std::size_t seen, core::TimePoint now);
-  /// @return until all pieces are held by some member; none when the time
-  /// observed is too short, or nothing appeared in it.
+  /// @brief Starts a fetch and discards earlier samples.
+  /// @param chunks number of chunks of the version; 0 while its manifest is not
+  /// known.
+  void Start(std::size_t chunks, core::TimePoint now);
+  /// @param available number of chunks that some member is known to hold.
+  void OnAvailable(std::size_t available, core::TimePoint now);
+  /// @return estimated time until every chunk is held by some member; none when
+  /// the observation is too short, or no chunk became available during it.
   [[nodiscard]] std::optional<core::Duration> TimeLeft(
       core::TimePoint now) const;
-  /// @brief Whether it was observed for long enough to have a rate.
+  /// @brief Whether the observation is long enough to estimate a rate.
   [[nodiscard]] bool HasRate(core::TimePoint now) const;
 
  private:
   struct Sample {
     core::TimePoint at_;
-    std::size_t seen_ = 0;
+    std::size_t available_ = 0;
   };
 
-  std::size_t pieces_ = 0;
+  std::size_t chunks_ = 0;
   core::TimePoint started_;
-  /// Rising in both; what is older than the span of observation goes, but the
-  /// newest of those.
+  /// Increasing in both members; of the samples older than the sampling window
+  /// only the newest is kept.
   std::deque<Sample> samples_;
 };
 
--- a/packages/chalkwell/src/chalkwell/swarm/pacer.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/pacer.cpp
@@ -1,4 +1,5 @@
-// A virtual clock of the link: each byte moves its free time forward.
+// Token bucket kept as a virtual clock: each byte advances the time at which
+// the link becomes free.
 #include "chalkwell/swarm/pacer.hpp"
 
 #include <algorithm>
--- a/packages/chalkwell/src/chalkwell/swarm/pacer.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/pacer.hpp
@@ -1,4 +1,5 @@
-// Pace of one machine's link: live bytes pass at once, weights take the rest.
+// Rate limiter of one machine's link: request traffic is sent at once, weight
+// traffic uses the remaining capacity.
 #pragma once
 
 #include <cstdint>
@@ -8,17 +9,19 @@
 
 namespace chalkwell::swarm {
 
-/// @brief Token bucket shared by live bytes and weights.
+/// @brief Token bucket shared by request traffic and weight traffic.
 class Pacer {
  public:
   /// @param bytes_per_second rate of the link; 0 means no limit.
-  /// @param burst how far ahead of the rate a sender may be.
+  /// @param burst how far ahead of the rate the sender may get, as time on the
+  /// link.
   Pacer(std::uint64_t bytes_per_second, core::Duration burst);
 
-  /// @brief Live bytes were sent; they never wait, weights wait for them.
+  /// @brief Accounts for request traffic, which is never delayed; later weight
+  /// traffic waits for it.
   void OnRequestBytes(std::uint64_t bytes, core::TimePoint now);
-  /// @brief Reserves room for weights.
-  /// @return how long to wait before sending them.
+  /// @brief Reserves link time for weight traffic.
+  /// @return how long to wait before sending it.
   [[nodiscard]] core::Duration Reserve(std::uint64_t bytes,
                                        core::TimePoint now);
   /// @brief How long a reservation made now would wait.
@@ -29,7 +32,7 @@
 
   std::uint64_t bytes_per_second_;
   core::Duration burst_;
-  /// Time at which all that was reserved has passed the link.
+  /// When the link has transmitted everything accounted for so far.
   core::TimePoint free_at_{};
 };
 
--- a/packages/chalkwell/src/chalkwell/swarm/planner.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/planner.hpp
@@ -1,5 +1,6 @@
-// Plan of one fetch: which chunk to ask of whom, and who may draw a chunk from
-// the origin. No coordinator: rendezvous ranks and what peers announce decide.
+// Plans the fetch of one manifest: which chunk to request from which peer, and
+// which member fetches a chunk from the origin. There is no coordinator: the
+// decisions follow from rendezvous hashing and from the peers' announcements.
 #pragma once
 
 #include <cstdint>
@@ -17,61 +18,67 @@
 
 namespace chalkwell::swarm {
 
-/// @brief Settings of the planner.
 struct PlannerSettings {
-  /// Members that may draw each chunk from the origin at once.
+  /// Number of members assigned to fetch each chunk from the origin.
   std::size_t origin_copies_ = 1;
-  /// Requests outstanding at one peer.
+  /// Maximum number of outstanding requests to one peer.
   std::size_t max_requests_per_peer_ = 2;
-  /// Requests outstanding at all peers.
+  /// Maximum number of outstanding requests to all peers.
   std::size_t max_peer_requests_ = 8;
-  /// Requests outstanding at the origin.
+  /// Maximum number of outstanding requests to the origin.
   std::size_t max_origin_requests_ = 2;
-  /// Chunks in order that nobody is known to hold and that may be drawn at
-  /// once, by all members together: the origin's link and connections are
-  /// shared, and what it sent can spread while it sends the next. 0: any.
+  /// Size of the origin window: the first chunks, by index, that no member is
+  /// known to hold. Only these may be fetched from the origin, by all members
+  /// together, because the members share the origin's link and connections, and
+  /// chunks that it has sent can spread while it sends the next ones. 0 means
+  /// no limit.
   std::size_t origin_window_ = 0;
-  /// The next in rank draws when the swarm made no progress for this long, or
-  /// when a chunk that may be drawn was overtaken by a whole window of others.
+  /// The next member in the priority order fetches a chunk from the origin when
+  /// the swarm made no progress for this long, or when a whole window of later
+  /// chunks became available before the chunk.
   core::Duration origin_takeover_timeout_ = std::chrono::seconds(2);
-  /// A chunk request is given up after this.
+  /// Timeout of a chunk request.
   core::Duration chunk_timeout_ = std::chrono::seconds(5);
-  /// Peers with this many failures in a row are left out for a while.
+  /// Consecutive failures after which a peer is not used for
+  /// `failure_backoff_`.
   unsigned max_failures_ = 3;
-  /// A chunk that only other failure domains hold is asked for there by the
-  /// first in rank of the own domain; the next one follows when the domain got
-  /// nothing new for this time. Zero: anyone may ask at once.
+  /// A chunk that no local member holds is imported, that is, fetched from a
+  /// remote failure domain, by the first member in the priority order of the
+  /// local domain. The next member takes over when no chunk became available in
+  /// the domain for this long. Zero: every member may import at once.
   core::Duration import_takeover_timeout_{};
-  /// It follows too when the chunk is known for this long: the first in rank
-  /// may be gone while others go on.
-  core::Duration import_patience_ = std::chrono::milliseconds(2500);
-  core::Duration failure_rest_ = std::chrono::seconds(2);
+  /// The next member also takes over when the chunk has been available for this
+  /// long: the first one may be lost while others make progress.
+  core::Duration import_max_wait_ = std::chrono::milliseconds(2500);
+  core::Duration failure_backoff_ = std::chrono::seconds(2);
 };
 
 /// @brief A member of the swarm.
 struct SwarmMember {
   core::InstanceId id_;
   core::FailureDomainId domain_;
-  /// Its link is narrowed: it comes last in rank, and what only such members
-  /// hold is drawn by others. Chunks would fill its link for good, live answers
-  /// wait behind them, and all others wait for what it draws.
-  bool slow_ = false;
+  /// Its link is degraded. The member comes last in the priority order, and
+  /// chunks that only such members hold are fetched from the origin by others:
+  /// otherwise chunks would saturate its link, its responses to requests would
+  /// wait behind them, and all members would wait for the chunks that it
+  /// fetches.
+  bool degraded_ = false;
 
   friend bool operator==(const SwarmMember&, const SwarmMember&) = default;
 };
 
-/// @brief One chunk to fetch now.
+/// @brief A chunk to request now.
 struct FetchRequest {
   std::size_t chunk_ = 0;
-  /// Absent: from weight store or origin.
+  /// None for the weight store or the origin.
   std::optional<core::InstanceId> peer_;
 };
 
-/// @brief Why a chunk was drawn from the origin.
+/// @brief Why this member fetches a chunk from the origin.
 enum class OriginFetchCause : std::uint8_t {
-  /// This member is among the first in rank.
+  /// This member is among the first in the chunk's priority order.
   kAssigned,
-  /// Those ahead in rank were silent.
+  /// The members ahead in the priority order made no progress.
   kTakeover,
 };
 
@@ -85,40 +92,45 @@
   [[nodiscard]] std::size_t outstanding() const noexcept {
     return outstanding_.size();
   }
-  /// @brief Chunks that some member is known to hold.
+  /// @brief Number of chunks that some member is known to hold.
   [[nodiscard]] std::size_t available_count() const noexcept {
-    return seen_.count();
+    return available_.count();
   }
-  /// @brief Draws from the origin so far, by cause.
+  /// @brief Number of origin fetches so far, by cause.
   [[nodiscard]] std::uint64_t origin_fetches(
       OriginFetchCause cause) const noexcept;
 
-  /// @brief Begins a fetch; chunks already held are not asked again.
+  /// @brief Starts a fetch; chunks in `held` are not requested.
   void Start(std::vector<bundle::Chunk> chunks, const ChunkSet& held,
              core::TimePoint now);
-  /// @brief Live members, this one included; they elect who draws, and tell
-  /// which links are narrowed.
+  /// @brief Sets the live members, including this one. They determine the
+  /// priority orders and which links are degraded.
   void SetMembers(std::vector<SwarmMember> members);
-  /// @brief Changes how many requests may be outstanding at all peers.
-  void SetMaxPeerRequests(std::size_t most) noexcept {
-    settings_.max_peer_requests_ = most;
+  /// @brief Changes the maximum number of outstanding requests to all peers.
+  void SetMaxPeerRequests(std::size_t max_count) noexcept {
+    settings_.max_peer_requests_ = max_count;
   }
-  /// @brief Whether the origin may be asked: not while it refuses.
-  void SetOriginAvailable(bool open) noexcept { origin_open_ = open; }
-  /// @brief A peer with an open stream announces what it holds.
+  /// @brief Sets whether the origin may be asked; false while it refuses
+  /// requests.
+  void SetOriginAvailable(bool available) noexcept {
+    origin_available_ = available;
+  }
+  /// @brief Records the chunks that a connected peer announces.
   void OnAnnounced(const SwarmMember& peer, const ChunkSet& chunks,
                    core::TimePoint now);
   void OnPeerLost(const core::InstanceId& peer);
-  /// @brief A verified chunk arrived.
+  /// @brief Records a received and verified chunk.
   void OnChunkReceived(std::size_t chunk, core::TimePoint now);
-  /// @brief A chunk that was held is gone; it is asked for again.
+  /// @brief Records the loss of a held chunk, which is then requested again.
   void OnChunkLost(std::size_t chunk);
-  /// @brief A request failed, timed out or gave a corrupt chunk. The peer does
-  /// not count as its holder until it announces the chunk again.
+  /// @brief Records a request that failed, timed out or returned a corrupt
+  /// chunk. The peer does not count as a holder until it announces the chunk
+  /// again.
   void OnRequestFailed(std::size_t chunk, core::TimePoint now);
-  /// @brief Requests whose time is up; they count as failed.
+  /// @brief Removes and returns the requests past their timeout, which count as
+  /// failed.
   [[nodiscard]] std::vector<FetchRequest> ExpireRequests(core::TimePoint now);
-  /// @brief What to ask for now.
+  /// @brief Returns the requests to send now and records them as outstanding.
   [[nodiscard]] std::vector<FetchRequest> Next(core::TimePoint now);
 
  private:
@@ -126,49 +138,64 @@
     SwarmMember member_;
     ChunkSet chunks_;
     std::size_t outstanding_ = 0;
-    /// In a row; cleared by a good chunk.
+    /// Consecutive failures; reset by a verified chunk.
     unsigned failures_ = 0;
-    core::TimePoint rests_until_;
+    core::TimePoint backoff_until_;
   };
-  /// Peers known to hold a chunk: of the own failure domain, and all.
+  /// Number of peers known to hold a chunk.
   struct HolderCount {
-    std::size_t near_ = 0;
-    std::size_t all_ = 0;
-    std::size_t quick_ = 0;
+    /// In the local failure domain.
+    std::size_t local_ = 0;
+    std::size_t total_ = 0;
+    /// Without degraded links.
+    std::size_t healthy_ = 0;
   };
   struct Request {
     std::optional<core::InstanceId> peer_;
-    core::TimePoint since_;
+    core::TimePoint sent_at_;
   };
 
+  /// @brief Chunks neither held nor requested, rarest first.
   [[nodiscard]] std::vector<std::size_t> MissingRarestFirst();
-  /// @param slow whether slow peers are looked at, or the others.
-  [[nodiscard]] Peer* BestPeerFor(std::size_t chunk, bool slow,
+  /// @param degraded whether to choose among the peers on degraded links, or
+  /// among the others.
+  [[nodiscard]] Peer* BestPeerFor(std::size_t chunk, bool degraded,
                                   core::TimePoint now);
-  /// @brief Whether a chunk that only slow peers hold has waited long enough
-  /// for others to draw it.
-  [[nodiscard]] bool MayAskSlow(std::size_t chunk, core::TimePoint now) const;
-  /// @brief Members ahead of this one: quick ones first, then by score.
-  [[nodiscard]] std::size_t Rank(std::size_t chunk, bool near) const;
-  [[nodiscard]] std::optional<OriginFetchCause> MayDraw(
+  /// @brief Whether a chunk that only peers on degraded links hold has waited
+  /// long enough for others to fetch it from the origin.
+  [[nodiscard]] bool MayUseDegradedPeers(std::size_t chunk,
+                                         core::TimePoint now) const;
+  /// @brief Number of members ahead of this one in the priority order of a
+  /// chunk: members without degraded links first, then by rendezvous score.
+  /// @param local_only whether to count only members of the local failure
+  /// domain.
+  [[nodiscard]] std::size_t Rank(std::size_t chunk, bool local_only) const;
+  /// @return none when this member must not fetch the chunk from the origin
+  /// now.
+  [[nodiscard]] std::optional<OriginFetchCause> MayFetchFromOrigin(
       std::size_t chunk, core::TimePoint now) const;
-  [[nodiscard]] std::size_t DrawRank(std::size_t chunk) const;
-  [[nodiscard]] const core::InstanceId& FirstInRank(std::size_t chunk) const;
-  /// @brief Whether those ahead of this member seem to be gone.
-  /// @param behind how many of them there are.
-  [[nodiscard]] bool Overtaken(std::size_t chunk, std::size_t behind) const;
-  /// @brief First chunk behind the draw window.
-  [[nodiscard]] std::size_t WindowEnd() const;
-  /// @brief Counts a chunk that was seen now against those ahead of it.
-  void CountOvertaken(std::size_t chunk);
+  [[nodiscard]] std::size_t OriginRank(std::size_t chunk) const;
+  /// @brief First member in the priority order of a chunk.
+  [[nodiscard]] const core::InstanceId& FirstInOrder(std::size_t chunk) const;
+  /// @brief Whether so many later chunks became available before this one that
+  /// the members ahead in its priority order are presumed lost.
+  /// @param ahead number of these members.
+  [[nodiscard]] bool Skipped(std::size_t chunk, std::size_t ahead) const;
+  /// @brief First chunk after the origin window.
+  [[nodiscard]] std::size_t OriginWindowEnd() const;
+  /// @brief Counts a chunk that became available as skipping the earlier ones
+  /// in the origin window that are not available.
+  void CountSkipped(std::size_t chunk);
   [[nodiscard]] std::size_t ImportRank(std::size_t chunk) const;
-  void ForgetRanks();
+  void ClearRanks();
   [[nodiscard]] bool MayImport(std::size_t chunk, core::TimePoint now) const;
-  void MarkSeen(std::size_t chunk, bool near, core::TimePoint now);
-  [[nodiscard]] HolderCount Holders(std::size_t chunk) const;
-  void TakeOutstanding(std::size_t chunk, bool good, core::TimePoint now);
-  void Ask(std::size_t chunk, Peer* peer, core::TimePoint now,
-           std::vector<FetchRequest>& orders);
+  /// @param local whether a member of the local failure domain holds the chunk.
+  void MarkAvailable(std::size_t chunk, bool local, core::TimePoint now);
+  [[nodiscard]] HolderCount CountHolders(std::size_t chunk) const;
+  void FinishRequest(std::size_t chunk, bool succeeded, core::TimePoint now);
+  /// @param peer null for the origin.
+  void AddRequest(std::size_t chunk, Peer* peer, core::TimePoint now,
+                  std::vector<FetchRequest>& requests);
 
   SwarmMember self_;
   PlannerSettings settings_;
@@ -176,33 +203,36 @@
   std::vector<bundle::Chunk> chunks_;
   ChunkSet held_;
   std::vector<SwarmMember> members_;
-  /// Ranks of this member by chunk; emptied when members or chunks change.
-  mutable std::vector<std::optional<std::size_t>> ranks_;
-  /// The same among members of the own failure domain.
-  mutable std::vector<std::optional<std::size_t>> near_ranks_;
-  /// First in rank by chunk; emptied with the ranks.
-  mutable std::vector<std::optional<core::InstanceId>> drawers_;
+  /// Cached ranks of this member by chunk; cleared when members or chunks
+  /// change.
+  mutable std::vector<std::optional<std::size_t>> origin_ranks_;
+  /// Cached ranks among the members of the local failure domain.
+  mutable std::vector<std::optional<std::size_t>> import_ranks_;
+  /// Cached first members in the priority order by chunk.
+  mutable std::vector<std::optional<core::InstanceId>> first_in_order_;
   std::map<core::InstanceId, Peer> peers_;
-  /// By chunk; at most `in_flight_` plus `max_origin_requests_`.
+  /// By chunk; at most `max_peer_requests_` plus `max_origin_requests_`.
   std::map<std::size_t, Request> outstanding_;
   std::size_t origin_outstanding_ = 0;
-  bool origin_open_ = true;
+  bool origin_available_ = true;
   /// Chunks that some peer or this member is known to hold.
-  ChunkSet seen_;
-  /// Chunks that some member of the own failure domain is known to hold.
-  ChunkSet near_seen_;
-  /// When one of them came to it.
-  core::TimePoint near_progress_;
-  /// By chunk: later ones that were seen while it was in the draw window.
-  std::vector<std::size_t> overtaken_;
-  /// When each chunk of `seen_` was seen for the first time.
-  std::vector<core::TimePoint> seen_at_;
-  /// When a chunk was last seen for the first time, or the origin last failed:
-  /// while it gives nothing to anyone, silence says nothing of those ahead.
-  /// When it is back after 4 s it sends 1.08 copies in all; without this 1.11.
+  ChunkSet available_;
+  /// Chunks that some member of the local failure domain is known to hold.
+  ChunkSet locally_available_;
+  /// When a chunk was last added to `locally_available_`.
+  core::TimePoint last_local_progress_;
+  /// By chunk: number of later chunks that became available while it was in the
+  /// origin window.
+  std::vector<std::size_t> skip_counts_;
+  /// By chunk: when it was added to `available_`, or the start of the fetch.
+  std::vector<core::TimePoint> available_since_;
+  /// When a chunk was last added to `available_`, or a request to the origin
+  /// last failed: while the origin serves nobody, a lack of progress does not
+  /// mean that the members ahead are lost. After an origin outage of 4 s the
+  /// origin sends 1.08 copies in total; without counting its failures, 1.11.
   core::TimePoint last_progress_;
-  std::uint64_t elected_draws_ = 0;
-  std::uint64_t silence_draws_ = 0;
+  std::uint64_t assigned_origin_fetches_ = 0;
+  std::uint64_t takeover_origin_fetches_ = 0;
 };
 
 }  // namespace chalkwell::swarm
--- a/tests/swarm/manifest_search_test.cpp
+++ b/tests/swarm/manifest_search_test.cpp
@@ -1,4 +1,4 @@
-// Whom a member asks for a manifest, one after the other.
+// ManifestSearch: the order in which sources are asked for a manifest.
 #include "chalkwell/swarm/manifest_search.hpp"
 
 #include <catch2/catch.hpp>
@@ -12,22 +12,22 @@
 
 const core::TimePoint kStart(1h);
 
-SwarmMember Near(const std::string& id) {
+SwarmMember Local(const std::string& id) {
   return {core::InstanceId(id), core::FailureDomainId("home")};
 }
 
-SwarmMember Far(const std::string& id) {
+SwarmMember Remote(const std::string& id) {
   return {core::InstanceId(id), core::FailureDomainId("other")};
 }
 
 std::string Name(const std::optional<ManifestSource>& source) {
   if (!source) {
-    return "nobody";
+    return "no source";
   }
   return source->peer_ ? source->peer_->value() : "origin";
 }
 
-TEST_CASE("who is asked first", "[swarm]") {
+TEST_CASE("the first source to be asked", "[swarm]") {
   struct Row {
     std::string name_;
     std::vector<SwarmMember> holders_;
@@ -36,48 +36,50 @@
     std::string asked_;
   };
   const auto row = GENERATE(
-      Row{"a neighbour", {Far("f"), Near("n")}, 0, 0ms, "n"},
-      Row{"one far away before the origin", {Far("f")}, 0, 0ms, "f"},
-      Row{"the origin by the first in rank", {}, 0, 0ms, "origin"},
-      Row{"not by the third", {}, 2, 99ms, "nobody"},
-      Row{"but by the third later", {}, 2, 100ms, "origin"},
-      Row{"nobody while the origin fails", {}, std::nullopt, 9s, "nobody"});
+      Row{"a local member", {Remote("f"), Local("n")}, 0, 0ms, "n"},
+      Row{"a remote member before the origin", {Remote("f")}, 0, 0ms, "f"},
+      Row{"the origin, asked by the first in rank", {}, 0, 0ms, "origin"},
+      Row{"not by the third in rank", {}, 2, 99ms, "no source"},
+      Row{"by the third in rank after its delay", {}, 2, 100ms, "origin"},
+      Row{"none while the origin fails", {}, std::nullopt, 9s, "no source"});
   CAPTURE(row.name_);
-  ManifestSearch search(Near("me"));
+  ManifestSearch search(Local("me"));
   search.Start(kStart);
   CHECK(Name(search.Next(row.holders_, row.origin_rank_,
                          kStart + row.after_)) == row.asked_);
 }
 
-TEST_CASE("an ask without an answer has the next one beside it", "[swarm]") {
-  const std::vector<SwarmMember> holders{Far("f"), Near("n")};
-  ManifestSearch search(Near("me"));
+TEST_CASE("while a request has no reply, the next source is asked in parallel",
+          "[swarm]") {
+  const std::vector<SwarmMember> holders{Remote("f"), Local("n")};
+  ManifestSearch search(Local("me"));
   search.Start(kStart);
   CHECK(Name(search.Next(holders, 0, kStart)) == "n");
-  CHECK(Name(search.Next(holders, 0, kStart + 249ms)) == "nobody");
+  CHECK(Name(search.Next(holders, 0, kStart + 249ms)) == "no source");
   CHECK(Name(search.Next(holders, 0, kStart + 250ms)) == "f");
   CHECK(Name(search.Next(holders, 0, kStart + 500ms)) == "origin");
-  // Then all over again.
+  // All sources were asked; the next round starts.
   CHECK(Name(search.Next(holders, 0, kStart + 750ms)) == "n");
 }
 
-TEST_CASE("after an ask that failed the next source is asked at once",
+TEST_CASE("after a failed request the next source is asked at once",
           "[swarm]") {
-  const std::vector<SwarmMember> holders{Near("n")};
-  ManifestSearch search(Near("me"));
+  const std::vector<SwarmMember> holders{Local("n")};
+  ManifestSearch search(Local("me"));
   search.Start(kStart);
   CHECK(Name(search.Next(holders, 0, kStart)) == "n");
   search.OnRequestFailed();
   CHECK(Name(search.Next(holders, 0, kStart + 1ms)) == "origin");
 }
 
-TEST_CASE("holders that did not answer are asked again after a while",
+TEST_CASE("holders that did not reply are asked again in the next round",
           "[swarm]") {
-  const std::vector<SwarmMember> holders{Near("n")};
-  ManifestSearch search(Near("me"));
+  const std::vector<SwarmMember> holders{Local("n")};
+  ManifestSearch search(Local("me"));
   search.Start(kStart);
   CHECK(Name(search.Next(holders, std::nullopt, kStart)) == "n");
-  CHECK(Name(search.Next(holders, std::nullopt, kStart + 250ms)) == "nobody");
+  CHECK(Name(search.Next(holders, std::nullopt, kStart + 250ms)) ==
+        "no source");
   CHECK(Name(search.Next(holders, std::nullopt, kStart + 500ms)) == "n");
 }
 
--- a/tests/swarm/older_version_chunks_test.cpp
+++ b/tests/swarm/older_version_chunks_test.cpp
@@ -1,4 +1,5 @@
-// Pieces of served weights, and how soon the newest are out.
+// Copies of the served version's chunks, and the estimate of when every chunk
+// of the newest version has left the origin.
 #include "chalkwell/swarm/older_version_chunks.hpp"
 
 #include <catch2/catch.hpp>
@@ -14,13 +15,13 @@
 
 ChunkSet AllOf(std::size_t size) {
   ChunkSet all(size);
-  for (std::size_t piece = 0; piece < size; ++piece) {
-    all.Add(piece);
+  for (std::size_t chunk = 0; chunk < size; ++chunk) {
+    all.Add(chunk);
   }
   return all;
 }
 
-TEST_CASE("older pieces that are overwritten can be given from copies",
+TEST_CASE("overwritten chunks of the older version are available as copies",
           "[swarm]") {
   OlderVersionChunks older(8);
   older.Start(kVersion, AllOf(4));
@@ -31,7 +32,7 @@
   CHECK(*older.FindCopy(1) == "abcd");
   CHECK(older.available().full());
   older.SaveCopy(2, "efgh");
-  // No room is left.
+  // The copies are at their size limit.
   older.SaveCopy(3, "i");
   CHECK(older.FindCopy(3) == nullptr);
   CHECK_FALSE(older.available().Has(3));
@@ -43,34 +44,35 @@
   CHECK(older.version() == kVersion + 1);
 }
 
-TEST_CASE("a version is out of its source by the rate of the last second",
+TEST_CASE("the remaining time follows from the rate of the last second",
           "[swarm]") {
   struct Row {
-    std::size_t seen_;
-    std::optional<core::Duration> left_;
+    std::size_t available_;
+    std::optional<core::Duration> remaining_;
   };
-  // Ten pieces of 100 each second.
+  // Ten of 100 chunks become available per second.
   const auto row =
       GENERATE(Row{0, std::nullopt}, Row{10, 9s}, Row{50, 5s}, Row{100, 0s});
   OriginProgress progress;
   core::TimePoint now{1h};
   progress.Start(100, now);
   progress.OnAvailable(0, now);
-  for (std::size_t seen = 1; seen <= row.seen_; ++seen) {
+  for (std::size_t available = 1; available <= row.available_; ++available) {
     now += 100ms;
-    progress.OnAvailable(seen, now);
+    progress.OnAvailable(available, now);
   }
-  const auto left = progress.TimeLeft(now);
-  REQUIRE(left.has_value() == row.left_.has_value());
-  if (left) {
-    CHECK(std::chrono::abs(*left - *row.left_) < 100ms);
+  const auto remaining = progress.TimeLeft(now);
+  REQUIRE(remaining.has_value() == row.remaining_.has_value());
+  if (remaining) {
+    CHECK(std::chrono::abs(*remaining - *row.remaining_) < 100ms);
   }
-  // Then nothing appears any more.
+  // From then on no chunk becomes available.
   const auto later = progress.TimeLeft(now + 1s);
-  CHECK(later.has_value() == (row.seen_ == 100));
+  CHECK(later.has_value() == (row.available_ == 100));
 }
 
-TEST_CASE("a source is not judged before it was observed", "[swarm]") {
+TEST_CASE("there is no estimate before the observation is long enough",
+          "[swarm]") {
   OriginProgress progress;
   const core::TimePoint now{1h};
   progress.Start(0, now);
--- a/tests/swarm/swarm_test.cpp
+++ b/tests/swarm/swarm_test.cpp
@@ -1,4 +1,5 @@
-// Chunk sets, pacing, assembly, and the planner's properties by RapidCheck.
+// Chunk sets, assembly, pacer and planner; properties are checked with
+// RapidCheck.
 #include <rapidcheck.h>
 
 #include <catch2/catch.hpp>
@@ -22,7 +23,7 @@
   return chunks;
 }
 
-TEST_CASE("chunk sets survive their wire form", "[swarm]") {
+TEST_CASE("chunk sets round-trip through their wire encoding", "[swarm]") {
   CHECK(rc::check([](const std::vector<bool>& bits) {
     ChunkSet set(bits.size());
     std::size_t count = 0;
@@ -37,7 +38,7 @@
   }));
 }
 
-TEST_CASE("a chunk counts only when its bytes are right", "[swarm]") {
+TEST_CASE("a chunk counts only when its digest is correct", "[swarm]") {
   Assembly assembly(Chunks(2));
   CHECK_FALSE(assembly.VerifyAndAdd(0, "1"));
   CHECK_FALSE(assembly.VerifyAndAdd(0, "0 "));
@@ -48,85 +49,90 @@
   CHECK(assembly.complete());
 }
 
-TEST_CASE("what only a member on a narrowed link holds is drawn by another",
+TEST_CASE("a chunk held only on a degraded link is fetched from the origin",
           "[swarm]") {
-  // Seen: two of fifteen members had a tenth of their links; the chunks that
-  // they drew kept all others waiting for 6.4 s instead of 3.7 s.
+  // Guards against waiting for members on degraded links: when two of fifteen
+  // members had a tenth of their link rate, all others waited 6.4 s instead of
+  // 3.7 s for the chunks that these two had fetched from the origin.
   struct Row {
     std::string name_;
-    bool slow_;
+    bool degraded_;
     bool other_holds_;
     core::Duration after_;
-    /// Empty: nobody; "origin": drawn.
+    /// The peer that is asked, or "origin".
     std::string asked_;
   };
   const auto row = GENERATE(
-      Row{"a quick holder is asked", false, false, 0ms, "holder"},
-      Row{"a slow one is not", true, false, 0ms, "origin"},
-      Row{"nor when another holds the chunk", true, true, 0ms, "other"},
-      Row{"but when nobody else came to hold it", true, false, 3s, "holder"});
+      Row{"a holder on a healthy link is asked", false, false, 0ms, "holder"},
+      Row{"a holder on a degraded link is not asked", true, false, 0ms,
+          "origin"},
+      Row{"another holder is preferred", true, true, 0ms, "other"},
+      Row{"it is asked when no other member got the chunk", true, false, 3s,
+          "holder"});
   CAPTURE(row.name_);
   const core::FailureDomainId domain("d");
   Planner planner({core::InstanceId("me"), domain},
                   {.origin_copies_ = 1, .max_requests_per_peer_ = 1}, 1);
   planner.Start(Chunks(1), ChunkSet(1), kStart);
-  ChunkSet whole(1);
-  whole.Add(0);
-  planner.OnAnnounced({core::InstanceId("holder"), domain}, whole, kStart);
+  ChunkSet all(1);
+  all.Add(0);
+  planner.OnAnnounced({core::InstanceId("holder"), domain}, all, kStart);
   if (row.other_holds_) {
-    // Farther away, so that only the narrowed link speaks for it.
+    // In a remote failure domain, so that it is preferred only for its link.
     planner.OnAnnounced({core::InstanceId("other"), core::FailureDomainId("e")},
-                        whole, kStart);
+                        all, kStart);
   }
   planner.SetMembers({{core::InstanceId("me"), domain},
-                      {core::InstanceId("holder"), domain, row.slow_}});
-  const auto orders = planner.Next(kStart + row.after_);
-  REQUIRE(orders.size() == 1);
-  const auto& peer = orders.front().peer_;
+                      {core::InstanceId("holder"), domain, row.degraded_}});
+  const auto requests = planner.Next(kStart + row.after_);
+  REQUIRE(requests.size() == 1);
+  const auto& peer = requests.front().peer_;
   CHECK((peer ? peer->value() : "origin") == row.asked_);
 }
 
-TEST_CASE("members on narrowed links come last in rank, and draw if alone",
+TEST_CASE("members on degraded links come last in the priority order",
           "[swarm]") {
   const core::FailureDomainId domain("d");
-  const bool other_slow = GENERATE(false, true);
-  // Whatever the scores say: of many chunks each would get a share.
+  const bool other_degraded = GENERATE(false, true);
+  // With 50 chunks the rendezvous scores alone would assign some to each
+  // member.
   Planner planner({core::InstanceId("me"), domain},
                   {.origin_copies_ = 1, .max_origin_requests_ = 50}, 1);
   planner.Start(Chunks(50), ChunkSet(50), kStart);
   planner.SetMembers({{core::InstanceId("me"), domain, true},
-                      {core::InstanceId("other"), domain, other_slow}});
-  const auto drawn = planner.Next(kStart).size();
-  if (other_slow) {
-    CHECK(drawn > 5);
-    CHECK(drawn < 45);
+                      {core::InstanceId("other"), domain, other_degraded}});
+  const auto fetched = planner.Next(kStart).size();
+  if (other_degraded) {
+    CHECK(fetched > 5);
+    CHECK(fetched < 45);
   } else {
-    CHECK(drawn == 0);
+    CHECK(fetched == 0);
   }
 }
 
 TEST_CASE(
-    "the next in rank imports when its domain stands still, or much later",
+    "the next in rank imports without local progress or after a maximum wait",
     "[swarm]") {
-  // Seen: the first in rank was busy with other imports; after 500 ms the next
-  // one asked for the same bytes, and a quarter more crossed between regions.
+  // Guards against duplicate imports: while the first in rank was busy with
+  // other imports, the next one requested the same chunks after 500 ms, and a
+  // quarter more bytes crossed between regions.
   struct Row {
     std::string name_;
-    /// When the last other chunk came to the own failure domain.
+    /// When the last other chunk became available in the local failure domain.
     core::Duration progress_;
     core::Duration after_;
     bool asks_;
   };
-  const auto row =
-      GENERATE(Row{"too early", 0ms, 300ms, false},
-               Row{"nothing new for long", 0ms, 600ms, true},
-               Row{"others arrive", 400ms, 600ms, false},
-               Row{"others arrived", 400ms, 1000ms, true},
-               Row{"others arrive all the time", 2400ms, 2600ms, true});
+  const auto row = GENERATE(
+      Row{"too early", 0ms, 300ms, false},
+      Row{"no local progress", 0ms, 600ms, true},
+      Row{"recent local progress", 400ms, 600ms, false},
+      Row{"local progress has stopped", 400ms, 1000ms, true},
+      Row{"local progress beyond the maximum wait", 2400ms, 2600ms, true});
   CAPTURE(row.name_);
-  const core::FailureDomainId near("d");
-  const std::vector<SwarmMember> members{{core::InstanceId("a"), near},
-                                         {core::InstanceId("b"), near}};
+  const core::FailureDomainId local("d");
+  const std::vector<SwarmMember> members{{core::InstanceId("a"), local},
+                                         {core::InstanceId("b"), local}};
   const auto chunks = Chunks(2);
   const auto first_is_a =
       core::RendezvousScore(chunks[0].digest_.ToHex(), "a") >
@@ -144,60 +150,63 @@
   ChunkSet other(2);
   other.Add(1);
   planner.OnAnnounced(neighbour, other, kStart + row.progress_);
-  const auto orders = planner.Next(kStart + row.after_);
+  const auto requests = planner.Next(kStart + row.after_);
   const bool asks = std::ranges::any_of(
-      orders, [](const FetchRequest& order) { return order.chunk_ == 0; });
+      requests,
+      [](const FetchRequest& request) { return request.chunk_ == 0; });
   CHECK(asks == row.asks_);
 }
 
-TEST_CASE("what no neighbour holds is asked for first", "[swarm]") {
-  // Seen: imports waited behind chunks that neighbours held, the next in rank
-  // imported them too, and twice the bytes crossed between regions.
-  const core::FailureDomainId near("d");
-  const core::FailureDomainId far("e");
-  Planner planner({core::InstanceId("me"), near},
+TEST_CASE("chunks that no local member holds are requested first", "[swarm]") {
+  // Guards against duplicate imports: imports waited behind chunks that local
+  // members held, so that the next in rank imported the same chunks and twice
+  // the bytes crossed between regions.
+  const core::FailureDomainId local("d");
+  const core::FailureDomainId remote("e");
+  Planner planner({core::InstanceId("me"), local},
                   {.origin_copies_ = 0,
                    .max_requests_per_peer_ = 2,
                    .max_peer_requests_ = 1},
                   1);
-  planner.SetMembers({{core::InstanceId("me"), near}});
+  planner.SetMembers({{core::InstanceId("me"), local}});
   planner.Start(Chunks(2), ChunkSet(2), kStart);
   ChunkSet first(2);
   first.Add(0);
   ChunkSet second(2);
   second.Add(1);
-  planner.OnAnnounced({core::InstanceId("n"), near}, first, kStart);
+  planner.OnAnnounced({core::InstanceId("n"), local}, first, kStart);
   for (const auto* id : {"f", "g", "h"}) {
-    planner.OnAnnounced({core::InstanceId(id), far}, second, kStart);
+    planner.OnAnnounced({core::InstanceId(id), remote}, second, kStart);
   }
-  const auto orders = planner.Next(kStart);
-  REQUIRE(orders.size() == 1);
-  CHECK(orders.front().chunk_ == 1);
+  const auto requests = planner.Next(kStart);
+  REQUIRE(requests.size() == 1);
+  CHECK(requests.front().chunk_ == 1);
 }
 
-TEST_CASE("weights never pass the rate and never starve", "[swarm]") {
+TEST_CASE("weight traffic stays below the link rate and is never starved",
+          "[swarm]") {
   CHECK(rc::check([](const std::vector<std::uint16_t>& sizes) {
     constexpr std::uint64_t kRate = 100'000;
     Pacer pacer(kRate, 50ms);
     auto now = kStart;
     std::uint64_t sent = 0;
     for (const auto size : sizes) {
-      const std::uint64_t live = size / 4;
-      pacer.OnRequestBytes(live, now);
+      const std::uint64_t request_bytes = size / 4;
+      pacer.OnRequestBytes(request_bytes, now);
       const auto wait = pacer.Reserve(size, now);
       now += wait;
-      sent += size + live;
-      const std::chrono::duration<double> took = now - kStart;
-      // What was sent before this one has passed the link by now.
-      RC_ASSERT(static_cast<double>(sent - size - live) <=
-                static_cast<double>(kRate) * (took.count() + 0.06) + 20000);
+      sent += size + request_bytes;
+      const std::chrono::duration<double> elapsed = now - kStart;
+      // The link has transmitted everything sent before this reservation.
+      RC_ASSERT(static_cast<double>(sent - size - request_bytes) <=
+                static_cast<double>(kRate) * (elapsed.count() + 0.06) + 20000);
       RC_ASSERT(wait < 10s);
     }
   }));
 }
 
-/// A swarm of planners without a network: orders are served at once, fail, or
-/// come from members that die.
+/// A swarm of planners without a network: requests succeed or fail at once, and
+/// members may be lost.
 struct Swarm {
   Swarm(std::size_t members, std::size_t chunks, std::size_t copies)
       : chunks_(Chunks(chunks)) {
@@ -214,7 +223,7 @@
       planner.Start(chunks_, ChunkSet(chunks), kStart);
     }
     alive_.assign(members, true);
-    drawn_.assign(chunks, 0);
+    origin_fetches_.assign(chunks, 0);
   }
 
   void Announce(core::TimePoint now) {
@@ -228,25 +237,25 @@
     }
   }
 
-  void Round(core::TimePoint now, const std::function<bool()>& fails) {
+  void Round(core::TimePoint now, const std::function<bool()>& should_fail) {
     Announce(now);
     for (std::size_t i = 0; i < planners_.size(); ++i) {
       if (!alive_[i]) {
         continue;
       }
       (void)planners_[i].ExpireRequests(now);
-      for (const auto& order : planners_[i].Next(now)) {
-        if (fails()) {
-          planners_[i].OnRequestFailed(order.chunk_, now);
+      for (const auto& request : planners_[i].Next(now)) {
+        if (should_fail()) {
+          planners_[i].OnRequestFailed(request.chunk_, now);
           continue;
         }
-        drawn_[order.chunk_] += order.peer_ ? 0 : 1;
-        planners_[i].OnChunkReceived(order.chunk_, now);
+        origin_fetches_[request.chunk_] += request.peer_ ? 0 : 1;
+        planners_[i].OnChunkReceived(request.chunk_, now);
       }
     }
   }
 
-  [[nodiscard]] bool AllWhole() const {
+  [[nodiscard]] bool AllComplete() const {
     for (std::size_t i = 0; i < planners_.size(); ++i) {
       if (alive_[i] && !planners_[i].complete()) {
         return false;
@@ -259,7 +268,7 @@
   std::vector<SwarmMember> members_;
   std::vector<Planner> planners_;
   std::vector<bool> alive_;
-  std::vector<int> drawn_;
+  std::vector<int> origin_fetches_;
 };
 
 TEST_CASE("every chunk reaches every live member", "[swarm]") {
@@ -270,7 +279,7 @@
     std::mt19937 random(seed);
     Swarm swarm(members, chunks, 1);
     auto now = kStart;
-    for (int round = 0; round < 400 && !swarm.AllWhole(); ++round) {
+    for (int round = 0; round < 400 && !swarm.AllComplete(); ++round) {
       swarm.Round(now, [&] { return round < 100 && random() % 4 == 0; });
       const auto victim = random() % members;
       if (round < 20 && random() % 8 == 0 && victim != 0) {
@@ -281,25 +290,27 @@
       }
       now += 500ms;
     }
-    RC_ASSERT(swarm.AllWhole());
+    RC_ASSERT(swarm.AllComplete());
   }));
 }
 
-TEST_CASE("without failures each chunk is drawn as often as set", "[swarm]") {
+TEST_CASE(
+    "without failures each chunk is fetched from the origin as configured",
+    "[swarm]") {
   CHECK(rc::check([] {
     const auto members = *rc::gen::inRange<std::size_t>(4, 12);
     const auto chunks = *rc::gen::inRange<std::size_t>(1, 30);
     const auto copies = *rc::gen::inRange<std::size_t>(1, 4);
     Swarm swarm(members, chunks, copies);
     auto now = kStart;
-    for (int round = 0; round < 200 && !swarm.AllWhole(); ++round) {
+    for (int round = 0; round < 200 && !swarm.AllComplete(); ++round) {
       swarm.Round(now, [] { return false; });
       now += 100ms;
     }
-    RC_ASSERT(swarm.AllWhole());
-    for (const auto drawn : swarm.drawn_) {
-      RC_ASSERT(drawn >= 1);
-      RC_ASSERT(drawn <= static_cast<int>(copies));
+    RC_ASSERT(swarm.AllComplete());
+    for (const auto fetches : swarm.origin_fetches_) {
+      RC_ASSERT(fetches >= 1);
+      RC_ASSERT(fetches <= static_cast<int>(copies));
     }
     for (const auto& planner : swarm.planners_) {
       RC_ASSERT(planner.origin_fetches(OriginFetchCause::kTakeover) == 0U);
@@ -307,18 +318,19 @@
   }));
 }
 
-TEST_CASE("a silent first choice costs a timeout, not the chunk", "[swarm]") {
+TEST_CASE("another member takes over the chunks assigned to a lost member",
+          "[swarm]") {
   Swarm swarm(4, 8, 1);
   swarm.alive_[0] = false;
   auto now = kStart;
-  for (int round = 0; round < 200 && !swarm.AllWhole(); ++round) {
+  for (int round = 0; round < 200 && !swarm.AllComplete(); ++round) {
     swarm.Round(now, [] { return false; });
     now += 100ms;
   }
-  CHECK(swarm.AllWhole());
+  CHECK(swarm.AllComplete());
 }
 
-TEST_CASE("members together draw no more than a window of chunks at once",
+TEST_CASE("all members together fetch at most one origin window at a time",
           "[swarm]") {
   constexpr std::size_t kWindow = 4;
   const auto chunks = Chunks(40);
@@ -333,14 +345,14 @@
     Planner planner(member, settings, 1);
     planner.SetMembers(members);
     planner.Start(chunks, ChunkSet(chunks.size()), kStart);
-    for (const auto& order : planner.Next(kStart)) {
-      asked.insert(order.chunk_);
+    for (const auto& request : planner.Next(kStart)) {
+      asked.insert(request.chunk_);
     }
   }
   CHECK(asked == std::set<std::size_t>{0, 1, 2, 3});
 }
 
-TEST_CASE("a chunk that a window of later ones overtook is drawn by the next",
+TEST_CASE("the next member fetches a chunk skipped by a window of later ones",
           "[swarm]") {
   constexpr std::size_t kWindow = 4;
   const auto chunks = Chunks(40);
@@ -353,41 +365,42 @@
   planner.SetMembers(members);
   planner.Start(chunks, ChunkSet(chunks.size()), kStart);
   ChunkSet held(chunks.size());
-  std::set<std::size_t> drawn;
-  const auto seen_behind = [&](std::size_t chunk) {
+  std::set<std::size_t> fetched;
+  const auto later_available = [&](std::size_t chunk) {
     std::size_t count = 0;
     for (auto other = chunk + 1; other < chunks.size(); ++other) {
-      count += held.Has(other) || drawn.contains(other) ? 1 : 0;
+      count += held.Has(other) || fetched.contains(other) ? 1 : 0;
     }
     return count;
   };
-  // The other one holds what it draws, but for the first of its chunks.
+  // The other member holds every chunk assigned to it except for the first.
   std::optional<std::size_t> missing;
   for (std::size_t chunk = 0; chunk < chunks.size(); ++chunk) {
-    const auto seen = missing ? seen_behind(*missing) : 0;
-    for (const auto& order : planner.Next(kStart)) {
-      if (!order.peer_) {
-        drawn.insert(order.chunk_);
-        planner.OnChunkReceived(order.chunk_, kStart);
+    const auto skips = missing ? later_available(*missing) : 0;
+    for (const auto& request : planner.Next(kStart)) {
+      if (!request.peer_) {
+        fetched.insert(request.chunk_);
+        planner.OnChunkReceived(request.chunk_, kStart);
       }
     }
-    if (missing && drawn.contains(*missing)) {
-      CHECK(seen >= kWindow);
-      CHECK(seen <= 2 * kWindow);
+    if (missing && fetched.contains(*missing)) {
+      CHECK(skips >= kWindow);
+      CHECK(skips <= 2 * kWindow);
       break;
     }
-    if (!missing && !drawn.contains(chunk)) {
+    if (!missing && !fetched.contains(chunk)) {
       missing = chunk;
-    } else if (!drawn.contains(chunk)) {
+    } else if (!fetched.contains(chunk)) {
       held.Add(chunk);
       planner.OnAnnounced(members[0], held, kStart);
     }
   }
   REQUIRE(missing);
-  CHECK(drawn.contains(*missing));
+  CHECK(fetched.contains(*missing));
 }
 
-TEST_CASE("a request that times out is asked elsewhere", "[swarm]") {
+TEST_CASE("a chunk whose request timed out is requested from another peer",
+          "[swarm]") {
   Planner planner({core::InstanceId("a"), {}},
                   {.origin_copies_ = 0, .chunk_timeout_ = 5s}, 1);
   planner.SetMembers({{core::InstanceId("a"), {}}});
@@ -404,13 +417,13 @@
 }
 
 TEST_CASE(
-    "a chunk that only other domains hold is imported by the first in "
-    "rank, the next one after a silence",
+    "a chunk held only in remote domains is imported by the first in rank, "
+    "and by the next one after the takeover timeout",
     "[swarm]") {
   const auto chunks = Chunks(12);
   const SwarmMember source{core::InstanceId("source"),
                            core::FailureDomainId("other")};
-  const std::vector<SwarmMember> near{
+  const std::vector<SwarmMember> local{
       {core::InstanceId("a"), core::FailureDomainId("home")},
       {core::InstanceId("b"), core::FailureDomainId("home")},
       {core::InstanceId("c"), core::FailureDomainId("home")}};
@@ -423,30 +436,31 @@
     all.Add(i);
   }
   std::map<std::size_t, int> at_once;
-  std::map<std::size_t, int> in_the_end;
-  for (const auto& self : near) {
+  std::map<std::size_t, int> in_total;
+  for (const auto& self : local) {
     Planner planner(self, settings, 1);
-    planner.SetMembers(near);
+    planner.SetMembers(local);
     planner.Start(chunks, ChunkSet(chunks.size()), kStart);
     planner.OnAnnounced(source, all, kStart);
-    for (const auto& order : planner.Next(kStart)) {
-      ++at_once[order.chunk_];
-      ++in_the_end[order.chunk_];
+    for (const auto& request : planner.Next(kStart)) {
+      ++at_once[request.chunk_];
+      ++in_total[request.chunk_];
     }
-    for (const auto& order : planner.Next(kStart + 1s)) {
-      ++in_the_end[order.chunk_];
+    for (const auto& request : planner.Next(kStart + 1s)) {
+      ++in_total[request.chunk_];
     }
   }
   for (std::size_t i = 0; i < chunks.size(); ++i) {
     CHECK(at_once[i] == 1);
-    CHECK(in_the_end[i] == 3);
+    CHECK(in_total[i] == 3);
   }
 }
 
-TEST_CASE("a chunk that its holder cannot give is drawn from the origin",
+TEST_CASE("a chunk that its holder fails to send is fetched from the origin",
           "[swarm]") {
-  // Seen on a day: two pieces lost by the staging that announced them kept a
-  // whole fleet from its new weights for 25 s.
+  // Guards against waiting for a holder that lost a chunk: two announced chunks
+  // that were lost from staging kept a whole fleet from its new weights for 25
+  // s.
   const auto chunks = Chunks(1);
   const SwarmMember self{core::InstanceId("a"), core::FailureDomainId("d")};
   const SwarmMember holder{core::InstanceId("b"), core::FailureDomainId("d")};
