--- a/tests/swarm/rollout_simulation.hpp
+++ b/tests/swarm/rollout_simulation.hpp
@@ -1,6 +1,7 @@
-// A roll in simulated time: agents with links, an origin with a link and few
-// connections, links between failure domains. The decisions are the library's;
-// how an agent carries them out is what the daemon does, in short.
+// Simulation of a rollout in virtual time: agents with links, an origin with a
+// link and a limited number of connections, and links between failure domains.
+// Decisions are made by the library; their execution is a simplified model of
+// the daemon.
 #pragma once
 
 #include <cstdint>
@@ -22,64 +23,71 @@
 
 namespace chalkwell::swarm {
 
-/// @brief A time in which the origin answers nobody.
-struct OriginAway {
+/// @brief Interval, relative to the start, in which the origin does not
+/// respond.
+struct OriginOutage {
   core::Duration from_{};
   core::Duration to_{};
 };
 
-/// @brief Settings of a play.
 struct RolloutSimulationSettings {
   std::size_t domains_ = 5;
   std::size_t agents_ = 204;
   std::size_t chunks_ = 96;
   std::size_t chunk_bytes_ = 24576;
-  /// Of each agent, each way.
+  /// Bytes per second of each agent's link, per direction.
   double link_rate_ = 7.3e6 / 8;
+  /// Bytes per second of the origin's link.
   double origin_rate_ = 7.3e6 / 8;
-  /// Between two failure domains, each way.
+  /// Bytes per second between two failure domains, per direction.
   double domain_rate_ = 26e6 / 8;
-  core::Duration near_delay_ = std::chrono::microseconds(200);
-  core::Duration far_delay_ = std::chrono::microseconds(1500);
-  /// Reading a chunk from the engine's staging, and writing it there.
+  /// One-way delay within a failure domain.
+  core::Duration local_delay_ = std::chrono::microseconds(200);
+  /// One-way delay between failure domains.
+  core::Duration remote_delay_ = std::chrono::microseconds(1500);
+  /// Time to read a chunk from the engine's staging area, or to write it there.
   core::Duration stage_time_ = std::chrono::milliseconds(4);
   std::size_t origin_connections_ = 48;
-  /// One more is not refused: it is not answered, and given up after this.
-  core::Duration connect_patience_ = std::chrono::milliseconds(1500);
+  /// Timeout of a connection beyond `origin_connections_`, which the origin
+  /// neither accepts nor refuses.
+  core::Duration connect_timeout_ = std::chrono::milliseconds(1500);
+  /// Fraction of the link that uploads of chunks may use.
   double upload_share_ = 0.85;
   core::Duration tick_ = std::chrono::milliseconds(40);
   core::Duration announce_interval_ = std::chrono::milliseconds(120);
-  std::optional<OriginAway> away_;
-  /// Agents that die, and when.
+  std::optional<OriginOutage> outage_;
+  /// Number of agents that terminate at `lost_at_`.
   std::size_t lost_ = 0;
   core::Duration lost_at_ = std::chrono::seconds(1);
-  /// As the planner's.
+  /// Setting of the planner.
   std::size_t origin_window_ = 24;
   std::uint32_t seed_ = 1;
-  core::Duration longest_ = std::chrono::seconds(30);
+  /// Simulated time after which the run ends.
+  core::Duration max_duration_ = std::chrono::seconds(30);
 };
 
-/// @brief What came of a play, from the naming on.
+/// @brief Result of a run; times count from the publication of the version.
 struct RolloutSimulationResult {
-  /// Of the agents that live, in order; shorter when some are never whole.
-  std::vector<core::Duration> whole_;
-  /// Chunks that the origin sent, over the chunks of a version.
+  /// Completion times of the live agents, ascending; agents that do not
+  /// complete are missing.
+  std::vector<core::Duration> completed_;
+  /// Chunks sent by the origin, divided by the number of chunks of the version.
   double origin_copies_ = 0;
-  /// Connections that the origin had no room for.
+  /// Connections beyond the limit of the origin.
   std::size_t dropped_connections_ = 0;
-  /// Chunks that crossed into each failure domain other than the origin's, over
-  /// the chunks of a version, the most of all.
+  /// Chunks sent into a failure domain from other domains, divided by the
+  /// number of chunks of the version; the maximum over all domains.
   double import_copies_ = 0;
-  /// Chunks that the busiest agent gave, over the mean.
+  /// Chunks sent by the busiest agent, divided by the mean.
   double busiest_ = 0;
-  /// Messages of an agent about what it holds, in the mean.
-  double told_ = 0;
+  /// Mean number of announcements sent per agent.
+  double announcements_ = 0;
 
-  /// @brief When a share of the agents was whole.
-  [[nodiscard]] core::Duration At(double share) const;
+  /// @brief Time at which a fraction of the agents was complete.
+  [[nodiscard]] core::Duration At(double fraction) const;
 };
 
-/// @brief One play.
+/// @brief One simulated rollout.
 class RolloutSimulation {
  public:
   explicit RolloutSimulation(RolloutSimulationSettings settings);
@@ -88,12 +96,13 @@
 
  private:
   struct Agent;
-  struct Draw {
+  struct OriginFetch {
     Agent* agent_ = nullptr;
     std::size_t chunk_ = 0;
   };
   struct Event {
     core::TimePoint at_;
+    /// Order among events at the same time.
     std::uint64_t number_ = 0;
     std::function<void()> task_;
     bool operator<(const Event& other) const {
@@ -102,23 +111,24 @@
   };
 
   void At(core::TimePoint at, std::function<void()> task);
-  void After(core::Duration wait, std::function<void()> task) {
-    At(now_ + wait, std::move(task));
+  void After(core::Duration delay, std::function<void()> task) {
+    At(now_ + delay, std::move(task));
   }
   [[nodiscard]] core::Duration Delay(const Agent& from, const Agent& to) const;
-  void Begin(Agent& agent);
+  void Start(Agent& agent);
   void Tick(Agent& agent);
-  void Pump(Agent& agent);
-  void AskPeer(Agent& agent, Agent& peer, std::size_t chunk);
-  void Give(Agent& from, Agent& to, std::size_t chunk, core::TimePoint asked);
-  void AskOrigin(Agent& agent, std::size_t chunk);
+  void SendRequests(Agent& agent);
+  void RequestFromPeer(Agent& agent, Agent& peer, std::size_t chunk);
+  void SendChunk(Agent& from, Agent& to, std::size_t chunk,
+                 core::TimePoint requested_at);
+  void RequestFromOrigin(Agent& agent, std::size_t chunk);
   void OriginFailed(Agent& agent, std::size_t chunk);
-  /// @brief Sends the first of those who wait, unless one is being sent to.
+  /// @brief Sends the first waiting chunk unless the origin is busy.
   void ServeOrigin();
-  [[nodiscard]] bool OriginAwayNow() const;
-  void OnChunk(Agent& agent, std::size_t chunk, bool drawn);
+  [[nodiscard]] bool InOriginOutage() const;
+  void OnChunkReceived(Agent& agent, std::size_t chunk, bool from_origin);
   void Announce(Agent& agent);
-  void TellOne(Agent& agent, Agent& other);
+  void SendAnnouncement(Agent& agent, Agent& recipient);
 
   RolloutSimulationSettings settings_;
   std::mt19937 random_;
@@ -130,17 +140,18 @@
   std::vector<SwarmMember> members_;
   std::vector<std::unique_ptr<Agent>> agents_;
   std::map<core::InstanceId, Agent*> by_id_;
-  /// When the link between two domains is free again.
+  /// When the link between two domains becomes free.
   std::map<std::pair<core::FailureDomainId, core::FailureDomainId>,
            core::TimePoint>
       domain_free_;
-  /// Connections to the origin, which serves one after the other.
-  std::deque<Draw> draws_;
+  /// Open connections to the origin, which serves them one at a time.
+  std::deque<OriginFetch> origin_queue_;
   bool origin_busy_ = false;
-  std::size_t drawn_ = 0;
+  std::size_t sent_by_origin_ = 0;
   std::size_t dropped_connections_ = 0;
+  /// Chunks sent into each failure domain from other domains.
   std::map<core::FailureDomainId, std::size_t> imported_;
-  std::vector<core::Duration> whole_;
+  std::vector<core::Duration> completed_;
 };
 
 }  // namespace chalkwell::swarm
