--- a/packages/chalkwell/src/chalkwell/rollout/activation.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/activation.cpp
@@ -1,6 +1,6 @@
-// The rollout state machine. Correctness never rests on turns: an order goes
-// out only while nothing runs, and only the engine's report opens the endpoint
-// again.
+// State machine of a rollout. Safety does not depend on rollout slots: an
+// activation order is sent only while the engine runs no requests, and the
+// endpoint accepts requests again only after the engine has reported its state.
 #include "chalkwell/rollout/activation.hpp"
 
 #include <algorithm>
@@ -8,15 +8,17 @@
 namespace chalkwell::rollout {
 namespace {
 
-/// Low bits of a fencing number tell processes apart, the rest counts.
-constexpr unsigned kTieBits = 24;
-constexpr std::uint64_t kTieMask = (std::uint64_t{1} << kTieBits) - 1;
+/// The low bits of a fencing number distinguish processes; the high bits are a
+/// counter.
+constexpr unsigned kTieBreakerBits = 24;
+constexpr std::uint64_t kTieBreakerMask =
+    (std::uint64_t{1} << kTieBreakerBits) - 1;
 constexpr std::uint64_t kOrderStep = 1;
-/// A claim passes any order that the process before it can still have under
-/// way, whatever its tie.
+/// A claim must exceed every order that the previous process may still have in
+/// flight, whatever its tie breaker.
 constexpr std::uint64_t kClaimStep = 2;
-/// Leases that a process waits before it claims an engine again: the first
-/// time, and when it was taken again soon.
+/// Leases that a process waits before it reclaims an engine: at first, and at
+/// most, after repeated replacements within that time.
 constexpr int kReclaimLeases = 4;
 constexpr int kMaxReclaimLeases = 8;
 
@@ -28,42 +30,44 @@
       reclaim_wait_(kReclaimLeases * settings.lease_) {}
 
 bool Activation::accepting(core::TimePoint now) const noexcept {
-  const bool lease_stands = now - asked_at_ <= settings_.lease_;
-  return accepting_ && (lease_stands || faults_.keep_state_after_pause_);
+  const bool lease_valid = now - queried_at_ <= settings_.lease_;
+  return accepting_ && (lease_valid || faults_.keep_state_after_pause_);
 }
 
 bool Activation::NeedsSwitch() const noexcept {
   if (!engine_ || target_.version_ == 0) {
     return false;
   }
-  const Target held{engine_->version_, engine_->manifest_};
-  return faults_.order_older_ ? target_ != held : target_ > held;
+  const Target active{engine_->version_, engine_->manifest_};
+  return faults_.order_older_ ? target_ != active : target_ > active;
 }
 
 std::uint64_t Activation::NextFence(std::uint64_t step) const noexcept {
-  const auto count = (fence_ >> kTieBits) + step;
-  return (count << kTieBits) | (settings_.tie_breaker_ & kTieMask);
+  const auto count = (fence_ >> kTieBreakerBits) + step;
+  return (count << kTieBreakerBits) |
+         (settings_.tie_breaker_ & kTieBreakerMask);
 }
 
-bool Activation::OthersAreGone(core::TimePoint now) const noexcept {
-  if (ordered_ || faults_.skip_claim_) {
+bool Activation::PredecessorsDone(core::TimePoint now) const noexcept {
+  if (has_ordered_ || faults_.skip_claim_) {
     return true;
   }
-  // Work that an earlier process handed on may still run, and the engine
-  // reports its load late: the report must be of well after the last lease.
-  const auto since = claimed_at_.value_or(not_before_);
+  // Requests from an earlier process may still be running, and the engine
+  // reports its load with a delay. The report must therefore be queried well
+  // after the earlier process's lease has expired: two leases after the claim.
+  const auto since = claimed_at_.value_or(min_query_time_);
   return engine_ && engine_->load_ == 0 &&
-         asked_at_ >= since + 2 * settings_.lease_ &&
+         queried_at_ >= since + 2 * settings_.lease_ &&
          now >= since + 2 * settings_.lease_;
 }
 
-void Activation::Announcement(bool ready, Actions& actions) {
+void Activation::AppendAnnouncement(bool ready, Actions& actions) {
   accepting_ = ready;
-  Announce announce{.ready_ = ready, .serving_ = {}};
+  Announce announcement{.ready_ = ready, .serving_ = {}};
   if (ready) {
-    announce.serving_ = {engine_->version_, engine_->manifest_};
+    announcement.serving_ = {engine_->version_, engine_->manifest_};
   }
-  actions.emplace_back(announce);
+  actions.emplace_back(announcement);
 }
 
 void Activation::StartFetch(Actions& actions) {
@@ -71,16 +75,16 @@
   actions.emplace_back(FetchWeights{target_});
 }
 
-void Activation::Settle(Actions& actions) {
-  Announcement(!engine_->manifest_.empty(), actions);
+void Activation::Reconcile(Actions& actions) {
+  AppendAnnouncement(!engine_->manifest_.empty(), actions);
   if (NeedsSwitch()) {
     StartFetch(actions);
   } else {
-    phase_ = Phase::kSettled;
+    phase_ = Phase::kUpToDate;
   }
 }
 
-void Activation::Claim(Actions& actions) {
+void Activation::AppendClaim(Actions& actions) {
   phase_ = Phase::kClaiming;
   fence_ = NextFence(kClaimStep);
   own_fence_ = fence_;
@@ -92,42 +96,42 @@
   if (target <= target_) {
     return actions;
   }
-  const auto abandoned = target_.manifest_;
+  const auto previous_manifest = target_.manifest_;
   target_ = target;
-  const bool fetched = phase_ == Phase::kFetching ||
-                       phase_ == Phase::kWaitingForSlot ||
-                       phase_ == Phase::kDraining;
-  if (fetched && abandoned != target.manifest_) {
-    actions.emplace_back(AbandonFetch{abandoned});
+  const bool has_fetch = phase_ == Phase::kFetching ||
+                         phase_ == Phase::kWaitingForSlot ||
+                         phase_ == Phase::kDraining;
+  if (has_fetch && previous_manifest != target.manifest_) {
+    actions.emplace_back(AbandonFetch{previous_manifest});
   }
   if (phase_ == Phase::kDraining) {
-    Settle(actions);
-  } else if ((fetched || phase_ == Phase::kSettled) && NeedsSwitch()) {
+    Reconcile(actions);
+  } else if ((has_fetch || phase_ == Phase::kUpToDate) && NeedsSwitch()) {
     StartFetch(actions);
   }
   return actions;
 }
 
-void Activation::DropFetch(Actions& actions) const {
-  const bool fetched = phase_ == Phase::kFetching ||
-                       phase_ == Phase::kWaitingForSlot ||
-                       phase_ == Phase::kDraining;
-  if (fetched && !faults_.keep_staged_over_restart_) {
+void Activation::AbandonCurrentFetch(Actions& actions) const {
+  const bool has_fetch = phase_ == Phase::kFetching ||
+                         phase_ == Phase::kWaitingForSlot ||
+                         phase_ == Phase::kDraining;
+  if (has_fetch && !faults_.keep_staged_over_restart_) {
     actions.emplace_back(AbandonFetch{target_.manifest_});
   }
 }
 
-void Activation::BecomeReplaced(core::TimePoint now, Actions& actions) {
-  DropFetch(actions);
-  const bool held_long = claimed_at_ && now - *claimed_at_ > reclaim_wait_;
-  reclaim_wait_ = held_long ? kReclaimLeases * settings_.lease_
-                            : std::min(2 * reclaim_wait_,
-                                       kMaxReclaimLeases * settings_.lease_);
+void Activation::EnterReplaced(core::TimePoint now, Actions& actions) {
+  AbandonCurrentFetch(actions);
+  const bool was_stable = claimed_at_ && now - *claimed_at_ > reclaim_wait_;
+  reclaim_wait_ = was_stable ? kReclaimLeases * settings_.lease_
+                             : std::min(2 * reclaim_wait_,
+                                        kMaxReclaimLeases * settings_.lease_);
   phase_ = Phase::kReplaced;
   replaced_at_ = now;
   claimed_at_.reset();
-  ordered_ = false;
-  Announcement(false, actions);
+  has_ordered_ = false;
+  AppendAnnouncement(false, actions);
 }
 
 bool Activation::MayReclaim(core::TimePoint now) const noexcept {
@@ -141,37 +145,37 @@
     return true;
   }
   if (state.fence_ > own_fence_ && own_fence_ != 0) {
-    BecomeReplaced(now, actions);
+    EnterReplaced(now, actions);
     return false;
   }
   if (state.fence_ < own_fence_ || own_fence_ == 0) {
-    // Never claimed, the claim was lost, or the engine has forgotten it.
-    DropFetch(actions);
+    // Not claimed yet, the claim was lost, or the engine restarted and lost it.
+    AbandonCurrentFetch(actions);
     claimed_at_.reset();
-    ordered_ = false;
-    Announcement(false, actions);
-    Claim(actions);
+    has_ordered_ = false;
+    AppendAnnouncement(false, actions);
+    AppendClaim(actions);
     return false;
   }
   if (!claimed_at_) {
     claimed_at_ = now;
-    phase_ = Phase::kHolding;
+    phase_ = Phase::kWaitingForLeases;
   }
   return true;
 }
 
 Actions Activation::OnEngineState(const EngineState& state,
-                                  core::TimePoint asked_at,
+                                  core::TimePoint queried_at,
                                   core::TimePoint now) {
   Actions actions;
-  const bool out_of_date = asked_at < not_before_ || asked_at < asked_at_;
-  if (out_of_date || phase_ == Phase::kAwaitingReply) {
+  const bool stale = queried_at < min_query_time_ || queried_at < queried_at_;
+  if (stale || phase_ == Phase::kAwaitingReply) {
     return actions;
   }
   fence_ = std::max(fence_, state.fence_);
   if (phase_ == Phase::kReplaced) {
     if (MayReclaim(now)) {
-      Claim(actions);
+      AppendClaim(actions);
     }
     return actions;
   }
@@ -181,17 +185,17 @@
   const bool changed = !engine_ || engine_->manifest_ != state.manifest_ ||
                        engine_->version_ != state.version_;
   engine_ = state;
-  asked_at_ = asked_at;
-  const bool held_back =
-      phase_ == Phase::kHolding && now - *claimed_at_ < settings_.lease_;
-  if (held_back) {
+  queried_at_ = queried_at;
+  const bool lease_pending = phase_ == Phase::kWaitingForLeases &&
+                             now - *claimed_at_ < settings_.lease_;
+  if (lease_pending) {
     return actions;
   }
-  const bool expected = phase_ == Phase::kQuerying ||
-                        phase_ == Phase::kHolding ||
-                        phase_ == Phase::kConfirming;
-  if (expected || changed) {
-    Settle(actions);
+  const bool was_awaited = phase_ == Phase::kQuerying ||
+                           phase_ == Phase::kWaitingForLeases ||
+                           phase_ == Phase::kConfirming;
+  if (was_awaited || changed) {
+    Reconcile(actions);
   }
   return actions;
 }
@@ -201,10 +205,10 @@
   if (phase_ == Phase::kQuerying || phase_ == Phase::kReplaced) {
     return actions;
   }
-  DropFetch(actions);
+  AbandonCurrentFetch(actions);
   phase_ = Phase::kQuerying;
   engine_.reset();
-  Announcement(false, actions);
+  AppendAnnouncement(false, actions);
   return actions;
 }
 
@@ -229,37 +233,37 @@
     return actions;
   }
   if (faults_.order_while_serving_) {
-    Order(actions);
+    AppendOrder(actions);
     return actions;
   }
   phase_ = Phase::kDraining;
-  Announcement(false, actions);
+  AppendAnnouncement(false, actions);
   actions.emplace_back(Drain{});
   return actions;
 }
 
 Actions Activation::OnDrained(core::TimePoint now) {
   Actions actions;
-  const bool lease_stands = now - asked_at_ <= settings_.lease_;
-  // An engine that restarted since the weights were staged has lost them; only
-  // a report asked for afterwards shows that it did not.
-  const bool still_staged =
-      asked_at_ >= staged_at_ || faults_.keep_staged_over_restart_;
-  if (phase_ == Phase::kDraining && lease_stands && still_staged &&
-      OthersAreGone(now)) {
-    Order(actions);
+  const bool lease_valid = now - queried_at_ <= settings_.lease_;
+  // An engine that restarted after staging has lost the staged weights. Only a
+  // report queried after staging shows that it did not restart.
+  const bool staging_confirmed =
+      queried_at_ >= staged_at_ || faults_.keep_staged_over_restart_;
+  if (phase_ == Phase::kDraining && lease_valid && staging_confirmed &&
+      PredecessorsDone(now)) {
+    AppendOrder(actions);
   }
   return actions;
 }
 
-void Activation::Order(Actions& actions) {
+void Activation::AppendOrder(Actions& actions) {
   phase_ = Phase::kAwaitingReply;
   fence_ = NextFence(kOrderStep);
   own_fence_ = fence_;
   actions.emplace_back(SendOrder{target_, faults_.drop_fence_ ? 0 : fence_});
   if (faults_.announce_before_confirmation_) {
     engine_ = EngineState{target_.version_, target_.manifest_, fence_, 0};
-    Announcement(true, actions);
+    AppendAnnouncement(true, actions);
   }
 }
 
@@ -267,28 +271,28 @@
   Actions actions;
   if (phase_ == Phase::kAwaitingReply) {
     phase_ = Phase::kConfirming;
-    ordered_ = true;
+    has_ordered_ = true;
   } else if (phase_ != Phase::kClaiming) {
     return actions;
   }
-  not_before_ = now;
+  min_query_time_ = now;
   actions.emplace_back(QueryEngine{});
   return actions;
 }
 
 Actions Activation::OnPause(core::TimePoint now) {
   Actions actions;
-  const bool ordering =
+  const bool awaits_reply =
       phase_ == Phase::kAwaitingReply || phase_ == Phase::kClaiming;
-  if (faults_.keep_state_after_pause_ || ordering ||
+  if (faults_.keep_state_after_pause_ || awaits_reply ||
       phase_ == Phase::kReplaced) {
     return actions;
   }
-  DropFetch(actions);
+  AbandonCurrentFetch(actions);
   phase_ = Phase::kQuerying;
-  not_before_ = now;
+  min_query_time_ = now;
   engine_.reset();
-  Announcement(false, actions);
+  AppendAnnouncement(false, actions);
   actions.emplace_back(QueryEngine{});
   return actions;
 }
--- a/packages/chalkwell/src/chalkwell/rollout/activation.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/activation.hpp
@@ -1,5 +1,6 @@
-// Rollout of one endpoint: fetch, wait for the turn, drain, order with a
-// fencing number, ask the engine what it holds, announce.
+// Rollout of one endpoint: fetch the weights, wait for the rollout slot, drain,
+// send an activation order with a fencing number, query the engine's state,
+// announce it.
 #pragma once
 
 #include <cstdint>
@@ -14,54 +15,55 @@
 
 namespace chalkwell::rollout {
 
-/// @brief What the bundle in force asks of an endpoint.
+/// @brief The weights that the active bundle requires of an endpoint.
 struct Target {
   std::uint64_t version_ = 0;
   core::Digest manifest_;
 
   friend bool operator==(const Target&, const Target&) = default;
-  /// Two contents of one version are ordered too, as they are where bundles
-  /// are accepted, so that every endpoint ends with the same.
+  /// Different contents of one version are ordered by manifest, as in
+  /// config::DocumentVersion, so that all endpoints converge on the same one.
   friend auto operator<=>(const Target&, const Target&) = default;
 };
 
-/// @brief What the engine itself reports.
+/// @brief State that the engine reports.
 struct EngineState {
   /// 0 when the engine holds no weights.
   std::uint64_t version_ = 0;
   /// Empty when the engine holds no weights.
   core::Digest manifest_;
-  /// Highest fencing number the engine has seen.
+  /// Highest fencing number that the engine has received.
   std::uint64_t fence_ = 0;
-  /// Requests the engine says it runs; may lag.
+  /// Number of running requests; may be outdated.
   std::uint64_t load_ = 0;
 };
 
-/// @brief Where the endpoint stands.
+/// @brief Phase of an endpoint's rollout.
 enum class Phase : std::uint8_t {
-  /// The engine's state is not known; nothing is ordered or handed on.
+  /// The engine's state is unknown; no orders or requests are sent to it.
   kQuerying,
-  /// A claim was sent; only the engine's own report ends this.
+  /// A claim was sent; left only when the engine reports its state.
   kClaiming,
-  /// The claim stands; processes before this one run out of their leases.
-  kHolding,
-  /// Nothing newer than what the engine holds is in force.
-  kSettled,
+  /// The claim is confirmed; waits for the leases of earlier processes to
+  /// expire.
+  kWaitingForLeases,
+  /// The active bundle is not newer than the engine's weights.
+  kUpToDate,
   kFetching,
   kWaitingForSlot,
   kDraining,
   kAwaitingReply,
-  /// An order was answered; only the engine's own report ends this.
+  /// An order was answered; left only when the engine reports its state.
   kConfirming,
-  /// A higher number took the engine. This process does no more, unless the
-  /// published list goes on naming it.
+  /// Another process claimed the engine with a higher fencing number. This
+  /// process stays idle unless the published list still contains it.
   kReplaced,
 };
 
-/// @brief Ask the engine for its state.
+/// @brief Query the engine for its state.
 struct QueryEngine {};
 /// @brief Order the engine to keep its role under a new fencing number, so that
-/// an earlier process of this endpoint learns that it was replaced.
+/// an earlier process of this endpoint detects that it was replaced.
 struct SendClaim {
   std::uint64_t fence_ = 0;
 };
@@ -69,21 +71,22 @@
 struct FetchWeights {
   Target target_;
 };
-/// @brief Give up a fetch; chunks shared with the new target are kept.
+/// @brief Abandon a fetch; chunks that the new target shares are kept.
 struct AbandonFetch {
   core::Digest manifest_;
 };
-/// @brief Take no new work; report when the work at hand is finished.
+/// @brief Accept no new requests; call OnDrained when the running ones have
+/// finished.
 struct Drain {};
 /// @brief Order the engine to activate staged weights.
 struct SendOrder {
   Target target_;
   std::uint64_t fence_ = 0;
 };
-/// @brief Tell entries what is served, or that nothing is.
+/// @brief Announce to entries what is served, or that nothing is.
 struct Announce {
   bool ready_ = false;
-  /// What the engine reported; meaningful when ready.
+  /// As reported by the engine; meaningful if ready.
   Target serving_;
 };
 
@@ -91,7 +94,7 @@
                             Drain, SendOrder, Announce>;
 using Actions = std::vector<Action>;
 
-/// @brief Faults that tests seed to show that the proofs can fail.
+/// @brief Faults that tests inject to show that their checks detect them.
 struct ActivationFaults {
   bool announce_before_confirmation_ = false;
   bool drop_fence_ = false;
@@ -103,111 +106,114 @@
   bool keep_staged_over_restart_ = false;
 };
 
-/// @brief What one agent process must know of itself and its engine.
+/// @brief Settings of the state machine of one agent process.
 struct ActivationSettings {
-  /// How long what the engine said may be relied on.
+  /// How long a reported engine state is valid.
   core::Duration lease_ = std::chrono::seconds(1);
-  /// Distinguishes the fencing numbers of processes; random, 24 bits.
+  /// Distinguishes the fencing numbers of processes; 24 random bits.
   std::uint64_t tie_breaker_ = 0;
 };
 
 /// @brief State machine of one endpoint's weights.
 ///
-/// The engine is the arbiter between processes of one endpoint: a process
-/// claims it by a fencing number, hands on work only for a lease after it read
-/// that its own number still stands, and orders nothing until every process
-/// before it must have run out of its lease and the engine is idle.
+/// The engine arbitrates between the processes of one endpoint. A process
+/// claims the engine with a fencing number, forwards requests only within a
+/// lease after it read its own number back, and sends no activation order until
+/// the leases of all earlier processes have expired and the engine is idle.
 ///
-/// A number higher than its own need not be of a process that lives: a claim or
-/// order of a dead one may arrive late. The published list decides who claims
-/// again, and only after some leases, so that two that live do not alternate.
+/// A higher fencing number may belong to a terminated process whose claim or
+/// order arrived late. The published list decides which process reclaims the
+/// engine, and only after several leases, so that two live processes do not
+/// alternate.
 class Activation {
  public:
   explicit Activation(ActivationSettings settings,
                       ActivationFaults faults = {});
 
   [[nodiscard]] Phase phase() const noexcept { return phase_; }
-  /// @brief Whether work may be handed to the engine.
+  /// @brief Whether requests may be forwarded to the engine.
   [[nodiscard]] bool accepting(core::TimePoint now) const noexcept;
-  /// @brief What the engine last reported, if that still holds.
+  /// @brief The last reported engine state, if it is still valid.
   [[nodiscard]] const std::optional<EngineState>& engine() const noexcept {
     return engine_;
   }
   [[nodiscard]] const Target& target() const noexcept { return target_; }
 
-  /// @brief Whether the engine refuses orders with old fencing numbers; one
-  /// that does not cannot arbitrate, and is not claimed.
+  /// @brief Whether the engine refuses orders with stale fencing numbers. An
+  /// engine that does not cannot arbitrate and is not claimed.
   void SetChecksFencing(bool checks) noexcept { checks_fencing_ = checks; }
-  /// @brief Whether the published list names this very process for the
-  /// endpoint; only then may it claim an engine that was taken from it.
+  /// @brief Whether the published list contains this process for the endpoint;
+  /// only then may it reclaim an engine from which it was replaced.
   void SetListed(bool listed) noexcept { listed_ = listed; }
-  /// @brief A bundle that applies to this endpoint is in force.
+  /// @brief A bundle that applies to this endpoint is active.
   [[nodiscard]] Actions OnTarget(const Target& target);
-  /// @param asked_at when the question was sent: the state may be older than
-  /// its arrival.
+  /// @param queried_at when the query was sent: the state may be older than
+  /// the time of its arrival.
   [[nodiscard]] Actions OnEngineState(const EngineState& state,
-                                      core::TimePoint asked_at,
+                                      core::TimePoint queried_at,
                                       core::TimePoint now);
   [[nodiscard]] Actions OnEngineLost();
-  /// @brief The weights are whole, verified and at the engine.
+  /// @brief The weights are complete, verified and staged at the engine.
   [[nodiscard]] Actions OnStaged(const core::Digest& manifest,
                                  core::TimePoint now);
-  /// @brief This endpoint's turn to switch has come.
+  /// @brief This endpoint's rollout slot has come.
   [[nodiscard]] Actions OnRolloutSlot();
-  /// @brief This process has no work at the engine; call again while draining,
-  /// since the order may have to wait.
+  /// @brief This process has no running requests at the engine. To be called
+  /// repeatedly while draining: the order may have to wait.
   [[nodiscard]] Actions OnDrained(core::TimePoint now);
-  /// @brief The engine answered a claim or order, whatever the answer.
+  /// @brief The engine replied to a claim or order, with success or failure.
   [[nodiscard]] Actions OnOrderAnswered(core::TimePoint now);
-  /// @brief The process was paused for longer than its lease.
+  /// @brief The process was suspended for longer than its lease.
   [[nodiscard]] Actions OnPause(core::TimePoint now);
 
  private:
   [[nodiscard]] bool NeedsSwitch() const noexcept;
-  [[nodiscard]] bool OthersAreGone(core::TimePoint now) const noexcept;
+  [[nodiscard]] bool PredecessorsDone(core::TimePoint now) const noexcept;
   [[nodiscard]] std::uint64_t NextFence(std::uint64_t step) const noexcept;
-  /// @return whether this process holds the engine and may go on.
+  /// @return whether this process holds the engine.
   [[nodiscard]] bool CheckOwnership(const EngineState& state,
                                     core::TimePoint now, Actions& actions);
-  /// Gives up what was fetched or staged: the engine may have forgotten it.
-  void DropFetch(Actions& actions) const;
-  void BecomeReplaced(core::TimePoint now, Actions& actions);
+  /// Abandons the fetch, also if the weights are staged: the engine may have
+  /// lost them.
+  void AbandonCurrentFetch(Actions& actions) const;
+  void EnterReplaced(core::TimePoint now, Actions& actions);
   [[nodiscard]] bool MayReclaim(core::TimePoint now) const noexcept;
-  void Claim(Actions& actions);
+  void AppendClaim(Actions& actions);
   void StartFetch(Actions& actions);
-  void Announcement(bool ready, Actions& actions);
-  void Settle(Actions& actions);
-  void Order(Actions& actions);
+  void AppendAnnouncement(bool ready, Actions& actions);
+  /// Announces the reported state and fetches the target if it is newer.
+  void Reconcile(Actions& actions);
+  void AppendOrder(Actions& actions);
 
   ActivationSettings settings_;
   ActivationFaults faults_;
   bool checks_fencing_ = true;
   bool listed_ = false;
   Phase phase_ = Phase::kQuerying;
-  /// Only rises.
+  /// Only increases.
   Target target_;
-  /// Empty in kAsking.
+  /// Empty in kQuerying.
   std::optional<EngineState> engine_;
-  /// Highest fencing number seen or used; only rises.
+  /// Highest fencing number received or used; only increases.
   std::uint64_t fence_ = 0;
-  /// The number under which this process holds the engine.
+  /// Fencing number with which this process holds the engine.
   std::uint64_t own_fence_ = 0;
-  /// When the claim was read back; absent while the engine is not held.
+  /// When the claim was confirmed; empty while the engine is not held.
   std::optional<core::TimePoint> claimed_at_;
-  /// When the engine was last taken; meaningful in kReplaced.
+  /// When another process last replaced this one; meaningful in kReplaced.
   core::TimePoint replaced_at_;
-  /// How long to wait in kReplaced; between 4 and 8 leases.
+  /// Delay before reclaiming in kReplaced; between 4 and 8 leases.
   core::Duration reclaim_wait_;
-  /// Answers to questions sent before this are out of date.
-  core::TimePoint not_before_;
-  /// When the weights of `target_` were last known to be staged whole.
+  /// Replies to queries sent before this time are stale.
+  core::TimePoint min_query_time_;
+  /// When the weights of `target_` were last known to be completely staged.
   core::TimePoint staged_at_;
-  /// When the question was sent whose answer `engine_` is.
-  core::TimePoint asked_at_;
-  /// True only when the engine's report stands and no order is outstanding.
+  /// When the query was sent that `engine_` is the reply to.
+  core::TimePoint queried_at_;
+  /// True only while the reported state is valid and no order is outstanding.
   bool accepting_ = false;
-  /// Whether this process has ordered the engine since it claimed it.
-  bool ordered_ = false;
+  /// Whether an order of this process was answered since it claimed the engine.
+  bool has_ordered_ = false;
 };
 
 }  // namespace chalkwell::rollout
--- a/packages/chalkwell/src/chalkwell/rollout/first_fetch.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/first_fetch.cpp
@@ -1,4 +1,4 @@
-// Both ways are compared by the time in which the engine can serve.
+// Compares both orders of fetching by the time during which the engine serves.
 #include "chalkwell/rollout/first_fetch.hpp"
 
 #include <algorithm>
@@ -7,17 +7,18 @@
 
 bool FetchOlderFirst(const FirstFetchForecast& forecast,
                      const FirstFetchSettings& settings) {
-  const auto older_serves = forecast.older_transfer_ + settings.load_time_;
+  const auto older_ready = forecast.older_transfer_ + settings.load_time_;
   if (!forecast.newest_available_) {
-    return forecast.older_expiry_ - older_serves > settings.switch_cost_;
+    return forecast.older_expiry_ - older_ready > settings.switch_cost_;
   }
-  const auto newest =
+  const auto newest_ready =
       std::max(*forecast.newest_available_, forecast.newest_transfer_);
-  const auto newest_after = std::max(*forecast.newest_available_,
-                                     older_serves + forecast.newest_transfer_);
+  const auto newest_ready_after_older = std::max(
+      *forecast.newest_available_, older_ready + forecast.newest_transfer_);
   const auto gain =
-      std::min(forecast.older_expiry_, newest_after) - older_serves;
-  const auto loss = newest_after - newest + settings.switch_cost_;
+      std::min(forecast.older_expiry_, newest_ready_after_older) - older_ready;
+  const auto loss =
+      newest_ready_after_older - newest_ready + settings.switch_cost_;
   return gain > loss;
 }
 
--- a/packages/chalkwell/src/chalkwell/rollout/first_fetch.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/first_fetch.hpp
@@ -1,5 +1,5 @@
-// Which weights an engine that holds none fetches first while a roll is under
-// way: the newest, or older ones that others hold and that still may be used.
+// Which version an engine without weights fetches first during a rollout: the
+// newest, or an older one that peers have and that may still be used.
 #pragma once
 
 #include <optional>
@@ -8,31 +8,32 @@
 
 namespace chalkwell::rollout {
 
-/// @brief What is foreseen of both ways, from now on.
+/// @brief Expected durations for both choices, from now on.
 struct FirstFetchForecast {
-  /// Until the newest version is out of its source; none while that is not
-  /// known, as when the source does not answer.
+  /// Until the origin has sent out the newest version; empty while that is
+  /// unknown, for example because the origin does not respond.
   std::optional<core::Duration> newest_available_;
-  /// Time of what is missing of the newest version on the own link.
+  /// Transfer time of the missing part of the newest version on this
+  /// instance's link.
   core::Duration newest_transfer_{};
-  /// The same of the older version, of which others hold all.
+  /// The same for the older version, which peers have completely.
   core::Duration older_transfer_{};
-  /// Until requests may no longer begin on the older version.
+  /// Until requests may no longer start on the older version.
   core::Duration older_expiry_{};
 };
 
-/// @brief Settings of the choice.
+/// @brief Settings of the decision.
 struct FirstFetchSettings {
-  /// From the last piece to the first request: comparing with digests, the
-  /// order, and loading.
+  /// From the last chunk to the first request: verifying digests, the
+  /// activation order, and loading.
   core::Duration load_time_ = std::chrono::milliseconds(600);
-  /// Service that a further switch costs: running requests end while no other
-  /// begins.
+  /// Serving time lost by an additional switch: running requests finish while
+  /// no new ones start.
   core::Duration switch_cost_ = std::chrono::seconds(1);
 };
 
-/// @brief Whether to begin with the older version: it then serves longer than
-/// the newest one is held up.
+/// @brief Whether to fetch the older version first: true if it serves for
+/// longer than it delays the newest version.
 [[nodiscard]] bool FetchOlderFirst(const FirstFetchForecast& forecast,
                                    const FirstFetchSettings& settings = {});
 
--- a/packages/chalkwell/src/chalkwell/rollout/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/fwd.hpp
@@ -1,4 +1,4 @@
-// Vocabulary of the rollout module: one engine, one version.
+// Forward declarations of the rollout module.
 #pragma once
 
 #include <cstdint>
--- a/packages/chalkwell/src/chalkwell/rollout/rollout_slots.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/rollout_slots.cpp
@@ -1,4 +1,4 @@
-// Turns by rendezvous rank of (version, instance).
+// Slots are assigned in the rendezvous order of (version, instance).
 #include "chalkwell/rollout/rollout_slots.hpp"
 
 #include <algorithm>
@@ -9,9 +9,11 @@
 
 namespace chalkwell::rollout {
 
-RolloutSlots::RolloutSlots(core::InstanceId self, double share,
+RolloutSlots::RolloutSlots(core::InstanceId self, double max_unavailable_share,
                            core::Duration lease)
-    : self_(std::move(self)), share_(share), lease_(lease) {}
+    : self_(std::move(self)),
+      max_unavailable_share_(max_unavailable_share),
+      lease_(lease) {}
 
 void RolloutSlots::SetMembers(std::set<core::InstanceId> members) {
   members_ = std::move(members);
@@ -19,20 +21,21 @@
 
 void RolloutSlots::StartRollout(std::uint64_t version, core::TimePoint now) {
   version_ = version;
-  done_.clear();
+  updated_.clear();
   last_progress_ = now;
 }
 
 void RolloutSlots::OnServing(const core::InstanceId& member,
                              std::uint64_t version, core::TimePoint now) {
-  if (version >= version_ && done_.insert(member).second) {
+  if (version >= version_ && updated_.insert(member).second) {
     last_progress_ = now;
   }
 }
 
-std::size_t RolloutSlots::allowed_out() const noexcept {
-  const auto allowed = share_ * static_cast<double>(members_.size());
-  return std::max<std::size_t>(1, static_cast<std::size_t>(allowed));
+std::size_t RolloutSlots::max_unavailable() const noexcept {
+  const auto count =
+      max_unavailable_share_ * static_cast<double>(members_.size());
+  return std::max<std::size_t>(1, static_cast<std::size_t>(count));
 }
 
 std::size_t RolloutSlots::PendingAhead() const {
@@ -40,7 +43,7 @@
   const auto own = core::RendezvousScore(item, self_.value());
   return static_cast<std::size_t>(
       std::ranges::count_if(members_, [&](const core::InstanceId& member) {
-        return member != self_ && !done_.contains(member) &&
+        return member != self_ && !updated_.contains(member) &&
                core::RendezvousScore(item, member.value()) > own;
       }));
 }
@@ -48,7 +51,7 @@
 bool RolloutSlots::MayDrain(core::TimePoint now) const {
   const auto expired_leases =
       static_cast<std::size_t>((now - last_progress_) / lease_);
-  return PendingAhead() < allowed_out() * (1 + expired_leases);
+  return PendingAhead() < max_unavailable() * (1 + expired_leases);
 }
 
 }  // namespace chalkwell::rollout
--- a/packages/chalkwell/src/chalkwell/rollout/rollout_slots.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/rollout_slots.hpp
@@ -1,4 +1,5 @@
-// Turns without a coordinator: who of a failure domain may switch now.
+// Rollout slots without a coordinator: which endpoints of a failure domain may
+// drain and switch now.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +12,22 @@
 
 namespace chalkwell::rollout {
 
-/// @brief Ranks the endpoints of one role and failure domain for one version.
+/// @brief Assigns rollout slots to the endpoints of one role and failure
+/// domain.
 ///
-/// Turns protect capacity only; correctness never rests on them.
+/// Slots only protect capacity; safety does not depend on them.
 class RolloutSlots {
  public:
-  /// @param share part of the members that may be out at once, 0 to 1.
-  /// @param lease how long those ahead may go without progress before the
-  /// next ones pass them.
-  RolloutSlots(core::InstanceId self, double share, core::Duration lease);
-
-  /// @brief Members of the same role and domain, this one included.
+  /// @param max_unavailable_share share of the members that may be unavailable
+  /// at once, 0 to 1.
+  /// @param lease time without progress after which the next members may
+  /// overtake those ahead of them.
+  RolloutSlots(core::InstanceId self, double max_unavailable_share,
+               core::Duration lease);
+
+  /// @brief Sets the members of the role and domain, including this one.
   void SetMembers(std::set<core::InstanceId> members);
-  /// @brief A new version is being rolled; forgets all progress.
+  /// @brief Starts the rollout of a version and resets the progress.
   void StartRollout(std::uint64_t version, core::TimePoint now);
   /// @brief A member serves `version`.
   void OnServing(const core::InstanceId& member, std::uint64_t version,
@@ -31,19 +35,19 @@
 
   /// @brief Whether this endpoint may drain now.
   [[nodiscard]] bool MayDrain(core::TimePoint now) const;
-  /// @brief How many members may be out at once; at least 1.
-  [[nodiscard]] std::size_t allowed_out() const noexcept;
+  /// @brief How many members may be unavailable at once; at least 1.
+  [[nodiscard]] std::size_t max_unavailable() const noexcept;
 
  private:
   [[nodiscard]] std::size_t PendingAhead() const;
 
   core::InstanceId self_;
-  double share_;
+  double max_unavailable_share_;
   core::Duration lease_;
   std::set<core::InstanceId> members_;
   std::uint64_t version_ = 0;
-  /// Members that serve `version_` or newer.
-  std::set<core::InstanceId> done_;
+  /// Members that serve `version_` or a newer one.
+  std::set<core::InstanceId> updated_;
   core::TimePoint last_progress_;
 };
 
--- a/packages/chalkwell/src/chalkwell/rollout/version_bound.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/version_bound.cpp
@@ -1,11 +1,11 @@
-// Bounds of versions.
+// Bounds on the use of older versions.
 #include "chalkwell/rollout/version_bound.hpp"
 
 namespace chalkwell::rollout {
 namespace {
 
-/// Versions kept; one that is older was superseded long ago.
-constexpr std::size_t kMaxNamed = 64;
+/// Versions kept; any older one was superseded long ago.
+constexpr std::size_t kMaxVersions = 64;
 
 }  // namespace
 
@@ -14,29 +14,29 @@
   if (version <= newest()) {
     return false;
   }
-  named_.push_back({version, now});
-  if (named_.size() > kMaxNamed) {
-    named_.pop_front();
+  published_.push_back({version, now});
+  if (published_.size() > kMaxVersions) {
+    published_.pop_front();
   }
   return true;
 }
 
 std::uint64_t VersionBound::MinVersion(core::Duration bound,
                                        core::TimePoint now) const noexcept {
-  std::uint64_t least = 0;
-  for (const auto& named : named_) {
-    if (now - named.heard_at_ >= bound) {
-      least = named.version_;
+  std::uint64_t minimum = 0;
+  for (const auto& known : published_) {
+    if (now - known.received_at_ >= bound) {
+      minimum = known.version_;
     }
   }
-  return least;
+  return minimum;
 }
 
 std::optional<core::TimePoint> VersionBound::ExpiryOf(
     std::uint64_t version, core::Duration bound) const noexcept {
-  for (const auto& named : named_) {
-    if (named.version_ > version) {
-      return named.heard_at_ + bound;
+  for (const auto& known : published_) {
+    if (known.version_ > version) {
+      return known.received_at_ + bound;
     }
   }
   return std::nullopt;
@@ -45,18 +45,18 @@
 routing::VersionConstraint VersionBound::ConstraintAt(
     core::Duration bound, core::Duration margin,
     core::TimePoint now) const noexcept {
-  routing::VersionConstraint rule;
-  for (const auto& named : named_) {
-    const auto until = named.heard_at_ + bound - margin;
+  routing::VersionConstraint constraint;
+  for (const auto& known : published_) {
+    const auto until = known.received_at_ + bound - margin;
     if (now >= until) {
-      rule.min_version_ = named.version_;
+      constraint.min_version_ = known.version_;
       continue;
     }
-    rule.next_min_version_ = named.version_;
-    rule.next_min_at_ = until;
+    constraint.next_min_version_ = known.version_;
+    constraint.next_min_at_ = until;
     break;
   }
-  return rule;
+  return constraint;
 }
 
 }  // namespace chalkwell::rollout
--- a/packages/chalkwell/src/chalkwell/rollout/version_bound.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/version_bound.hpp
@@ -1,5 +1,6 @@
-// Until when older weights may be used: each version that is named ends those
-// before it after its own time, whatever is named later.
+// Until when older weights may be used: each published version expires all
+// earlier ones at a fixed time after its own publication, regardless of later
+// publications.
 #pragma once
 
 #include <cstdint>
@@ -11,37 +12,38 @@
 
 namespace chalkwell::rollout {
 
-/// @brief Versions of one model's weights with the times they were heard of.
+/// @brief Published versions of one model's weights and when each was received.
 class VersionBound {
  public:
-  /// @return false when the version is no newer than the newest known.
+  /// @return false if the version is not newer than the newest known.
   bool OnVersionPublished(std::uint64_t version, core::TimePoint now);
-  /// @brief Newest version heard of; 0 for none.
+  /// @brief Newest known version; 0 if none is known.
   [[nodiscard]] std::uint64_t newest() const noexcept {
-    return named_.empty() ? 0 : named_.back().version_;
+    return published_.empty() ? 0 : published_.back().version_;
   }
-  /// @brief Least version that a request may begin on now; 0 for any.
-  /// @param bound time after its naming from which a version is the least.
+  /// @brief Minimum version that a request may start on; 0 for any.
+  /// @param bound time after the publication of a version from which it is the
+  /// minimum.
   [[nodiscard]] std::uint64_t MinVersion(core::Duration bound,
                                          core::TimePoint now) const noexcept;
-  /// @brief When a version may no longer be used; none while it is the newest.
+  /// @brief When a version may no longer be used; empty while it is the newest.
   [[nodiscard]] std::optional<core::TimePoint> ExpiryOf(
       std::uint64_t version, core::Duration bound) const noexcept;
-  /// @brief The least version and the bound that comes next.
-  /// @param margin time before the bound from which an older version is used
-  /// nowhere.
+  /// @brief The minimum version now, and the next one with its time.
+  /// @param margin time before the bound from which older versions are no
+  /// longer used anywhere.
   [[nodiscard]] routing::VersionConstraint ConstraintAt(
       core::Duration bound, core::Duration margin,
       core::TimePoint now) const noexcept;
 
  private:
-  struct Named {
+  struct PublishedVersion {
     std::uint64_t version_ = 0;
-    core::TimePoint heard_at_;
+    core::TimePoint received_at_;
   };
 
-  /// Rising by version; at most kMaxNamed.
-  std::deque<Named> named_;
+  /// In ascending order of version; at most kMaxVersions.
+  std::deque<PublishedVersion> published_;
 };
 
 }  // namespace chalkwell::rollout
--- a/tests/rollout/first_fetch_test.cpp
+++ b/tests/rollout/first_fetch_test.cpp
@@ -1,4 +1,4 @@
-// Which weights an empty engine fetches first.
+// Which version an engine without weights fetches first.
 #include "chalkwell/rollout/first_fetch.hpp"
 
 #include <catch2/catch.hpp>
@@ -9,32 +9,34 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("older weights go first where they serve longer than they cost",
-          "[rollout]") {
+TEST_CASE(
+    "the older version is fetched first if it serves longer than it delays the "
+    "newest",
+    "[rollout]") {
   struct Row {
-    std::string what_;
+    std::string name_;
     FirstFetchForecast forecast_;
     bool older_first_;
   };
   const auto row = GENERATE(values<Row>({
-      {"the origin does not answer", {std::nullopt, 2600ms, 2600ms, 11s}, true},
-      {"nor does it, but the time is up soon",
+      {"origin unreachable", {std::nullopt, 2600ms, 2600ms, 11s}, true},
+      {"origin unreachable, older version expires soon",
        {std::nullopt, 2600ms, 2600ms, 4s},
        false},
-      {"nor does it, and the time is up",
+      {"origin unreachable, older version has expired",
        {std::nullopt, 2600ms, 2600ms, -1s},
        false},
-      {"the newest version is out already", {0ms, 2600ms, 2600ms, 11s}, false},
-      {"it is out before the older one is fetched",
+      {"newest version available", {0ms, 2600ms, 2600ms, 11s}, false},
+      {"newest version available before the older one is fetched",
        {3s, 2600ms, 2600ms, 11s},
        false},
-      {"it is out long after", {9s, 2600ms, 2600ms, 11s}, true},
-      {"it is out long after, but so is the time",
+      {"newest version available much later", {9s, 2600ms, 2600ms, 11s}, true},
+      {"newest version available after the older one expires",
        {9s, 2600ms, 2600ms, 4s},
        false},
-      {"the own link is the slower one", {4s, 20s, 20s, 60s}, false},
+      {"local link slower than the origin", {4s, 20s, 20s, 60s}, false},
   }));
-  INFO(row.what_);
+  INFO(row.name_);
   CHECK(FetchOlderFirst(row.forecast_) == row.older_first_);
 }
 
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -1,4 +1,4 @@
-// The rollout of one endpoint, step by step, and turns.
+// State machine of the rollout of one endpoint, and rollout slots.
 #include <catch2/catch.hpp>
 #include <functional>
 #include <string>
@@ -15,19 +15,21 @@
 const Target kFirst{1, core::Digest::Of("first")};
 const Target kSecond{2, core::Digest::Of("second")};
 
-template <typename Wanted>
-std::optional<Wanted> Find(const Actions& actions) {
+template <typename ActionType>
+std::optional<ActionType> Find(const Actions& actions) {
   for (const auto& action : actions) {
-    if (const auto* found = std::get_if<Wanted>(&action)) {
+    if (const auto* found = std::get_if<ActionType>(&action)) {
       return *found;
     }
   }
   return std::nullopt;
 }
 
-/// Claims an engine that holds `held` and waits out the lease.
-std::uint64_t Hold(Activation& activation, const Target& held) {
-  EngineState state{held.version_, held.manifest_, 0, 0};
+/// Claims an engine with the weights `active` and waits for the lease to
+/// expire.
+/// @return the fencing number of the claim.
+std::uint64_t ClaimEngine(Activation& activation, const Target& active) {
+  EngineState state{active.version_, active.manifest_, 0, 0};
   const auto claim =
       Find<SendClaim>(activation.OnEngineState(state, kStart, kStart));
   REQUIRE(claim.has_value());
@@ -39,9 +41,10 @@
   return state.fence_;
 }
 
-TEST_CASE("one roll: fetch, turn, drain, order, confirm", "[rollout]") {
+TEST_CASE("a rollout fetches, waits for its slot, drains, orders and confirms",
+          "[rollout]") {
   Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
-  const auto fence = Hold(activation, kFirst);
+  const auto fence = ClaimEngine(activation, kFirst);
   auto now = kStart + 2s;
   CHECK(activation.accepting(now));
   CHECK(Find<FetchWeights>(activation.OnTarget(kSecond)).has_value());
@@ -54,16 +57,16 @@
   CHECK(order->fence_ > fence);
   CHECK(Find<QueryEngine>(activation.OnOrderAnswered(now)).has_value());
   const EngineState confirmed{2, kSecond.manifest_, order->fence_, 0};
-  const auto news =
+  const auto announcement =
       Find<Announce>(activation.OnEngineState(confirmed, now, now));
-  REQUIRE(news.has_value());
-  CHECK(news->ready_);
-  CHECK(news->serving_ == kSecond);
+  REQUIRE(announcement.has_value());
+  CHECK(announcement->ready_);
+  CHECK(announcement->serving_ == kSecond);
 }
 
-TEST_CASE("an answer asked for before the order is out of date", "[rollout]") {
+TEST_CASE("the reply to a query sent before the order is stale", "[rollout]") {
   Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
-  const auto fence = Hold(activation, kFirst);
+  const auto fence = ClaimEngine(activation, kFirst);
   const auto now = kStart + 2s;
   (void)activation.OnTarget(kSecond);
   (void)activation.OnStaged(kSecond.manifest_, now);
@@ -75,26 +78,25 @@
   CHECK_FALSE(activation.accepting(now + 200ms));
 }
 
-TEST_CASE("a process that the list names claims its engine again",
-          "[rollout]") {
+TEST_CASE("a process in the published list reclaims its engine", "[rollout]") {
   struct Row {
     bool listed_;
-    std::chrono::seconds since_;
-    bool again_soon_;
-    bool claims_;
+    std::chrono::seconds wait_;
+    bool replaced_again_;
+    bool reclaims_;
   };
   const auto row =
       GENERATE(Row{true, 7s, false, false}, Row{true, 8s, false, true},
                Row{false, 60s, false, false}, Row{true, 7s, true, false},
                Row{true, 8s, true, true});
   Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
-  const auto fence = Hold(activation, kFirst);
+  const auto fence = ClaimEngine(activation, kFirst);
   activation.SetListed(row.listed_);
   auto now = kStart + 2s;
   EngineState taken{1, kFirst.manifest_, fence + (1U << 25U), 0};
   (void)activation.OnEngineState(taken, now, now);
   REQUIRE(activation.phase() == Phase::kReplaced);
-  if (row.again_soon_) {
+  if (row.replaced_again_) {
     now += 8s;
     (void)activation.OnEngineState(taken, now, now);
     (void)activation.OnOrderAnswered(now);
@@ -102,9 +104,9 @@
     (void)activation.OnEngineState(taken, now, now);
     REQUIRE(activation.phase() == Phase::kReplaced);
   }
-  now += row.since_;
+  now += row.wait_;
   const auto claim = Find<SendClaim>(activation.OnEngineState(taken, now, now));
-  CHECK(claim.has_value() == row.claims_);
+  CHECK(claim.has_value() == row.reclaims_);
   CHECK_FALSE(activation.accepting(now));
   if (claim) {
     CHECK(claim->fence_ > taken.fence_);
@@ -117,9 +119,9 @@
   }
 }
 
-TEST_CASE("a process that lost its engine stops for good", "[rollout]") {
+TEST_CASE("a replaced process that is not listed stays idle", "[rollout]") {
   Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
-  const auto fence = Hold(activation, kFirst);
+  const auto fence = ClaimEngine(activation, kFirst);
   const auto now = kStart + 2s;
   const EngineState taken{1, kFirst.manifest_, fence + (1U << 25U), 0};
   (void)activation.OnEngineState(taken, now, now);
@@ -128,16 +130,17 @@
   CHECK(activation.OnTarget(kSecond).empty());
 }
 
-TEST_CASE("work is handed on only within the lease", "[rollout]") {
+TEST_CASE("requests are accepted only within the lease", "[rollout]") {
   Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
-  (void)Hold(activation, kFirst);
+  (void)ClaimEngine(activation, kFirst);
   CHECK(activation.accepting(kStart + 3s));
   CHECK_FALSE(activation.accepting(kStart + 3s + 1ms));
 }
 
-TEST_CASE("the first order waits for what came before", "[rollout]") {
+TEST_CASE("the first order waits for requests of earlier processes",
+          "[rollout]") {
   Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
-  const auto fence = Hold(activation, kFirst);
+  const auto fence = ClaimEngine(activation, kFirst);
   auto now = kStart + 2s;
   const EngineState busy{1, kFirst.manifest_, fence, 3};
   (void)activation.OnEngineState(busy, now, now);
@@ -150,18 +153,18 @@
   CHECK(Find<SendOrder>(activation.OnDrained(now)).has_value());
 }
 
-TEST_CASE("an engine that is ahead is never ordered back", "[rollout]") {
+TEST_CASE("an engine with a newer version is never downgraded", "[rollout]") {
   Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
-  (void)Hold(activation, kSecond);
+  (void)ClaimEngine(activation, kSecond);
   CHECK(activation.OnTarget(kFirst).empty());
   CHECK(activation.accepting(kStart + 2s));
 }
 
-TEST_CASE("a superseded version is dropped at any stage", "[rollout]") {
+TEST_CASE("a superseded target is abandoned in any phase", "[rollout]") {
   const Target third{3, core::Digest::Of("third")};
   const auto stage = GENERATE(0, 1, 2);
   Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
-  (void)Hold(activation, kFirst);
+  (void)ClaimEngine(activation, kFirst);
   (void)activation.OnTarget(kSecond);
   if (stage > 0) {
     (void)activation.OnStaged(kSecond.manifest_, kStart + 2s);
@@ -176,26 +179,26 @@
   CHECK(activation.OnStaged(kSecond.manifest_, kStart + 2s).empty());
 }
 
-TEST_CASE("what was staged counts only for an engine that did not restart",
+TEST_CASE("staged weights are abandoned when the engine may have restarted",
           "[rollout]") {
   const auto stage = GENERATE(0, 1, 2);
   struct Row {
     std::string name_;
-    std::function<Actions(Activation&, core::TimePoint)> strike_;
+    std::function<Actions(Activation&, core::TimePoint)> interrupt_;
   };
   const auto row = GENERATE(
       Row{"lost", [](Activation& activation,
                      core::TimePoint) { return activation.OnEngineLost(); }},
-      Row{"paused",
+      Row{"suspended",
           [](Activation& activation, core::TimePoint now) {
             return activation.OnPause(now);
           }},
-      Row{"forgotten claim", [](Activation& activation, core::TimePoint now) {
+      Row{"lost claim", [](Activation& activation, core::TimePoint now) {
             return activation.OnEngineState({}, now, now);
           }});
   CAPTURE(row.name_, stage);
   Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
-  (void)Hold(activation, kFirst);
+  (void)ClaimEngine(activation, kFirst);
   const auto now = kStart + 2s;
   (void)activation.OnTarget(kSecond);
   if (stage > 0) {
@@ -204,7 +207,7 @@
   if (stage > 1) {
     (void)activation.OnRolloutSlot();
   }
-  const auto dropped = Find<AbandonFetch>(row.strike_(activation, now));
+  const auto dropped = Find<AbandonFetch>(row.interrupt_(activation, now));
   REQUIRE(dropped.has_value());
   CHECK(dropped->manifest_ == kSecond.manifest_);
   CHECK(activation.OnStaged(kSecond.manifest_, now).empty());
@@ -213,7 +216,7 @@
 
 TEST_CASE("an order waits for a report asked for after staging", "[rollout]") {
   Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
-  const auto fence = Hold(activation, kFirst);
+  const auto fence = ClaimEngine(activation, kFirst);
   const auto now = kStart + 2s;
   (void)activation.OnTarget(kSecond);
   (void)activation.OnStaged(kSecond.manifest_, now + 100ms);
@@ -224,7 +227,7 @@
   CHECK(Find<SendOrder>(activation.OnDrained(now + 200ms)).has_value());
 }
 
-TEST_CASE("turns keep a share of the members serving", "[rollout]") {
+TEST_CASE("rollout slots keep a share of the members serving", "[rollout]") {
   std::set<core::InstanceId> members;
   for (int i = 0; i < 10; ++i) {
     members.insert(core::InstanceId("m" + std::to_string(i)));
@@ -235,19 +238,19 @@
     turns.back().SetMembers(members);
     turns.back().StartRollout(7, kStart);
   }
-  const auto free_now = [&](core::TimePoint now) {
+  const auto members_with_slot = [&](core::TimePoint now) {
     return std::count_if(
         turns.begin(), turns.end(),
         [&](const RolloutSlots& turn) { return turn.MayDrain(now); });
   };
-  CHECK(free_now(kStart) == 3);
-  CHECK(free_now(kStart + 10s) == 6);
+  CHECK(members_with_slot(kStart) == 3);
+  CHECK(members_with_slot(kStart + 10s) == 6);
   for (auto& turn : turns) {
     for (const auto& member : members) {
       turn.OnServing(member, 7, kStart + 1s);
     }
   }
-  CHECK(free_now(kStart + 1s) == 10);
+  CHECK(members_with_slot(kStart + 1s) == 10);
 }
 
 }  // namespace
--- a/tests/rollout/version_bound_test.cpp
+++ b/tests/rollout/version_bound_test.cpp
@@ -10,12 +10,13 @@
 
 const core::TimePoint kStart{1000s};
 
-TEST_CASE("a version named later does not put off an earlier one's bound",
+TEST_CASE("a later version does not extend the bound of an earlier one",
           "[rollout]") {
-  // Seen on a day with two versions 2 s apart: version 1 was used for 10 s.
+  // Regression: versions 2 and 3 were published 2 s apart, the second restarted
+  // the bound, and version 1 was used for 10 s instead of 8 s.
   struct Row {
     core::Duration after_;
-    std::uint64_t least_;
+    std::uint64_t min_version_;
   };
   const auto row = GENERATE(Row{0s, 0}, Row{7900ms, 0}, Row{8s, 2},
                             Row{9900ms, 2}, Row{10s, 3}, Row{100s, 3});
@@ -25,12 +26,13 @@
   CHECK_FALSE(bound.OnVersionPublished(2, kStart + 3s));
   CHECK_FALSE(bound.OnVersionPublished(3, kStart + 3s));
   CHECK(bound.newest() == 3);
-  CHECK(bound.MinVersion(8s, kStart + row.after_) == row.least_);
+  CHECK(bound.MinVersion(8s, kStart + row.after_) == row.min_version_);
 }
 
-TEST_CASE("a version ends by the first that is named after it", "[rollout]") {
-  // Seen: engines with version 1 waited for the bound of version 3, while
-  // version 2 had ended what they served 2 s before.
+TEST_CASE("a version expires by the bound of the next published one",
+          "[rollout]") {
+  // Regression: engines with version 1 waited for the bound of version 3,
+  // although the bound of version 2 had expired version 1 two seconds earlier.
   struct Row {
     std::uint64_t version_;
     std::optional<core::TimePoint> end_;
@@ -43,13 +45,13 @@
   CHECK(bound.ExpiryOf(row.version_, 8s) == row.end_);
 }
 
-TEST_CASE("an older version may be used until a margin before its bound",
+TEST_CASE("an older version may be used until the margin before its bound",
           "[rollout]") {
   struct Row {
     core::Duration after_;
-    std::uint64_t least_;
-    std::uint64_t next_;
-    core::Duration until_;
+    std::uint64_t min_version_;
+    std::uint64_t next_min_version_;
+    core::Duration next_min_at_;
   };
   const auto row =
       GENERATE(Row{1s, 0, 2, 6600ms}, Row{6599ms, 0, 2, 6600ms},
@@ -58,15 +60,15 @@
   VersionBound bound;
   bound.OnVersionPublished(2, kStart);
   bound.OnVersionPublished(3, kStart + 5s);
-  const auto rule = bound.ConstraintAt(8s, 1400ms, kStart + row.after_);
-  CHECK(rule.min_version_ == row.least_);
-  CHECK(rule.next_min_version_ == row.next_);
-  if (row.next_ > 0) {
-    CHECK(rule.next_min_at_ == kStart + row.until_);
+  const auto constraint = bound.ConstraintAt(8s, 1400ms, kStart + row.after_);
+  CHECK(constraint.min_version_ == row.min_version_);
+  CHECK(constraint.next_min_version_ == row.next_min_version_);
+  if (row.next_min_version_ > 0) {
+    CHECK(constraint.next_min_at_ == kStart + row.next_min_at_);
   }
 }
 
-TEST_CASE("many versions keep the bounds of those that still count",
+TEST_CASE("discarding old versions keeps the bounds of recent ones",
           "[rollout]") {
   VersionBound bound;
   for (std::uint64_t version = 2; version <= 200; ++version) {
