--- a/packages/emulator/src/emulator/engine.cpp
+++ b/packages/emulator/src/emulator/engine.cpp
@@ -1,4 +1,4 @@
-// Passes of an engine.
+// Passes of a simulated engine.
 #include "emulator/engine.hpp"
 
 #include <algorithm>
@@ -9,94 +9,97 @@
 namespace chalkwell::emulator {
 namespace {
 
-/// Prompt tokens that one pass reads at most.
-constexpr double kReadChunk = 2048;
+/// Maximum number of prompt tokens that one pass processes.
+constexpr double kMaxPrefillTokens = 2048;
 
 }  // namespace
 
-Engine::Engine(config::EngineProfile profile, std::size_t queue,
-               EngineHooks hooks)
+Engine::Engine(config::EngineProfile profile, std::size_t queue_limit,
+               EngineCallbacks callbacks)
     : profile_(std::move(profile)),
-      queue_limit_(queue),
-      hooks_(std::move(hooks)) {}
+      queue_limit_(queue_limit),
+      callbacks_(std::move(callbacks)) {}
 
-bool Engine::Offer(const EngineRequest& request, core::TimePoint now) {
-  RunTo(now);
+bool Engine::Submit(const EngineRequest& request, core::TimePoint now) {
+  AdvanceTo(now);
   if (now < ready_at_ || waiting_.size() >= queue_limit_) {
     return false;
   }
-  const auto behind = std::ranges::upper_bound(waiting_, request.priority_, {},
-                                               &EngineRequest::priority_);
-  waiting_.insert(behind, request);
+  const auto position = std::ranges::upper_bound(waiting_, request.priority_,
+                                                 {}, &EngineRequest::priority_);
+  waiting_.insert(position, request);
   return true;
 }
 
-void Engine::Drop(std::uint64_t id) {
-  std::erase_if(waiting_, [id](const auto& held) { return held.id_ == id; });
-  std::erase_if(running_,
-                [id](const auto& held) { return held.request_.id_ == id; });
+void Engine::Cancel(std::uint64_t id) {
+  std::erase_if(waiting_,
+                [id](const auto& queued) { return queued.id_ == id; });
+  std::erase_if(running_, [id](const auto& running) {
+    return running.request_.id_ == id;
+  });
 }
 
 void Engine::Restart(core::TimePoint ready_at) {
   waiting_.clear();
   running_.clear();
   ready_at_ = ready_at;
-  free_at_ = ready_at;
+  next_pass_at_ = ready_at;
 }
 
-void Engine::LetIn() {
+void Engine::AdmitWaiting() {
   while (running_.size() < profile_.slots_ && !waiting_.empty()) {
     const auto& next = waiting_.front();
-    running_.push_back({next, next.prompt_tokens_, next.answer_tokens_, false});
+    running_.push_back({next, next.prompt_tokens_, next.output_tokens_, false});
     waiting_.pop_front();
   }
 }
 
-core::Duration Engine::Pass(std::vector<std::uint64_t>& firsts,
-                            std::vector<std::uint64_t>& ends) {
+core::Duration Engine::RunPass(std::vector<std::uint64_t>& started,
+                               std::vector<std::uint64_t>& finished) {
   const double stride = profile_.steps_per_pass_;
-  double may_read = kReadChunk;
-  double read = 0;
+  double prefill_budget = kMaxPrefillTokens;
+  double total_prefilled = 0;
   for (auto& running : running_) {
-    const double now_read = std::min(running.unread_, may_read);
-    running.unread_ -= now_read;
-    may_read -= now_read;
-    read += now_read;
-    if (running.unread_ > 0) {
+    const double prefilled =
+        std::min(running.remaining_prompt_, prefill_budget);
+    running.remaining_prompt_ -= prefilled;
+    prefill_budget -= prefilled;
+    total_prefilled += prefilled;
+    if (running.remaining_prompt_ > 0) {
       continue;
     }
-    running.unwritten_ -= stride;
-    if (!std::exchange(running.begun_, true)) {
-      firsts.push_back(running.request_.id_);
+    running.remaining_output_ -= stride;
+    if (!std::exchange(running.started_, true)) {
+      started.push_back(running.request_.id_);
     }
-    if (running.unwritten_ <= 0) {
-      ends.push_back(running.request_.id_);
+    if (running.remaining_output_ <= 0) {
+      finished.push_back(running.request_.id_);
     }
   }
-  const auto steps =
+  const auto decode_time =
       routing::StepTime(profile_, static_cast<std::uint32_t>(running_.size()));
-  const std::chrono::duration<double> reading(
-      read / profile_.prefill_tokens_per_second_);
-  return steps * profile_.steps_per_pass_ +
-         std::chrono::duration_cast<core::Duration>(reading);
+  const std::chrono::duration<double> prefill_time(
+      total_prefilled / profile_.prefill_tokens_per_second_);
+  return decode_time * profile_.steps_per_pass_ +
+         std::chrono::duration_cast<core::Duration>(prefill_time);
 }
 
-void Engine::RunTo(core::TimePoint now) {
-  while (free_at_ <= now) {
-    LetIn();
+void Engine::AdvanceTo(core::TimePoint now) {
+  while (next_pass_at_ <= now) {
+    AdmitWaiting();
     if (running_.empty()) {
-      free_at_ = now;
+      next_pass_at_ = now;
       return;
     }
-    std::vector<std::uint64_t> firsts;
-    std::vector<std::uint64_t> ends;
-    free_at_ += Pass(firsts, ends);
-    for (const auto id : firsts) {
-      hooks_.on_first_event_(id, free_at_);
+    std::vector<std::uint64_t> started;
+    std::vector<std::uint64_t> finished;
+    next_pass_at_ += RunPass(started, finished);
+    for (const auto id : started) {
+      callbacks_.on_first_event_(id, next_pass_at_);
     }
-    for (const auto id : ends) {
-      Drop(id);
-      hooks_.on_end_(id, free_at_);
+    for (const auto id : finished) {
+      Cancel(id);
+      callbacks_.on_end_(id, next_pass_at_);
     }
   }
 }
--- a/packages/emulator/src/emulator/engine.hpp
+++ b/packages/emulator/src/emulator/engine.hpp
@@ -1,4 +1,4 @@
-// One engine that batches continuously, in simulated time.
+// Engine with continuous batching, in virtual time.
 #pragma once
 
 #include <cstdint>
@@ -12,61 +12,66 @@
 
 namespace chalkwell::emulator {
 
-/// @brief A request as an engine sees it.
+/// @brief A request to an engine.
 struct EngineRequest {
   std::uint64_t id_ = 0;
   double prompt_tokens_ = 0;
-  double answer_tokens_ = 0;
-  /// 0 is the most urgent.
+  double output_tokens_ = 0;
+  /// 0 is the highest priority.
   std::uint32_t priority_ = 0;
 };
 
-/// @brief What an engine tells of its requests.
-struct EngineHooks {
+/// @brief Notifications about the requests of an engine.
+struct EngineCallbacks {
   std::function<void(std::uint64_t id, core::TimePoint now)> on_first_event_;
   std::function<void(std::uint64_t id, core::TimePoint now)> on_end_;
 };
 
-/// @brief Plays passes: each lets in what waits, reads prompts in order and
-/// gives every request that was read some tokens.
+/// @brief Simulates an engine pass by pass. Each pass admits waiting requests,
+/// prefills prompts in order, and generates tokens for each request whose
+/// prompt is complete.
 class Engine {
  public:
-  /// @param queue requests that may wait.
-  Engine(config::EngineProfile profile, std::size_t queue, EngineHooks hooks);
+  /// @param queue_limit maximum number of waiting requests.
+  Engine(config::EngineProfile profile, std::size_t queue_limit,
+         EngineCallbacks callbacks);
 
-  /// @return false when it is full: the request has not run.
-  bool Offer(const EngineRequest& request, core::TimePoint now);
-  /// @brief A caller left; its request is dropped.
-  void Drop(std::uint64_t id);
-  /// @brief Loses all that it has and takes nothing until a time.
+  /// @return false if the queue is full or the engine not ready; the request is
+  /// then not run.
+  bool Submit(const EngineRequest& request, core::TimePoint now);
+  /// @brief Removes a request, for example because its caller timed out.
+  void Cancel(std::uint64_t id);
+  /// @brief Discards all requests and accepts none until `ready_at`.
   void Restart(core::TimePoint ready_at);
-  /// @brief Plays all passes that end until a time.
-  void RunTo(core::TimePoint now);
+  /// @brief Runs the passes that start no later than `now`.
+  void AdvanceTo(core::TimePoint now);
   [[nodiscard]] routing::LoadReport Report(core::TimePoint now) const;
 
  private:
   struct Running {
     EngineRequest request_;
-    double unread_ = 0;
-    double unwritten_ = 0;
-    bool begun_ = false;
+    double remaining_prompt_ = 0;
+    double remaining_output_ = 0;
+    bool started_ = false;
   };
 
-  void LetIn();
-  /// @brief Reads and writes of one pass.
-  /// @return how long it takes.
-  [[nodiscard]] core::Duration Pass(std::vector<std::uint64_t>& firsts,
-                                    std::vector<std::uint64_t>& ends);
+  void AdmitWaiting();
+  /// @brief Runs one pass: prefill and decode.
+  /// @param started requests that got their first event.
+  /// @param finished requests that are complete.
+  /// @return duration of the pass.
+  [[nodiscard]] core::Duration RunPass(std::vector<std::uint64_t>& started,
+                                       std::vector<std::uint64_t>& finished);
 
   config::EngineProfile profile_;
   std::size_t queue_limit_;
-  EngineHooks hooks_;
-  /// In order of priority, then of arrival.
+  EngineCallbacks callbacks_;
+  /// Ordered by priority, then by arrival.
   std::deque<EngineRequest> waiting_;
-  /// At most the profile's slots.
+  /// At most as many as the profile has slots.
   std::vector<Running> running_;
-  /// End of the pass under way, or when the engine fell idle.
-  core::TimePoint free_at_;
+  /// End of the current pass, or when the engine became idle.
+  core::TimePoint next_pass_at_;
   core::TimePoint ready_at_;
 };
 
--- a/packages/emulator/src/emulator/fleet.cpp
+++ b/packages/emulator/src/emulator/fleet.cpp
@@ -1,4 +1,4 @@
-// Events in order of time; each caller asks at most twice.
+// Discrete-event simulation. Each caller makes at most two attempts.
 #include "emulator/fleet.hpp"
 
 #include <algorithm>
@@ -16,47 +16,47 @@
 namespace {
 
 const core::TimePoint kStart{std::chrono::seconds(1000)};
-/// Sizes end at this many means.
-constexpr double kLargest = 3;
+/// Upper limit of sizes, as a multiple of the mean.
+constexpr double kMaxSizeFactor = 3;
 
-/// @brief What an entry knows; lost when its machine is.
+/// @brief State of an entry; lost in an outage.
 struct Entry {
   Entry(routing::EndpointTableSettings settings, std::uint64_t seed)
       : endpoints_(std::make_unique<routing::EndpointTable>(std::move(settings),
                                                             seed)) {}
 
   std::unique_ptr<routing::EndpointTable> endpoints_;
-  routing::RequestAgeEstimator ages_;
+  routing::RequestAgeEstimator request_age_;
 };
 
-/// @brief One caller's request through its tries.
+/// @brief A caller's request with all its attempts.
 struct Call {
-  std::size_t kind_ = 0;
+  std::size_t class_ = 0;
   double prompt_tokens_ = 0;
-  double answer_tokens_ = 0;
-  core::TimePoint asked_at_;
-  /// Time that the caller gives.
-  core::Duration budget_{};
-  unsigned tries_ = 0;
+  double output_tokens_ = 0;
+  core::TimePoint first_attempt_at_;
+  /// Time in which the caller wants the response.
+  core::Duration time_budget_{};
+  unsigned attempts_ = 0;
   std::size_t entry_ = 0;
   std::size_t engine_ = 0;
   core::TimePoint sent_at_;
   core::Duration predicted_{};
   bool on_time_ = true;
-  bool waits_ = false;
-  bool begun_ = false;
-  bool rejected_first_ = false;
-  core::TimePoint first_at_;
+  bool in_flight_ = false;
+  bool started_ = false;
+  bool first_attempt_refused_ = false;
+  core::TimePoint first_event_at_;
 };
 
-class World {
+class Simulation {
  public:
-  explicit World(const FleetSpec& spec)
-      : spec_(spec), random_(spec.seed_), retry_spread_(spec.seed_) {
+  explicit Simulation(const FleetSpec& spec)
+      : spec_(spec), random_(spec.seed_), retry_jitter_(spec.seed_) {
     for (std::size_t engine = 0; engine < spec_.engines_; ++engine) {
       engines_.emplace_back(
-          spec_.engine_, spec_.engine_queue_,
-          EngineHooks{
+          spec_.engine_, spec_.engine_queue_limit_,
+          EngineCallbacks{
               .on_first_event_ =
                   [this](std::uint64_t id, core::TimePoint now) {
                     OnFirstEvent(id, now);
@@ -67,41 +67,41 @@
     StartEntries();
   }
 
-  std::vector<Second> Run();
+  std::vector<SecondStats> Run();
 
  private:
   struct Event {
     core::TimePoint at_;
-    std::uint64_t order_ = 0;
-    std::function<void()> act_;
+    std::uint64_t sequence_ = 0;
+    std::function<void()> action_;
   };
-  struct Later {
+  struct IsLater {
     bool operator()(const Event& left, const Event& right) const {
-      return std::pair(left.at_, left.order_) >
-             std::pair(right.at_, right.order_);
+      return std::pair(left.at_, left.sequence_) >
+             std::pair(right.at_, right.sequence_);
     }
   };
 
-  void At(core::TimePoint at, std::function<void()> act) {
-    events_.push({at, ++order_, std::move(act)});
+  void Schedule(core::TimePoint at, std::function<void()> action) {
+    events_.push({at, ++sequence_, std::move(action)});
   }
   void StartEntries();
-  void Arrive(std::size_t kind);
-  /// @brief Requests a second of a kind now.
-  [[nodiscard]] double RateOf(std::size_t kind) const;
-  void Try(std::uint64_t id);
-  /// @brief Offers a call to engines.
-  /// @return when to come back, if none begins it.
-  std::optional<core::Duration> Begin(std::uint64_t id,
-                                      const routing::StreamRequest& request);
-  void Refuse(std::uint64_t id, core::Duration wait);
+  void OnArrival(std::size_t request_class);
+  /// @brief Current requests per second of a class.
+  [[nodiscard]] double RateOf(std::size_t request_class) const;
+  void Attempt(std::uint64_t id);
+  /// @brief Sends a call to an engine.
+  /// @return when to retry, if no engine accepted it.
+  std::optional<core::Duration> Dispatch(std::uint64_t id,
+                                         const routing::StreamRequest& request);
+  void OnRefused(std::uint64_t id, core::Duration wait);
   void Retry(std::uint64_t id, core::Duration wait);
-  void Leave(std::uint64_t id, core::TimePoint sent_at);
-  void Report(std::size_t engine);
-  void Strike(const Outage& outage);
+  void OnCallerTimeout(std::uint64_t id, core::TimePoint sent_at);
+  void ReportLoad(std::size_t engine);
+  void StartOutage(const Outage& outage);
   void OnFirstEvent(std::uint64_t id, core::TimePoint now);
   void OnEnd(std::uint64_t id, core::TimePoint now);
-  void Close(std::uint64_t id, std::uint32_t Second::*outcome);
+  void RecordOutcome(std::uint64_t id, std::uint32_t SecondStats::*outcome);
   static core::InstanceId IdOf(std::size_t engine) {
     return core::InstanceId("engine-" + std::to_string(engine));
   }
@@ -110,13 +110,13 @@
         "domain-" +
         std::to_string(number % std::max<std::size_t>(1, spec_.domains_)));
   }
-  double Draw() { return std::uniform_real_distribution<>(0, 1)(random_); }
-  double Size(double mean, std::size_t kind) {
-    const double spread = spec_.kinds_[kind].spread_;
-    std::lognormal_distribution<> size(-spread * spread / 2, spread);
-    return mean * std::min(kLargest, size(random_));
+  double Uniform() { return std::uniform_real_distribution<>(0, 1)(random_); }
+  double SampleTokens(double mean, std::size_t request_class) {
+    const double sigma = spec_.classes_[request_class].size_sigma_;
+    std::lognormal_distribution<> size(-sigma * sigma / 2, sigma);
+    return mean * std::min(kMaxSizeFactor, size(random_));
   }
-  core::Duration Exponential(double per_second) {
+  core::Duration SampleInterval(double per_second) {
     const std::chrono::duration<double> gap(
         std::exponential_distribution<>(per_second)(random_));
     return std::chrono::duration_cast<core::Duration>(gap);
@@ -124,19 +124,19 @@
 
   const FleetSpec& spec_;
   std::mt19937_64 random_;
-  routing::RetryJitter retry_spread_;
+  routing::RetryJitter retry_jitter_;
   std::deque<Engine> engines_;
   std::vector<Entry> entries_;
   std::map<std::uint64_t, Call> calls_;
   std::uint64_t next_id_ = 0;
-  std::priority_queue<Event, std::vector<Event>, Later> events_;
-  std::uint64_t order_ = 0;
+  std::priority_queue<Event, std::vector<Event>, IsLater> events_;
+  std::uint64_t sequence_ = 0;
   core::TimePoint now_ = kStart;
-  bool away_ = false;
-  std::vector<Second> seconds_;
+  bool outage_active_ = false;
+  std::vector<SecondStats> seconds_;
 };
 
-void World::StartEntries() {
+void Simulation::StartEntries() {
   std::vector<routing::EndpointRow> rows;
   for (std::size_t engine = 0; engine < spec_.engines_; ++engine) {
     routing::EndpointRow row;
@@ -158,73 +158,79 @@
   }
 }
 
-double World::RateOf(std::size_t kind) const {
+double Simulation::RateOf(std::size_t request_class) const {
   double factor = 1;
   for (const auto& step : spec_.load_steps_) {
     if (now_ - kStart >= step.at_) {
       factor = step.factor_;
     }
   }
-  const auto turns = std::chrono::duration<double>(now_ - kStart) /
-                     std::chrono::duration<double>(spec_.swing_period_);
-  factor *= 1 + spec_.swing_ * std::sin(2 * std::numbers::pi * turns);
-  return factor * spec_.kinds_[kind].requests_per_second_;
+  const auto periods = std::chrono::duration<double>(now_ - kStart) /
+                       std::chrono::duration<double>(spec_.rate_period_);
+  factor *=
+      1 + spec_.rate_amplitude_ * std::sin(2 * std::numbers::pi * periods);
+  return factor * spec_.classes_[request_class].requests_per_second_;
 }
 
-void World::Arrive(std::size_t kind) {
-  At(now_ + Exponential(RateOf(kind)), [this, kind] { Arrive(kind); });
+void Simulation::OnArrival(std::size_t request_class) {
+  Schedule(now_ + SampleInterval(RateOf(request_class)),
+           [this, request_class] { OnArrival(request_class); });
   const auto id = ++next_id_;
   Call call;
-  call.kind_ = kind;
-  call.asked_at_ = now_;
-  call.budget_ = std::chrono::duration_cast<core::Duration>(
-      spec_.kinds_[kind].budget_ *
-      (1 - spec_.kinds_[kind].budget_spread_ * Draw()));
-  call.prompt_tokens_ = Size(spec_.kinds_[kind].prompt_tokens_, kind);
-  call.answer_tokens_ = Size(spec_.kinds_[kind].answer_tokens_, kind);
+  call.class_ = request_class;
+  call.first_attempt_at_ = now_;
+  call.time_budget_ = std::chrono::duration_cast<core::Duration>(
+      spec_.classes_[request_class].time_budget_ *
+      (1 - spec_.classes_[request_class].time_budget_spread_ * Uniform()));
+  call.prompt_tokens_ =
+      SampleTokens(spec_.classes_[request_class].prompt_tokens_, request_class);
+  call.output_tokens_ =
+      SampleTokens(spec_.classes_[request_class].output_tokens_, request_class);
   calls_[id] = call;
-  Try(id);
+  Attempt(id);
 }
 
-void World::Try(std::uint64_t id) {
+void Simulation::Attempt(std::uint64_t id) {
   auto& call = calls_.at(id);
-  const auto& kind = spec_.kinds_[call.kind_];
-  ++call.tries_;
-  if (away_) {
-    Retry(id, spec_.reconnect_);
+  const auto& request_class = spec_.classes_[call.class_];
+  ++call.attempts_;
+  if (outage_active_) {
+    Retry(id, spec_.reconnect_delay_);
     return;
   }
-  call.entry_ = static_cast<std::size_t>(Draw() * 0.999999 *
+  call.entry_ = static_cast<std::size_t>(Uniform() * 0.999999 *
                                          static_cast<double>(entries_.size()));
   auto& entry = entries_[call.entry_];
-  const auto left = call.budget_ - (now_ - call.asked_at_);
-  routing::StreamRequest request{kind.target_, {}};
-  request.age_ = entry.ages_.AddAndEstimate(kind.route_, left);
-  if (!spec_.late_last_) {
+  const auto left = call.time_budget_ - (now_ - call.first_attempt_at_);
+  routing::StreamRequest request{request_class.target_, {}};
+  request.age_ = entry.request_age_.AddAndEstimate(request_class.route_, left);
+  if (!spec_.on_time_first_) {
     request.age_ = {};
   }
-  if (const auto wait = Begin(id, request)) {
-    Refuse(id, *wait);
+  if (const auto wait = Dispatch(id, request)) {
+    OnRefused(id, *wait);
   }
 }
 
-void World::Refuse(std::uint64_t id, core::Duration wait) {
+void Simulation::OnRefused(std::uint64_t id, core::Duration wait) {
   auto& call = calls_.at(id);
-  call.rejected_first_ = call.rejected_first_ || call.tries_ == 1;
-  const auto left = call.budget_ - (now_ - call.asked_at_);
-  // Callers wait at most for a third of what they have left.
-  Retry(id, std::min<core::Duration>(retry_spread_.Draw(wait), left / 3));
+  call.first_attempt_refused_ =
+      call.first_attempt_refused_ || call.attempts_ == 1;
+  const auto left = call.time_budget_ - (now_ - call.first_attempt_at_);
+  // Callers wait for at most a third of their remaining time.
+  Retry(id, std::min<core::Duration>(retry_jitter_.Draw(wait), left / 3));
 }
 
-std::optional<core::Duration> World::Begin(
+std::optional<core::Duration> Simulation::Dispatch(
     std::uint64_t id, const routing::StreamRequest& request) {
   auto& call = calls_.at(id);
   auto& endpoints = *entries_[call.entry_].endpoints_;
-  routing::ChoiceRequest wanted;
-  wanted.service_ = "pool";
-  wanted.engine_ = &spec_.engine_;
-  wanted.prompt_tokens_ = call.prompt_tokens_;
-  const auto decision = routing::DecideStream(endpoints, wanted, request, now_);
+  routing::ChoiceRequest choice_request;
+  choice_request.service_ = "pool";
+  choice_request.engine_ = &spec_.engine_;
+  choice_request.prompt_tokens_ = call.prompt_tokens_;
+  const auto decision =
+      routing::DecideStream(endpoints, choice_request, request, now_);
   if (decision.retry_after_) {
     return decision.retry_after_;
   }
@@ -234,156 +240,166 @@
   call.sent_at_ = now_;
   call.predicted_ = chosen.time_to_first_byte_;
   const auto priority = routing::EnginePriority(1, decision.on_time_);
-  const bool taken = engines_[call.engine_].Offer(
-      {id, call.prompt_tokens_, call.answer_tokens_, priority.value_or(1)},
+  const bool accepted = engines_[call.engine_].Submit(
+      {id, call.prompt_tokens_, call.output_tokens_, priority.value_or(1)},
       now_);
-  if (!taken) {
+  if (!accepted) {
     return std::chrono::milliseconds(500);
   }
-  call.waits_ = true;
+  call.in_flight_ = true;
   endpoints.OnSent(chosen.row_.id_, call.prompt_tokens_, now_, call.on_time_);
-  At(now_ + spec_.patience_,
-     [this, id, sent_at = now_] { Leave(id, sent_at); });
+  Schedule(now_ + spec_.caller_timeout_,
+           [this, id, sent_at = now_] { OnCallerTimeout(id, sent_at); });
   return std::nullopt;
 }
 
-void World::Retry(std::uint64_t id, core::Duration wait) {
-  if (calls_.at(id).tries_ > 1) {
-    Close(id, &Second::refused_);
+void Simulation::Retry(std::uint64_t id, core::Duration wait) {
+  if (calls_.at(id).attempts_ > 1) {
+    RecordOutcome(id, &SecondStats::failed_);
     return;
   }
-  At(now_ + wait, [this, id] {
+  Schedule(now_ + wait, [this, id] {
     if (calls_.contains(id)) {
-      Try(id);
+      Attempt(id);
     }
   });
 }
 
-void World::Leave(std::uint64_t id, core::TimePoint sent_at) {
+void Simulation::OnCallerTimeout(std::uint64_t id, core::TimePoint sent_at) {
   const auto found = calls_.find(id);
-  const bool waits = found != calls_.end() && found->second.waits_ &&
-                     !found->second.begun_ && found->second.sent_at_ == sent_at;
-  if (!waits) {
+  const bool waiting = found != calls_.end() && found->second.in_flight_ &&
+                       !found->second.started_ &&
+                       found->second.sent_at_ == sent_at;
+  if (!waiting) {
     return;
   }
   const auto& call = found->second;
-  engines_[call.engine_].Drop(id);
+  engines_[call.engine_].Cancel(id);
   entries_[call.entry_].endpoints_->OnEnded(
       IdOf(call.engine_), call.prompt_tokens_, call.sent_at_, false,
       routing::EndpointOutcome::kCancelled, now_);
-  Close(id, &Second::refused_);
+  RecordOutcome(id, &SecondStats::failed_);
 }
 
-void World::OnFirstEvent(std::uint64_t id, core::TimePoint now) {
+void Simulation::OnFirstEvent(std::uint64_t id, core::TimePoint now) {
   auto& call = calls_.at(id);
-  call.begun_ = true;
-  call.first_at_ = now;
+  call.started_ = true;
+  call.first_event_at_ = now;
   entries_[call.entry_].endpoints_->OnFirstByte(
       IdOf(call.engine_), call.prompt_tokens_, call.sent_at_, call.predicted_,
       now);
 }
 
-void World::OnEnd(std::uint64_t id, core::TimePoint now) {
+void Simulation::OnEnd(std::uint64_t id, core::TimePoint now) {
   const auto call = calls_.at(id);
   entries_[call.entry_].endpoints_->OnEnded(
       IdOf(call.engine_), call.prompt_tokens_, call.sent_at_, true,
       routing::EndpointOutcome::kAnswered, now);
-  const bool in_target =
-      call.first_at_ - call.asked_at_ <= spec_.kinds_[call.kind_].target_;
-  Close(id, in_target ? &Second::in_target_ : &Second::late_);
+  const bool within_target = call.first_event_at_ - call.first_attempt_at_ <=
+                             spec_.classes_[call.class_].target_;
+  RecordOutcome(
+      id, within_target ? &SecondStats::within_target_ : &SecondStats::late_);
 }
 
-void World::Close(std::uint64_t id, std::uint32_t Second::*outcome) {
-  const auto since = calls_.at(id).asked_at_ - kStart;
+void Simulation::RecordOutcome(std::uint64_t id,
+                               std::uint32_t SecondStats::*outcome) {
+  const auto since = calls_.at(id).first_attempt_at_ - kStart;
   const auto second = static_cast<std::size_t>(since / std::chrono::seconds(1));
   if (second < seconds_.size()) {
-    ++seconds_[second].asked_;
+    ++seconds_[second].requests_;
     ++(seconds_[second].*outcome);
     const auto& call = calls_.at(id);
-    const bool late = outcome == &Second::late_;
-    seconds_[second].rejected_first_ += call.rejected_first_ ? 1 : 0;
-    seconds_[second].late_on_time_ += late && call.on_time_ ? 1 : 0;
+    const bool late = outcome == &SecondStats::late_;
+    seconds_[second].first_attempts_refused_ +=
+        call.first_attempt_refused_ ? 1 : 0;
+    seconds_[second].late_admitted_on_time_ += late && call.on_time_ ? 1 : 0;
   }
   calls_.erase(id);
 }
 
-void World::Report(std::size_t engine) {
-  At(now_ + spec_.report_interval_, [this, engine] { Report(engine); });
-  engines_[engine].RunTo(now_);
-  if (away_) {
+void Simulation::ReportLoad(std::size_t engine) {
+  Schedule(now_ + spec_.report_interval_,
+           [this, engine] { ReportLoad(engine); });
+  engines_[engine].AdvanceTo(now_);
+  if (outage_active_) {
     return;
   }
   const auto report = engines_[engine].Report(now_);
-  At(now_ + spec_.report_delay_, [this, engine, report] {
+  Schedule(now_ + spec_.report_delay_, [this, engine, report] {
     for (auto& entry : entries_) {
       entry.endpoints_->ApplyReport(IdOf(engine).value() + ":1", report, now_);
     }
   });
 }
 
-void World::Strike(const Outage& outage) {
-  away_ = true;
+void Simulation::StartOutage(const Outage& outage) {
+  outage_active_ = true;
   for (auto& engine : engines_) {
-    engine.Restart(kStart + outage.engines_back_);
+    engine.Restart(kStart + outage.engines_ready_at_);
   }
-  std::vector<std::uint64_t> cut;
+  std::vector<std::uint64_t> interrupted;
   for (auto& [id, call] : calls_) {
-    if (std::exchange(call.waits_, false)) {
-      call.begun_ = false;
-      cut.push_back(id);
+    if (std::exchange(call.in_flight_, false)) {
+      call.started_ = false;
+      interrupted.push_back(id);
     }
   }
-  for (const auto id : cut) {
-    // A machine without power says nothing: callers wait until they give up.
-    Retry(id, spec_.patience_);
+  for (const auto id : interrupted) {
+    // Machines that lost power send no error: callers wait until their timeout.
+    Retry(id, spec_.caller_timeout_);
   }
-  At(kStart + outage.entries_back_, [this] {
-    away_ = false;
+  Schedule(kStart + outage.entries_ready_at_, [this] {
+    outage_active_ = false;
     StartEntries();
   });
 }
 
-std::vector<Second> World::Run() {
+std::vector<SecondStats> Simulation::Run() {
   seconds_.resize(
-      static_cast<std::size_t>(spec_.length_ / std::chrono::seconds(1)));
+      static_cast<std::size_t>(spec_.duration_ / std::chrono::seconds(1)));
   for (std::size_t engine = 0; engine < engines_.size(); ++engine) {
-    At(kStart + std::chrono::duration_cast<core::Duration>(
-                    spec_.report_interval_ * Draw()),
-       [this, engine] { Report(engine); });
+    Schedule(kStart + std::chrono::duration_cast<core::Duration>(
+                          spec_.report_interval_ * Uniform()),
+             [this, engine] { ReportLoad(engine); });
   }
-  for (std::size_t kind = 0; kind < spec_.kinds_.size(); ++kind) {
-    At(kStart + std::chrono::milliseconds(200), [this, kind] { Arrive(kind); });
+  for (std::size_t request_class = 0; request_class < spec_.classes_.size();
+       ++request_class) {
+    Schedule(kStart + std::chrono::milliseconds(200),
+             [this, request_class] { OnArrival(request_class); });
   }
   for (const auto& outage : spec_.outages_) {
-    At(kStart + outage.at_, [this, outage] { Strike(outage); });
+    Schedule(kStart + outage.at_, [this, outage] { StartOutage(outage); });
   }
-  const auto end = kStart + spec_.length_ + std::chrono::seconds(8);
+  const auto end = kStart + spec_.duration_ + std::chrono::seconds(8);
   while (!events_.empty() && events_.top().at_ < end) {
     const auto event = events_.top();
     events_.pop();
     now_ = event.at_;
-    event.act_();
+    event.action_();
   }
   return seconds_;
 }
 
 }  // namespace
 
-double Capacity(const FleetSpec& spec) {
+double MaxRequestRate(const FleetSpec& spec) {
   const auto& engine = spec.engine_;
   const std::chrono::duration<double> step =
       routing::StepTime(engine, engine.slots_);
   double requests = 0;
   double engine_seconds = 0;
-  for (const auto& kind : spec.kinds_) {
-    requests += kind.requests_per_second_;
-    engine_seconds += kind.requests_per_second_ *
-                      (kind.prompt_tokens_ / engine.prefill_tokens_per_second_ +
-                       kind.answer_tokens_ * step.count() / engine.slots_);
+  for (const auto& request_class : spec.classes_) {
+    requests += request_class.requests_per_second_;
+    engine_seconds +=
+        request_class.requests_per_second_ *
+        (request_class.prompt_tokens_ / engine.prefill_tokens_per_second_ +
+         request_class.output_tokens_ * step.count() / engine.slots_);
   }
   return static_cast<double>(spec.engines_) * requests / engine_seconds;
 }
 
-std::vector<Second> Play(const FleetSpec& spec) { return World(spec).Run(); }
+std::vector<SecondStats> Simulate(const FleetSpec& spec) {
+  return Simulation(spec).Run();
+}
 
 }  // namespace chalkwell::emulator
--- a/packages/emulator/src/emulator/fleet.hpp
+++ b/packages/emulator/src/emulator/fleet.hpp
@@ -1,5 +1,6 @@
-// Callers, entries and engines in simulated time. Entries choose and admit with
-// the library's own modules, by reports that arrive late.
+// Simulation of callers, entries and engines in virtual time. Entries route and
+// admit requests with the library's code, from load reports that arrive with a
+// delay.
 #pragma once
 
 #include <cstdint>
@@ -16,80 +17,86 @@
 
 namespace chalkwell::emulator {
 
-/// @brief One kind of request.
-struct Kind {
+/// @brief A class of requests.
+struct RequestClass {
   std::string route_;
   double requests_per_second_ = 0;
-  /// Means of log-normal sizes.
+  /// Means of the log-normal distributions of sizes.
   double prompt_tokens_ = 0;
-  double answer_tokens_ = 0;
-  /// Standard deviation of the logarithm of both.
-  double spread_ = 0;
+  double output_tokens_ = 0;
+  /// Standard deviation of the logarithm of both sizes.
+  double size_sigma_ = 0;
   core::Duration target_{};
-  /// Time that a caller gives.
-  core::Duration budget_{};
-  /// Callers give up to this part less, each another time.
-  double budget_spread_ = 0;
+  /// Time in which a caller wants the response.
+  core::Duration time_budget_{};
+  /// Time budgets are uniform between the full one and this share less.
+  double time_budget_spread_ = 0;
 };
 
-/// @brief All machines are away for a while; their engines follow later.
+/// @brief All machines fail; entries return first, engines later. Times are
+/// counted from the start of the simulation.
 struct Outage {
   core::Duration at_{};
-  core::Duration entries_back_{};
-  core::Duration engines_back_{};
+  core::Duration entries_ready_at_{};
+  core::Duration engines_ready_at_{};
 };
 
-/// @brief From a time on all kinds ask so many times as often.
+/// @brief From a time on, the request rates of all classes are multiplied by a
+/// factor.
 struct LoadStep {
   core::Duration at_{};
   double factor_ = 1;
 };
 
-/// @brief A deployment and its load.
+/// @brief A simulated deployment and its load.
 struct FleetSpec {
   config::EngineProfile engine_;
   std::size_t engines_ = 20;
   std::size_t entries_ = 9;
-  /// Failure domains of both, in turn. With 0 every entry uses all engines,
-  /// else the subset that is its own.
+  /// Number of failure domains, to which engines and entries are assigned
+  /// round-robin. With 0, each entry uses all engines, else its own subset.
   std::size_t domains_ = 0;
-  std::size_t engine_queue_ = 32;
-  std::vector<Kind> kinds_;
+  std::size_t engine_queue_limit_ = 32;
+  std::vector<RequestClass> classes_;
   std::vector<Outage> outages_;
-  /// In order of time; 1 before the first.
+  /// Ordered by time; the factor is 1 before the first.
   std::vector<LoadStep> load_steps_;
-  /// Traffic swings by this part of its mean, up and down, as a sine.
-  double swing_ = 0;
-  core::Duration swing_period_ = std::chrono::seconds(5);
-  core::Duration length_ = std::chrono::seconds(20);
+  /// Amplitude of the sinusoidal variation of the request rate, as a share of
+  /// its mean.
+  double rate_amplitude_ = 0;
+  core::Duration rate_period_ = std::chrono::seconds(5);
+  core::Duration duration_ = std::chrono::seconds(20);
   core::Duration report_interval_ = std::chrono::milliseconds(110);
   core::Duration report_delay_ = std::chrono::milliseconds(3);
-  /// A caller leaves when no event came for this long.
-  core::Duration patience_ = std::chrono::milliseconds(2400);
-  /// A caller without an answer asks once more after this.
-  core::Duration reconnect_ = std::chrono::seconds(1);
+  /// A caller cancels its request if no event arrives for this long.
+  core::Duration caller_timeout_ = std::chrono::milliseconds(2400);
+  /// Delay after which a caller without a response retries during an outage.
+  core::Duration reconnect_delay_ = std::chrono::seconds(1);
   std::uint64_t seed_ = 1;
-  /// Whether late requests wait for those on time, as the entries decide.
-  bool late_last_ = true;
+  /// Whether entries let late requests wait for those that are on time.
+  bool on_time_first_ = true;
 };
 
-/// @brief What callers got who asked first in one second.
-struct Second {
-  std::uint32_t asked_ = 0;
-  std::uint32_t in_target_ = 0;
+/// @brief Outcomes of the requests whose first attempt was made in one second.
+struct SecondStats {
+  std::uint32_t requests_ = 0;
+  std::uint32_t within_target_ = 0;
+  /// The first event came after the target latency.
   std::uint32_t late_ = 0;
-  std::uint32_t refused_ = 0;
-  /// Of all, those whose first try was rejected.
-  std::uint32_t rejected_first_ = 0;
-  /// Of the late ones, those that were admitted as on time.
-  std::uint32_t late_on_time_ = 0;
+  /// The caller cancelled, or its second attempt failed too.
+  std::uint32_t failed_ = 0;
+  /// Requests whose first attempt was refused.
+  std::uint32_t first_attempts_refused_ = 0;
+  /// Late requests that were admitted as on time.
+  std::uint32_t late_admitted_on_time_ = 0;
 };
 
-/// @brief Requests a second that full engines of a deployment give, in its mix.
-[[nodiscard]] double Capacity(const FleetSpec& spec);
+/// @brief Requests per second that a deployment can serve with full engines, in
+/// its mix of classes.
+[[nodiscard]] double MaxRequestRate(const FleetSpec& spec);
 
-/// @brief Plays a fleet.
-/// @return by second of the first try.
-[[nodiscard]] std::vector<Second> Play(const FleetSpec& spec);
+/// @brief Runs the simulation.
+/// @return outcomes by the second of the first attempt.
+[[nodiscard]] std::vector<SecondStats> Simulate(const FleetSpec& spec);
 
 }  // namespace chalkwell::emulator
--- a/tests/emulator/outage_test.cpp
+++ b/tests/emulator/outage_test.cpp
@@ -1,4 +1,4 @@
-// What callers get around an outage of all machines, played in simulated time.
+// Simulates the outcome of requests before and after an outage of all machines.
 #include <catch2/catch.hpp>
 #include <iostream>
 
@@ -9,8 +9,8 @@
 
 using namespace std::chrono_literals;
 
-/// Twenty engines at four fifths of what they give: 190 requests a second of
-/// some 900 tokens in and 120 out, of very different sizes.
+/// Twenty engines at 80 % of their capacity: 190 requests per second with a
+/// mean of about 900 prompt and 120 output tokens, of widely varying sizes.
 FleetSpec BusyFleet(std::uint64_t seed) {
   FleetSpec spec;
   spec.engine_.slots_ = 16;
@@ -21,64 +21,65 @@
   spec.engine_.steps_per_pass_ = 6;
   spec.engine_.mean_prompt_tokens_ = 930;
   spec.engine_.mean_output_tokens_ = 122;
-  spec.kinds_ = {{"draft", 75, 1290, 144, 0.9, 400ms, 6s},
-                 {"explain", 53, 787, 144, 0.8, 400ms, 6s},
-                 {"short", 62, 607, 72, 0.9, 300ms, 6s}};
+  spec.classes_ = {{"draft", 75, 1290, 144, 0.9, 400ms, 6s},
+                   {"explain", 53, 787, 144, 0.8, 400ms, 6s},
+                   {"short", 62, 607, 72, 0.9, 300ms, 6s}};
   spec.seed_ = seed;
   return spec;
 }
 
-double ShareInTarget(const std::vector<Second>& seconds, std::size_t from,
-                     std::size_t to) {
-  double asked = 0;
-  double in_target = 0;
+double ShareWithinTarget(const std::vector<SecondStats>& seconds,
+                         std::size_t from, std::size_t to) {
+  double requests = 0;
+  double within_target = 0;
   for (auto second = from; second < to; ++second) {
-    asked += seconds[second].asked_;
-    in_target += seconds[second].in_target_;
+    requests += seconds[second].requests_;
+    within_target += seconds[second].within_target_;
   }
-  return in_target / asked;
+  return within_target / requests;
 }
 
-TEST_CASE("a calm fleet serves callers in time", "[emulator]") {
-  const auto seconds = Play(BusyFleet(1));
-  CHECK(ShareInTarget(seconds, 2, 18) > 0.95);
+TEST_CASE("requests meet their targets under normal load", "[emulator]") {
+  const auto seconds = Simulate(BusyFleet(1));
+  CHECK(ShareWithinTarget(seconds, 2, 18) > 0.95);
 }
 
-TEST_CASE("after an outage callers who ask anew are not late behind the others",
+TEST_CASE("after an outage new requests are not delayed by retried ones",
           "[emulator]") {
-  // Machines are away for 0.8 s, engines for 1.4 s; callers who were not let in
-  // come back a second later, those who were cut all together after 2.4 s.
+  // Machines are down for 0.8 s and engines for 1.4 s. Callers that could not
+  // connect retry after 1 s; those whose requests were interrupted all retry
+  // after 2.4 s. Without priority for requests that are on time, these retries
+  // delay the new requests.
   const auto seed = GENERATE(1U, 2U, 3U);
   auto spec = BusyFleet(seed);
   spec.outages_ = {{5s, 5800ms, 6400ms}};
-  const auto late_last = ShareInTarget(Play(spec), 7, 11);
-  spec.late_last_ = false;
-  const auto in_order = ShareInTarget(Play(spec), 7, 11);
-  std::cout << "figure in_target_after_outage " << in_order << " -> "
-            << late_last << "\n";
-  CHECK(late_last > 0.85);
-  CHECK(late_last > in_order + 0.1);
+  const auto prioritized = ShareWithinTarget(Simulate(spec), 7, 11);
+  spec.on_time_first_ = false;
+  const auto unprioritized = ShareWithinTarget(Simulate(spec), 7, 11);
+  std::cout << "figure in_target_after_outage " << unprioritized << " -> "
+            << prioritized << "\n";
+  CHECK(prioritized > 0.85);
+  CHECK(prioritized > unprioritized + 0.1);
 }
 
-TEST_CASE(
-    "callers who ask for more than engines give are in time if they are let in",
-    "[emulator]") {
+TEST_CASE("admission keeps requests within their targets under overload",
+          "[emulator]") {
   struct Case {
     double load_;
-    double in_target_;
+    double min_within_target_;
   };
   const auto row = GENERATE(Case{1.1, 0.93}, Case{1.2, 0.9}, Case{1.45, 0.42});
-  double in_target = 0;
+  double within_target = 0;
   for (const std::uint64_t seed : {1, 2, 3}) {
     auto spec = BusyFleet(seed);
-    for (auto& kind : spec.kinds_) {
-      kind.requests_per_second_ *= row.load_;
+    for (auto& request_class : spec.classes_) {
+      request_class.requests_per_second_ *= row.load_;
     }
-    in_target += ShareInTarget(Play(spec), 3, 18) / 3;
+    within_target += ShareWithinTarget(Simulate(spec), 3, 18) / 3;
   }
-  std::cout << "figure in_target_at_load_" << row.load_ << " " << in_target
+  std::cout << "figure in_target_at_load_" << row.load_ << " " << within_target
             << "\n";
-  CHECK(in_target > row.in_target_);
+  CHECK(within_target > row.min_within_target_);
 }
 
 }  // namespace
--- a/tests/emulator/overload_test.cpp
+++ b/tests/emulator/overload_test.cpp
@@ -1,4 +1,5 @@
-// What callers get while they ask for more than engines give, and afterwards.
+// Simulates the outcome of requests near capacity, during overload and after
+// it.
 #include <catch2/catch.hpp>
 #include <iostream>
 
@@ -10,7 +11,7 @@
 using namespace std::chrono_literals;
 
 /// Forty entries that share 45 engines of 12 slots in three failure domains.
-/// @param load as a part of what the engines give.
+/// @param load request rate as a share of the engines' capacity.
 FleetSpec ManyEntries(std::uint64_t seed, double load) {
   FleetSpec spec;
   spec.engine_.slots_ = 12;
@@ -24,75 +25,76 @@
   spec.engines_ = 45;
   spec.entries_ = 40;
   spec.domains_ = 3;
-  spec.engine_queue_ = 24;
-  spec.kinds_ = {{"summary", 158, 1290, 107, 0.9, 500ms, 6s},
-                 {"advice", 201, 787, 107, 0.8, 400ms, 6s},
-                 {"question", 113, 607, 70, 0.9, 400ms, 6s}};
+  spec.engine_queue_limit_ = 24;
+  spec.classes_ = {{"summary", 158, 1290, 107, 0.9, 500ms, 6s},
+                   {"advice", 201, 787, 107, 0.8, 400ms, 6s},
+                   {"question", 113, 607, 70, 0.9, 400ms, 6s}};
   spec.seed_ = seed;
-  double asked = 0;
-  for (const auto& kind : spec.kinds_) {
-    asked += kind.requests_per_second_;
+  double requests = 0;
+  for (const auto& request_class : spec.classes_) {
+    requests += request_class.requests_per_second_;
   }
-  const auto factor = load * Capacity(spec) / asked;
-  for (auto& kind : spec.kinds_) {
-    kind.requests_per_second_ *= factor;
+  const auto factor = load * MaxRequestRate(spec) / requests;
+  for (auto& request_class : spec.classes_) {
+    request_class.requests_per_second_ *= factor;
   }
   return spec;
 }
 
-Second Sum(const std::vector<Second>& seconds, std::size_t from,
-           std::size_t to) {
-  Second sum;
+SecondStats Sum(const std::vector<SecondStats>& seconds, std::size_t from,
+                std::size_t to) {
+  SecondStats sum;
   for (auto second = from; second < to; ++second) {
-    sum.asked_ += seconds[second].asked_;
-    sum.in_target_ += seconds[second].in_target_;
+    sum.requests_ += seconds[second].requests_;
+    sum.within_target_ += seconds[second].within_target_;
     sum.late_ += seconds[second].late_;
-    sum.refused_ += seconds[second].refused_;
-    sum.rejected_first_ += seconds[second].rejected_first_;
+    sum.failed_ += seconds[second].failed_;
+    sum.first_attempts_refused_ += seconds[second].first_attempts_refused_;
   }
   return sum;
 }
 
-double Share(std::uint32_t part, const Second& sum) {
-  return static_cast<double>(part) / sum.asked_;
+double Share(std::uint32_t part, const SecondStats& sum) {
+  return static_cast<double>(part) / sum.requests_;
 }
 
 TEST_CASE("entries that see the same free slot do not all take it",
           "[emulator]") {
   const auto seed = GENERATE(1U, 2U, 3U);
-  const auto sum = Sum(Play(ManyEntries(seed, 0.8)), 4, 18);
-  const auto in_target = Share(sum.in_target_, sum);
-  std::cout << "figure in_target_calm " << in_target << "\n";
-  CHECK(in_target > 0.97);
-  CHECK(sum.refused_ == 0);
+  const auto sum = Sum(Simulate(ManyEntries(seed, 0.8)), 4, 18);
+  const auto within_target = Share(sum.within_target_, sum);
+  std::cout << "figure in_target_calm " << within_target << "\n";
+  CHECK(within_target > 0.97);
+  CHECK(sum.failed_ == 0);
 }
 
-TEST_CASE("callers who give times from a range are served as the others",
+TEST_CASE("varying time budgets do not lower the share within the target",
           "[emulator]") {
   const auto seed = GENERATE(1U, 2U, 3U);
   auto spec = ManyEntries(seed, 0.9);
-  const auto one_time = Sum(Play(spec), 4, 18);
-  for (auto& kind : spec.kinds_) {
-    kind.budget_spread_ = 0.15;
+  const auto fixed_budget = Sum(Simulate(spec), 4, 18);
+  for (auto& request_class : spec.classes_) {
+    request_class.time_budget_spread_ = 0.15;
   }
-  const auto range = Sum(Play(spec), 4, 18);
+  const auto varied_budget = Sum(Simulate(spec), 4, 18);
   std::cout << "figure in_target_with_times_from_a_range "
-            << Share(range.in_target_, range) << ", with one time "
-            << Share(one_time.in_target_, one_time) << "\n";
-  CHECK(Share(range.in_target_, range) >
-        Share(one_time.in_target_, one_time) - 0.02);
-  CHECK(Share(range.rejected_first_, range) <= 0.005);
+            << Share(varied_budget.within_target_, varied_budget)
+            << ", with one time "
+            << Share(fixed_budget.within_target_, fixed_budget) << "\n";
+  CHECK(Share(varied_budget.within_target_, varied_budget) >
+        Share(fixed_budget.within_target_, fixed_budget) - 0.02);
+  CHECK(Share(varied_budget.first_attempts_refused_, varied_budget) <= 0.005);
 }
 
-TEST_CASE("two seconds after an overload callers are in time again",
+TEST_CASE("requests meet their targets again two seconds after an overload",
           "[emulator]") {
   const auto seed = GENERATE(1U, 2U, 3U);
   auto spec = ManyEntries(seed, 0.8);
   spec.load_steps_ = {{5s, 1.8}, {10s, 1}};
-  const auto after = Sum(Play(spec), 12, 15);
-  const auto in_target = Share(after.in_target_, after);
-  std::cout << "figure in_target_after_overload " << in_target << "\n";
-  CHECK(in_target > 0.9);
+  const auto after = Sum(Simulate(spec), 12, 15);
+  const auto within_target = Share(after.within_target_, after);
+  std::cout << "figure in_target_after_overload " << within_target << "\n";
+  CHECK(within_target > 0.9);
 }
 
 }  // namespace
