--- a/packages/chalkwell/src/chalkwell/config/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/config/fwd.hpp
@@ -7,7 +7,6 @@
 
 struct Document;
 struct DocumentVersion;
-struct Fleet;
 struct Instance;
 struct ClientAccount;
 struct Route;
