--- a/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
@@ -117,7 +117,7 @@
   void Expire(core::TimePoint now);
 
   /// @brief Another entry has a trial of a suspected request in flight,
-  /// until this time at max_count; the clock's epoch when it has ended.
+  /// until this time at most; the clock's epoch when it has ended.
   void SetTrialUntil(const RequestDigest& request, core::TimePoint until);
   [[nodiscard]] bool TrialActive(const RequestDigest& request,
                                  core::TimePoint now) const;
@@ -174,7 +174,7 @@
 
   QuarantineSettings settings_;
   std::map<RequestDigest, Row> table_;
-  /// Time of the last completed run by request; at max_count max_completions_.
+  /// Time of the last completed run by request; at most max_completions_.
   std::map<RequestDigest, core::TimePoint> completions_;
   /// Completions ordered by time; one that was superseded in `completions_`
   /// stays until it expires.
--- a/packages/chalkwell/src/chalkwell/routing/request_tracker.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_tracker.hpp
@@ -31,9 +31,9 @@
 enum class AttemptEnd : std::uint8_t {
   /// The request was not sent.
   kNeverSent,
-  /// The agent refused it before forwarding it to the back end.
+  /// The agent refused it before forwarding it to the backend.
   kRefusedNotRun,
-  /// The back end executed it and failed.
+  /// The backend executed it and failed.
   kFailedRan,
   /// The stream ended without a reply: it may have been executed.
   kLost,
@@ -119,7 +119,7 @@
   /// @param endpoint none if no endpoint can accept the request.
   [[nodiscard]] RequestActions OnChosen(
       const std::optional<core::InstanceId>& endpoint, core::TimePoint now);
-  /// @brief The back end has begun its response.
+  /// @brief The backend has begun its response.
   /// @param weights_match whether it uses the weights pinned for the attempt;
   /// if not, no byte of it may be forwarded.
   [[nodiscard]] RequestActions OnResponseStarted(AttemptNumber attempt,
--- a/packages/chalkwell/src/chalkwell/routing/slot_queue.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/slot_queue.hpp
@@ -1,5 +1,5 @@
 // Slots of one endpoint, shared by the entries that send to it: a short queue
-// in front of the back end that is served round robin over entries.
+// in front of the backend that is served round robin over entries.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 /// @brief Limits of an endpoint's queue.
 struct SlotLimits {
-  /// Concurrent runs at the back end.
+  /// Concurrent runs at the backend.
   std::size_t capacity_ = 32;
   /// Runs that may wait for a slot, over all senders.
   std::size_t max_waiting_ = 32;
