--- a/packages/chalkwell/src/chalkwell/membership/gossip_table.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/gossip_table.cpp
@@ -167,6 +167,7 @@
 std::vector<Member> GossipTable::Sample(std::size_t limit,
                                         const core::FailureDomainId& domain) {
   struct Candidate {
+    /// The receiver is remote and the member is not in the receiver's domain.
     bool other_domain_;
     unsigned times_sent_;
     std::uint64_t tie_breaker_;
@@ -213,7 +214,7 @@
       targets.push_back(member);
     }
   }
-  // The only member of a failure domain is its delegate.
+  // IsDelegate() also holds if no other local member is known.
   if (!IsDelegate()) {
     return targets;
   }
--- a/packages/chalkwell/src/chalkwell/membership/gossip_table.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/gossip_table.hpp
@@ -24,7 +24,7 @@
 /// @brief One incarnation of a process.
 struct Member {
   core::InstanceId id_;
-  /// Random, chosen at each start.
+  /// Random, chosen at each start; incarnations are not ordered.
   std::uint64_t incarnation_ = 0;
   MemberKind kind_ = MemberKind::kEntry;
   core::FailureDomainId domain_;
@@ -54,7 +54,14 @@
 };
 
 /// @brief Outcome of merging a received row.
-enum class MergeOutcome : std::uint8_t { kUnchanged, kUpdated, kJoined };
+enum class MergeOutcome : std::uint8_t {
+  /// The row is this member's own or not newer, or it was not added: its member
+  /// is leaving, or ranks behind the rows kept of its remote failure domain.
+  kUnchanged,
+  kUpdated,
+  /// The row was added, or its member is live again after it was lost.
+  kJoined
+};
 
 /// @brief Membership as known to one process.
 class GossipTable {
@@ -68,7 +75,8 @@
   /// @brief Merges a row received from any member.
   MergeOutcome Merge(const Member& member, core::TimePoint now);
   /// @brief Marks members past their lease as lost and drops old tombstones.
-  /// @return the members lost since the last call.
+  /// @return the members newly past their lease; members that announced that
+  /// they are leaving are not included.
   std::vector<Member> Expire(core::TimePoint now);
 
   /// @brief Members whose heartbeat counter did not rise for half of the lease,
@@ -76,24 +84,28 @@
   /// @param limit largest number returned; each of them costs a probe.
   [[nodiscard]] std::vector<Member> Unresponsive(std::size_t limit,
                                                  core::TimePoint now) const;
-  /// @brief Live members without this one, at most one row per address.
+  /// @brief Live members without this one; of several rows with one address,
+  /// the one whose heartbeat counter rose last.
   [[nodiscard]] std::vector<Member> Live() const;
   /// @brief Live members of the local failure domain, without this one.
   [[nodiscard]] std::vector<Member> LocalMembers() const;
   /// @brief Number of live members of the whole deployment, including this one;
-  /// for remote failure domains, the number that their members report.
+  /// for each remote failure domain the largest number that a known member of
+  /// it reports, but at least the number of its known members.
   [[nodiscard]] std::size_t DeploymentSize() const;
   /// @brief Whether this member is a delegate, which forwards changes between
   /// failure domains.
   [[nodiscard]] bool IsDelegate() const;
-  /// @brief The own row and some others, the least often sent first. For a
-  /// receiver in a remote failure domain, rows of its domain precede all
-  /// others, and of the local domain only those with the lowest ranks are
-  /// included.
+  /// @brief The own row and at most `limit` others, those sent least often
+  /// first. For a receiver in a remote failure domain, rows of its domain
+  /// precede all others, and of the local domain only those with the lowest
+  /// ranks are included.
+  /// @param domain failure domain of the receiver.
   [[nodiscard]] std::vector<Member> Sample(std::size_t limit,
                                            const core::FailureDomainId& domain);
   /// @brief Receivers of the next gossip round: random members of the local
   /// failure domain and, on delegates, one member of each remote domain.
+  /// @param limit largest number of local receivers.
   [[nodiscard]] std::vector<Member> GossipTargets(std::size_t limit);
 
  private:
@@ -113,7 +125,7 @@
   };
 
   /// @brief Makes room for a row of a remote failure domain, if necessary by
-  /// removing one of a higher rank.
+  /// removing the last row of that domain in the priority order.
   /// @return whether there is room.
   bool MakeRoom(const Member& member);
   void Shuffle(std::vector<Member>& members);
--- a/packages/chalkwell/src/chalkwell/membership/graceful_shutdown.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/graceful_shutdown.hpp
@@ -13,7 +13,9 @@
 /// @brief Faults that tests inject to show that their checks detect them.
 struct ShutdownFaults {
   bool accept_while_draining_ = false;
+  /// MayExit() ignores pending work.
   bool exit_with_pending_work_ = false;
+  /// Begin() forgets the pending work.
   bool drop_work_on_shutdown_ = false;
 };
 
@@ -31,6 +33,8 @@
     return !draining() || faults_.accept_while_draining_;
   }
   [[nodiscard]] std::size_t pending() const noexcept { return pending_; }
+  /// @brief Whether shutdown has begun and either no work is pending or the
+  /// limit has passed.
   [[nodiscard]] bool MayExit(core::TimePoint now) const noexcept;
 
   void Begin(core::TimePoint now) noexcept;
--- a/packages/chalkwell/src/chalkwell/membership/message_order.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/message_order.hpp
@@ -12,7 +12,8 @@
  public:
   /// @brief Records a received message.
   /// @param sent time by the sender's steady clock, which restarts when its
-  /// machine boots.
+  /// machine boots: a time far below the newest one is taken for a reboot and
+  /// is not late.
   /// @return whether a message sent later was received before.
   bool CheckLate(std::chrono::milliseconds sent);
 
--- a/packages/chalkwell/src/chalkwell/membership/path_delay.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/path_delay.hpp
@@ -1,6 +1,6 @@
 // One-way delay without synchronized clocks: the clocks of two machines differ
-// by a constant offset, so what exceeds the minimum difference is queueing
-// delay.
+// by an offset that is nearly constant for minutes, so what exceeds the minimum
+// difference is queueing delay.
 #pragma once
 
 #include <deque>
@@ -20,8 +20,9 @@
 
  private:
   /// Minimum difference of the two clocks in the current and in the previous
-  /// period; it includes the minimum one-way delay. Older minima do not count,
-  /// because steady clocks of two machines drift apart by seconds within days.
+  /// period of five minutes; it includes the minimum one-way delay. Older
+  /// minima do not count, because steady clocks of two machines drift apart by
+  /// seconds within days.
   std::optional<core::Duration> min_;
   std::optional<core::Duration> previous_min_;
   core::TimePoint period_start_;
@@ -35,9 +36,9 @@
   /// @brief Records a message from any sender.
   /// @param delay its one-way delay in excess of the minimum of its path.
   void OnMessage(core::Duration delay, core::TimePoint now);
-  /// @brief Minimum delay of the last messages: within a quarter of a second if
-  /// several were received in it, else within a second, else of the last
-  /// message if it is a few seconds old at most. Zero if there is none.
+  /// @brief Minimum delay of the messages of the last 250 ms. With fewer than
+  /// three of them, the minimum of the last second; with none in the last
+  /// second, the delay of the last message. Zero if that is older than 3 s.
   [[nodiscard]] core::Duration At(core::TimePoint now) const;
 
  private:
--- a/packages/chalkwell/src/chalkwell/membership/propagation_plan.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/propagation_plan.cpp
@@ -36,16 +36,16 @@
 }
 
 std::vector<Member> PropagationPlan::AnnounceTargets(
-    DelegateFanout reach) const {
+    DelegateFanout fanout) const {
   auto targets = RemoteDelegates(
-      reach == DelegateFanout::kTwoDelegates ? kWatchersPerDomain : 1);
+      fanout == DelegateFanout::kTwoDelegates ? kWatchersPerDomain : 1);
   targets.insert(targets.end(), local_.begin(), local_.end());
   return targets;
 }
 
 std::vector<Member> PropagationPlan::ForwardTargets(
-    const core::FailureDomainId& from) const {
-  if (from == self_.domain_) {
+    const core::FailureDomainId& sender_domain) const {
+  if (sender_domain == self_.domain_) {
     return {};
   }
   const auto own_score = Score(self_);
--- a/packages/chalkwell/src/chalkwell/membership/propagation_plan.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/propagation_plan.hpp
@@ -1,9 +1,8 @@
 // Receivers of a change of any kind: rules, weights, draining endpoints. The
 // process that learns of a change first sends it to its whole failure domain
 // and to the delegates of each remote domain; a delegate forwards what came
-// from a remote domain within its own. What one process sends is bounded by the
-// size of a failure domain, and a change crosses from one domain to another
-// twice, independent of their sizes.
+// from a remote domain within its own. One process sends to its own domain and
+// to at most two members of each remote one, whatever their sizes.
 #pragma once
 
 #include <cstdint>
@@ -29,16 +28,18 @@
   PropagationPlan(Member self, std::vector<Member> live);
 
   /// @brief Receivers of a change that this process learned of first.
-  [[nodiscard]] std::vector<Member> AnnounceTargets(DelegateFanout reach) const;
+  [[nodiscard]] std::vector<Member> AnnounceTargets(
+      DelegateFanout fanout) const;
   /// @brief Receivers of a change that came from a member of a failure domain:
   /// only delegates forward, and only what comes from a remote domain.
+  /// @param sender_domain domain of the member that sent it to this process.
   [[nodiscard]] std::vector<Member> ForwardTargets(
-      const core::FailureDomainId& from) const;
+      const core::FailureDomainId& sender_domain) const;
   /// @brief Live members of the local failure domain.
   [[nodiscard]] const std::vector<Member>& local_members() const noexcept {
     return local_;
   }
-  /// @brief The first members in rank of each remote failure domain.
+  /// @brief The first members in priority order of each remote failure domain.
   [[nodiscard]] std::vector<Member> RemoteDelegates(
       std::size_t per_domain) const;
 
--- a/packages/chalkwell/src/chalkwell/membership/reader_role.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/reader_role.hpp
@@ -18,8 +18,9 @@
   /// Read interval of the designated reader.
   core::Duration reader_interval_ = std::chrono::milliseconds(600);
   /// Read interval of the other members while they receive announcements. The
-  /// next announcement reveals a missed one, so these reads only guard against
-  /// errors. For 149 members they are 1.2 calls per second; 20 s made it 7.5.
+  /// next announcement makes up for a missed one, so these reads only guard
+  /// against errors. 149 members make 1.2 such calls per second; with an
+  /// interval of 20 s they would make 7.5.
   core::Duration standby_interval_ = std::chrono::seconds(120);
   /// Without an announced read for this long, the next member in rank takes
   /// over. One and a half read intervals, since datagrams may be lost.
@@ -28,13 +29,13 @@
   /// per preceding failure domain before the first member of a domain reads.
   core::Duration rank_delay_ = std::chrono::milliseconds(150);
   /// Additional delay per rank while the reads of other members fail. The store
-  /// may refuse those and serve this member, but when it is unreachable for
-  /// all, further readers only add failing calls: after 8 s some 7 members of a
-  /// failure domain read, not all.
+  /// may refuse the other members and serve this one, but when it is
+  /// unreachable for all, further readers only add failing calls: after 8 s
+  /// some 7 members of a failure domain read, not all.
   core::Duration failed_read_rank_delay_ = std::chrono::milliseconds(1200);
-  /// A member whose snapshot is older reads the list itself, whatever its rank,
-  /// unless the store is known to be unreachable: the list shows which
-  /// endpoints are draining.
+  /// A member for which the newest announced read is older reads the list
+  /// itself, whatever its rank, unless the store is known to be unreachable:
+  /// the list shows which endpoints are draining.
   core::Duration max_age_ = std::chrono::milliseconds(1200);
 };
 
@@ -44,7 +45,7 @@
   ReaderRole(core::InstanceId self, ReaderRoleSettings settings);
 
   /// @brief Sets the members of the local failure domain that need the list,
-  /// including this one; rank 0 is the reader of the domain.
+  /// including this one. The first in rank reads for the domain.
   void SetMembers(std::span<const core::InstanceId> members);
   /// @param ahead number of failure domains whose readers precede this one's.
   void SetDomainsAhead(std::size_t ahead) noexcept { domains_ahead_ = ahead; }
@@ -63,8 +64,10 @@
   }
   /// @brief Another member of the local failure domain announced a failed read.
   void OnPeerReadFailed(core::TimePoint now) noexcept;
-  /// @brief Whether this member reads for the others: it is the first in rank,
-  /// or announcements of reads have ceased.
+  /// @brief Whether this member reads for the others: it is the first in rank
+  /// or received no announced read yet (when it knows no other member, only
+  /// after the discovery time), or announcements have ceased, or the reads of
+  /// others keep failing, or the newest announced read is too old.
   [[nodiscard]] bool IsReader(core::TimePoint now) const noexcept;
   /// @brief Whether a snapshot is too old to be used and the store is not known
   /// to be unreachable.
@@ -81,8 +84,8 @@
   std::size_t rank_ = 0;
   /// Whether no other member of the local failure domain is known.
   bool alone_ = true;
-  /// After its first read a member that knows no other waits until then to
-  /// discover some: after a power failure all members start at the same time.
+  /// Until when a member that knows no other one waits for others after its
+  /// first read: after a power failure all members start at the same time.
   std::optional<core::TimePoint> discovery_until_;
   std::size_t domains_ahead_ = 0;
   /// Last own read attempt.
--- a/packages/chalkwell/src/chalkwell/membership/report_subscribers.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/report_subscribers.hpp
@@ -18,18 +18,19 @@
   /// A subscription that is not renewed for this long expires: three times the
   /// longest renewal interval.
   core::Duration lease_ = std::chrono::milliseconds(8000);
-  /// Between two changed reports to one subscriber. A request takes about a
-  /// second, and an entry that chooses by older load figures picks an endpoint
-  /// that others have picked as well.
+  /// Minimum time between two changed reports to one subscriber. A request
+  /// takes about a second, and an entry that chooses by older load figures
+  /// picks an endpoint that others have picked as well.
   core::Duration change_interval_ = std::chrono::milliseconds(105);
-  /// Between two unchanged reports; well below the time after which an
-  /// unresponsive endpoint gets no requests.
+  /// Time between two unchanged reports to one subscriber; well below the time
+  /// after which an unresponsive endpoint gets no requests.
   core::Duration keepalive_interval_ = std::chrono::milliseconds(500);
-  /// Reports per second to all subscribers together, some 7 KB. Subscribers of
-  /// the local failure domain are served first; remote ones, which send few
-  /// requests here, share the rest.
+  /// Reports per second to all subscribers together, some 7 KB per second.
+  /// Subscribers of the local failure domain are served first; remote ones,
+  /// which send few requests here, share the rest.
   double max_reports_per_second_ = 100;
-  /// Between two full reports, which are some 12 bytes larger.
+  /// A report is a full one, some 12 bytes larger, if the last full one to the
+  /// subscriber is at least this old.
   core::Duration full_interval_ = std::chrono::milliseconds(1000);
   /// Upper limit of an interval that is stretched to keep the budget.
   core::Duration max_change_interval_ = std::chrono::milliseconds(400);
--- a/packages/chalkwell/src/chalkwell/membership/role_assignment.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/role_assignment.hpp
@@ -30,7 +30,8 @@
                                  std::string_view item,
                                  std::span<const core::InstanceId> members);
 
-/// @brief The first `count` members in the priority order of an item.
+/// @brief The first `count` members in the priority order of an item, rank 0
+/// first.
 [[nodiscard]] std::vector<core::InstanceId> HighestRanked(
     std::string_view item, std::span<const core::InstanceId> members,
     std::size_t count);
--- a/packages/chalkwell/src/chalkwell/membership/roster.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/roster.hpp
@@ -17,8 +17,8 @@
 
 /// @brief State that an agent reports on its stream.
 struct EndpointReport {
-  /// Of the agent; a lower one than that received last is of a replaced
-  /// process.
+  /// Incarnation of the agent process; a report with a lower one than the last
+  /// comes from a replaced process.
   std::uint64_t incarnation_ = 0;
   bool ready_ = false;
   bool leaving_ = false;
@@ -27,6 +27,7 @@
   std::uint64_t bundle_version_ = 0;
   /// Requests in flight, from all entries.
   std::uint64_t load_ = 0;
+  /// Number of requests that it can run at once.
   std::uint64_t capacity_ = 1;
   /// Entries that recently sent requests to it, as counted by the endpoint.
   std::uint64_t sharers_ = 1;
@@ -38,6 +39,7 @@
   /// Absent until the agent has reported on a stream.
   std::optional<EndpointReport> report_;
   bool connected_ = false;
+  /// When the last report arrived or the stream was opened.
   core::TimePoint last_received_;
   /// Time of the oldest probe since the last message from the endpoint.
   std::optional<core::TimePoint> probed_at_;
@@ -45,7 +47,8 @@
   core::TimePoint ready_since_;
   /// Requests of this entry in flight there.
   std::uint64_t in_flight_ = 0;
-  /// Consecutive failures; reset by a success.
+  /// Consecutive failures; reset by a success. After the circuit breaker
+  /// opened, one more failure opens it again.
   unsigned failures_ = 0;
   /// Exponentially smoothed failure rate of the requests of this entry.
   double failure_rate_ = 0;
@@ -110,7 +113,8 @@
   void OnDisconnected(const core::InstanceId& id);
   /// @brief A probe was sent to the endpoint.
   void OnProbed(const core::InstanceId& id, core::TimePoint now);
-  /// @brief A message was received from the endpoint after a probe.
+  /// @brief A message was received from the endpoint: no probe is unanswered.
+  /// Does not renew the lease; OnReport() does.
   void OnReceived(const core::InstanceId& id);
   /// @return false if the endpoint is not listed or the report is of a replaced
   /// process.
--- a/packages/chalkwell/src/chalkwell/membership/store_outage.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/store_outage.hpp
@@ -10,8 +10,8 @@
 namespace chalkwell::membership {
 
 struct StoreOutageSettings {
-  /// Interval at which holders renew a lease, a third of the lease: no shorter
-  /// outage lets one expire.
+  /// Interval at which holders renew a lease, a third of the lease: a shorter
+  /// outage lets no lease expire.
   core::Duration renewal_interval_ = std::chrono::milliseconds(1200);
   /// Endpoints whose leases expired are listed again within this time after the
   /// end of the outage.
--- a/packages/chalkwell/src/chalkwell/membership/watcher_role.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/watcher_role.hpp
@@ -1,8 +1,8 @@
 // Selects the watchers of a published document: two members of each failure
-// domain receive it from the configuration store and forward it. For a large
-// document it is one, since the machines of a region share one link to the
-// store. The load on the store grows with the number of failure domains, not
-// with that of members.
+// domain, or one if the document exceeds half of `max_bytes_per_domain_`,
+// receive it from the configuration store and forward it. The machines of a
+// region share one link to the store. The load on the store grows with the
+// number of failure domains, not with that of members.
 #pragma once
 
 #include <cstddef>
@@ -27,10 +27,11 @@
   /// A first read that takes this long is taken for that of a large document; a
   /// small one completes within a round trip.
   core::Duration small_read_limit_ = std::chrono::milliseconds(150);
-  /// Between two announcements of a watcher of a large document.
+  /// Time between two announcements of a watcher of a large document.
   core::Duration announce_interval_ = std::chrono::milliseconds(700);
   /// Without an announcement by a member ahead in rank for this long, a member
-  /// watches too. Two announcement intervals, since datagrams may be lost.
+  /// watches too. A little more than two announcement intervals, since
+  /// datagrams may be lost.
   core::Duration takeover_timeout_ = std::chrono::milliseconds(1500);
   /// Additional takeover delay per rank.
   core::Duration rank_delay_ = std::chrono::milliseconds(400);
