--- a/packages/chalkwell/src/chalkwell/rollout/activation.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/activation.cpp
@@ -17,8 +17,8 @@
 /// A claim must exceed every order that the previous process may still have in
 /// flight, whatever its tie breaker.
 constexpr std::uint64_t kClaimStep = 2;
-/// Leases that a process waits before it reclaims an engine: at first, and at
-/// most, after repeated replacements within that time.
+/// Leases that a process waits before it reclaims an engine. The wait doubles,
+/// up to the maximum, with each replacement that comes within it.
 constexpr int kReclaimLeases = 4;
 constexpr int kMaxReclaimLeases = 8;
 
@@ -48,7 +48,7 @@
          (settings_.tie_breaker_ & kTieBreakerMask);
 }
 
-bool Activation::PredecessorsDone(core::TimePoint now) const noexcept {
+bool Activation::PredecessorsExpired(core::TimePoint now) const noexcept {
   if (has_ordered_ || faults_.skip_claim_) {
     return true;
   }
@@ -250,7 +250,7 @@
   const bool staging_confirmed =
       queried_at_ >= staged_at_ || faults_.keep_staged_over_restart_;
   if (phase_ == Phase::kDraining && lease_valid && staging_confirmed &&
-      PredecessorsDone(now)) {
+      PredecessorsExpired(now)) {
     AppendOrder(actions);
   }
   return actions;
--- a/packages/chalkwell/src/chalkwell/rollout/activation.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/activation.hpp
@@ -42,7 +42,7 @@
 enum class Phase : std::uint8_t {
   /// The engine's state is unknown; no orders or requests are sent to it.
   kQuerying,
-  /// A claim was sent; left only when the engine reports its state.
+  /// A claim was sent; left when the engine reports its state or is lost.
   kClaiming,
   /// The claim is confirmed; waits for the leases of earlier processes to
   /// expire.
@@ -52,18 +52,20 @@
   kFetching,
   kWaitingForSlot,
   kDraining,
+  /// An order was sent; left when it is answered or the engine is lost.
   kAwaitingReply,
-  /// An order was answered; left only when the engine reports its state.
+  /// An order was answered; left when the engine reports its state or is lost.
   kConfirming,
   /// Another process claimed the engine with a higher fencing number. This
-  /// process stays idle unless the published list still contains it.
+  /// process stays idle; if the published list contains it, it reclaims the
+  /// engine after several leases.
   kReplaced,
 };
 
 /// @brief Query the engine for its state.
 struct QueryEngine {};
-/// @brief Order the engine to keep its role under a new fencing number, so that
-/// an earlier process of this endpoint detects that it was replaced.
+/// @brief Order the engine to keep its version under a new fencing number, so
+/// that an earlier process of this endpoint detects that it was replaced.
 struct SendClaim {
   std::uint64_t fence_ = 0;
 };
@@ -71,7 +73,7 @@
 struct FetchWeights {
   Target target_;
 };
-/// @brief Abandon a fetch; chunks that the new target shares are kept.
+/// @brief Abandon a fetch; chunks that a later fetch needs too are kept.
 struct AbandonFetch {
   core::Digest manifest_;
 };
@@ -97,18 +99,22 @@
 /// @brief Faults that tests inject to show that their checks detect them.
 struct ActivationFaults {
   bool announce_before_confirmation_ = false;
+  /// Orders carry fencing number 0.
   bool drop_fence_ = false;
+  /// Switches to any target that differs from the engine's version.
   bool order_older_ = false;
   bool order_while_serving_ = false;
   bool keep_state_after_pause_ = false;
   bool skip_claim_ = false;
   bool never_reclaim_ = false;
+  /// A fetch is not abandoned when the engine is lost or replaced.
   bool keep_staged_over_restart_ = false;
 };
 
 /// @brief Settings of the state machine of one agent process.
 struct ActivationSettings {
-  /// How long a reported engine state is valid.
+  /// How long a reported engine state is valid after its query was sent; the
+  /// waits for earlier processes are multiples of it.
   core::Duration lease_ = std::chrono::seconds(1);
   /// Distinguishes the fencing numbers of processes; 24 random bits.
   std::uint64_t tie_breaker_ = 0;
@@ -133,7 +139,8 @@
   [[nodiscard]] Phase phase() const noexcept { return phase_; }
   /// @brief Whether requests may be forwarded to the engine.
   [[nodiscard]] bool accepting(core::TimePoint now) const noexcept;
-  /// @brief The last reported engine state, if it is still valid.
+  /// @brief The last reported engine state, also past its lease; empty while
+  /// unknown.
   [[nodiscard]] const std::optional<EngineState>& engine() const noexcept {
     return engine_;
   }
@@ -156,19 +163,22 @@
   /// @brief The weights are complete, verified and staged at the engine.
   [[nodiscard]] Actions OnStaged(const core::Digest& manifest,
                                  core::TimePoint now);
-  /// @brief This endpoint's rollout slot has come.
+  /// @brief This endpoint obtained a rollout slot.
   [[nodiscard]] Actions OnRolloutSlot();
   /// @brief This process has no running requests at the engine. To be called
   /// repeatedly while draining: the order may have to wait.
   [[nodiscard]] Actions OnDrained(core::TimePoint now);
-  /// @brief The engine replied to a claim or order, with success or failure.
+  /// @brief The engine replied to a claim or order, with success or failure:
+  /// the engine's state, queried next, decides.
   [[nodiscard]] Actions OnOrderAnswered(core::TimePoint now);
   /// @brief The process was suspended for longer than its lease.
   [[nodiscard]] Actions OnPause(core::TimePoint now);
 
  private:
   [[nodiscard]] bool NeedsSwitch() const noexcept;
-  [[nodiscard]] bool PredecessorsDone(core::TimePoint now) const noexcept;
+  /// @brief Whether no earlier process forwards requests any more and the
+  /// engine is idle.
+  [[nodiscard]] bool PredecessorsExpired(core::TimePoint now) const noexcept;
   [[nodiscard]] std::uint64_t NextFence(std::uint64_t step) const noexcept;
   /// @return whether this process holds the engine.
   [[nodiscard]] bool CheckOwnership(const EngineState& state,
@@ -210,7 +220,8 @@
   core::TimePoint staged_at_;
   /// When the query was sent that `engine_` is the reply to.
   core::TimePoint queried_at_;
-  /// True only while the reported state is valid and no order is outstanding.
+  /// Whether the last announcement was ready; accepting() also checks the
+  /// lease.
   bool accepting_ = false;
   /// Whether an order of this process was answered since it claimed the engine.
   bool has_ordered_ = false;
--- a/packages/chalkwell/src/chalkwell/rollout/rollout_slots.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/rollout_slots.cpp
@@ -10,10 +10,10 @@
 namespace chalkwell::rollout {
 
 RolloutSlots::RolloutSlots(core::InstanceId self, double max_unavailable_share,
-                           core::Duration lease)
+                           core::Duration progress_timeout)
     : self_(std::move(self)),
       max_unavailable_share_(max_unavailable_share),
-      lease_(lease) {}
+      progress_timeout_(progress_timeout) {}
 
 void RolloutSlots::SetMembers(std::set<core::InstanceId> members) {
   members_ = std::move(members);
@@ -49,9 +49,9 @@
 }
 
 bool RolloutSlots::MayDrain(core::TimePoint now) const {
-  const auto expired_leases =
-      static_cast<std::size_t>((now - last_progress_) / lease_);
-  return PendingAhead() < max_unavailable() * (1 + expired_leases);
+  const auto expired_timeouts =
+      static_cast<std::size_t>((now - last_progress_) / progress_timeout_);
+  return PendingAhead() < max_unavailable() * (1 + expired_timeouts);
 }
 
 }  // namespace chalkwell::rollout
--- a/packages/chalkwell/src/chalkwell/rollout/rollout_slots.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/rollout_slots.hpp
@@ -20,10 +20,11 @@
  public:
   /// @param max_unavailable_share share of the members that may be unavailable
   /// at once, 0 to 1.
-  /// @param lease time without progress after which the next members may
-  /// overtake those ahead of them.
+  /// @param progress_timeout time without a member newly serving the version
+  /// after which, each time, as many members again as `max_unavailable()` may
+  /// drain, although those ahead of them have not switched.
   RolloutSlots(core::InstanceId self, double max_unavailable_share,
-               core::Duration lease);
+               core::Duration progress_timeout);
 
   /// @brief Sets the members of the role and domain, including this one.
   void SetMembers(std::set<core::InstanceId> members);
@@ -43,7 +44,7 @@
 
   core::InstanceId self_;
   double max_unavailable_share_;
-  core::Duration lease_;
+  core::Duration progress_timeout_;
   std::set<core::InstanceId> members_;
   std::uint64_t version_ = 0;
   /// Members that serve `version_` or a newer one.
--- a/packages/chalkwell/src/chalkwell/rollout/version_bound.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/version_bound.hpp
@@ -1,5 +1,5 @@
-// Until when older weights may be used: each published version expires all
-// earlier ones at a fixed time after its own publication, regardless of later
+// Until when older weights may be used: a published version ends the use of all
+// earlier ones a fixed time after this process received it, regardless of later
 // publications.
 #pragma once
 
@@ -22,16 +22,17 @@
     return published_.empty() ? 0 : published_.back().version_;
   }
   /// @brief Minimum version that a request may start on; 0 for any.
-  /// @param bound time after the publication of a version from which it is the
-  /// minimum.
+  /// @param bound time after this process received a version from which it is
+  /// the minimum.
   [[nodiscard]] std::uint64_t MinVersion(core::Duration bound,
                                          core::TimePoint now) const noexcept;
-  /// @brief When a version may no longer be used; empty while it is the newest.
+  /// @brief When a version may no longer be used; empty if no newer one is
+  /// known.
   [[nodiscard]] std::optional<core::TimePoint> ExpiryOf(
       std::uint64_t version, core::Duration bound) const noexcept;
   /// @brief The minimum version now, and the next one with its time.
-  /// @param margin time before the bound from which older versions are no
-  /// longer used anywhere.
+  /// @param margin how much earlier than `bound` this process stops starting
+  /// requests on older versions.
   [[nodiscard]] routing::VersionConstraint ConstraintAt(
       core::Duration bound, core::Duration margin,
       core::TimePoint now) const noexcept;
