--- a/packages/chalkwell/src/chalkwell/config/accepted_documents.cpp
+++ b/packages/chalkwell/src/chalkwell/config/accepted_documents.cpp
@@ -1,4 +1,5 @@
-// Validates received documents and replaces an accepted one only by a newer.
+// Validates received documents; an accepted one is replaced only by a newer
+// one.
 #include "chalkwell/config/accepted_documents.hpp"
 
 #include <algorithm>
--- a/packages/chalkwell/src/chalkwell/config/accepted_documents.hpp
+++ b/packages/chalkwell/src/chalkwell/config/accepted_documents.hpp
@@ -65,6 +65,7 @@
   /// Different content of the accepted version; lost the tie-break.
   kConflict,
   kMalformed,
+  /// Signed with a key that is not trusted.
   kUnknownKey,
   kWrongSignature,
 };
@@ -72,7 +73,7 @@
 [[nodiscard]] bool IsAccepted(Verdict verdict) noexcept;
 [[nodiscard]] std::string_view ToString(Verdict verdict) noexcept;
 
-/// @brief Verdict and a message for the log.
+/// @brief Verdict on a document and a message for the log.
 struct Acceptance {
   Verdict verdict_ = Verdict::kMalformed;
   std::string reason_;
@@ -87,8 +88,8 @@
 
 /// @brief The accepted documents of one process.
 ///
-/// The stamp of a key only increases, also for documents from the configuration
-/// store: the store itself may return stale data.
+/// The version of a document key (its stamp) only increases, also for documents
+/// from the configuration store: the store itself may return stale data.
 class AcceptedDocuments {
  public:
   using Stamps = std::map<std::string, DocumentVersion>;
--- a/packages/chalkwell/src/chalkwell/config/published_lists.hpp
+++ b/packages/chalkwell/src/chalkwell/config/published_lists.hpp
@@ -14,7 +14,7 @@
 
 /// @brief Kind of process that an instance runs.
 enum class InstanceKind : std::uint8_t { kEntry, kEndpoint };
-/// @brief Kind of backend that an endpoint serves.
+/// @brief Kind of backend to which an endpoint forwards requests.
 enum class BackendKind : std::uint8_t { kEngine, kService };
 
 /// @brief One entry of the published instance list.
--- a/packages/chalkwell/src/chalkwell/config/rules_peer_selector.hpp
+++ b/packages/chalkwell/src/chalkwell/config/rules_peer_selector.hpp
@@ -25,7 +25,8 @@
   /// A peer that failed is not selected again for this long.
   core::Duration retry_delay_ = std::chrono::milliseconds(500);
   /// After being behind for this long the process reads the rules from the
-  /// store. Well below the 2 s within which rules must be active.
+  /// store. Well below the 2 s within which rules must be active in all
+  /// processes.
   core::Duration max_lag_ = std::chrono::milliseconds(1300);
 };
 
@@ -57,7 +58,8 @@
   /// @param watches whether this process watches the store.
   [[nodiscard]] std::optional<core::InstanceId> Next(bool watches,
                                                      core::TimePoint now);
-  /// @brief Whether newer rules have been known for longer than `max_lag_`.
+  /// @brief Whether the process has been behind for `max_lag_` without applying
+  /// a newer version.
   [[nodiscard]] bool IsOverdue(core::TimePoint now) const;
 
  private:
@@ -80,8 +82,9 @@
   std::uint64_t version_ = 0;
   /// Newest version that a peer announced.
   std::uint64_t newest_ = 0;
-  /// When a newer version was first announced, or when the last one arrived
-  /// that was not the newest; empty while no newer version is known.
+  /// Since when this process is behind: when a newer version was first
+  /// announced or, if later, when a version was applied that was not the
+  /// newest. Empty while no newer version is known.
   std::optional<core::TimePoint> behind_since_;
   std::optional<Request> pending_;
 };
--- a/packages/chalkwell/src/chalkwell/config/traffic_rules.cpp
+++ b/packages/chalkwell/src/chalkwell/config/traffic_rules.cpp
@@ -82,7 +82,7 @@
 }
 
 const std::string& TrafficTable::SelectService(const TrafficRoute& route,
-                                               std::string_view request) {
+                                               std::string_view request_id) {
   if (route.services_.size() == 1) {
     return route.services_.front().service_;
   }
@@ -90,10 +90,10 @@
   for (const auto& share : route.services_) {
     total += share.weight_;
   }
-  // Deterministic in the request and uniform over [0, 1).
-  const auto draw =
-      static_cast<double>(core::RendezvousScore(request, route.name_) >> 11) /
-      static_cast<double>(std::uint64_t{1} << 53);
+  // Deterministic in the request id and uniform over [0, 1).
+  const auto draw = static_cast<double>(
+                        core::RendezvousScore(request_id, route.name_) >> 11) /
+                    static_cast<double>(std::uint64_t{1} << 53);
   double remaining = draw * total;
   for (const auto& share : route.services_) {
     remaining -= share.weight_;
--- a/packages/chalkwell/src/chalkwell/config/traffic_rules.hpp
+++ b/packages/chalkwell/src/chalkwell/config/traffic_rules.hpp
@@ -47,7 +47,8 @@
   /// Requires no API key.
   bool public_ = false;
   core::Duration timeout_{};
-  /// Latency within which a response has its full value to the caller.
+  /// Target for the time to first byte, counted from the caller's first
+  /// attempt.
   core::Duration target_latency_{};
   /// Longest gap between events with which a stream meets its target; zero if
   /// not set.
@@ -81,7 +82,7 @@
   core::Duration step_time_per_kilotoken_{};
   /// Prompt tokens that prefill processes per second.
   double prefill_tokens_per_second_ = 1;
-  /// Decode steps between two prefills.
+  /// Decode steps per pass of the engine, which begins with a prefill.
   std::uint32_t steps_per_pass_ = 1;
   /// Mean numbers of tokens of a prompt and of an output.
   double mean_prompt_tokens_ = 0;
@@ -117,7 +118,9 @@
 struct CallerLimits {
   std::size_t header_bytes_ = std::size_t{16} << 10;
   std::size_t body_bytes_ = std::size_t{1} << 20;
+  /// From the first byte of a request to the end of its body.
   core::Duration header_time_ = std::chrono::seconds(5);
+  /// A connection without a request for this long is closed.
   core::Duration idle_time_ = std::chrono::seconds(30);
 };
 
@@ -156,7 +159,7 @@
   /// @brief Selects a service for a request of a route by the weights of the
   /// shares. The choice for a request is stable while the shares do not change.
   [[nodiscard]] static const std::string& SelectService(
-      const TrafficRoute& route, std::string_view request);
+      const TrafficRoute& route, std::string_view request_id);
 
  private:
   TrafficRules rules_;
--- a/tests/config/rules_spread_test.cpp
+++ b/tests/config/rules_spread_test.cpp
@@ -46,8 +46,7 @@
 /// How entries get a change.
 enum class Policy : std::uint8_t {
   /// Each entry fetches the document through its own watch and again when a
-  /// peer
-  /// announces it.
+  /// peer announces it.
   kAllFetchAndRefetch,
   /// Designated watchers fetch the document; the others fetch deltas from
   /// peers.
