--- a/packages/chalkwell/src/chalkwell/routing/crash_detector.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/crash_detector.cpp
@@ -17,7 +17,7 @@
 
 CrashDetector::Loss* CrashDetector::Find(const EndpointIncarnation& endpoint) {
   const auto found = std::ranges::find_if(losses_, [&](const Loss& loss) {
-    return SameIncarnation(loss.crash_.endpoint_, endpoint);
+    return MayBeSameIncarnation(loss.crash_.endpoint_, endpoint);
   });
   return found == losses_.end() ? nullptr : &*found;
 }
--- a/packages/chalkwell/src/chalkwell/routing/crash_detector.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/crash_detector.hpp
@@ -1,4 +1,5 @@
-// Distinguishes crashed endpoints from broken connections: attempts lost at an
+// Distinguishes crashed endpoints from broken connections. Attempts that an
+// entry (the process that takes callers' requests and routes them) lost at an
 // endpoint are held until its process is confirmed to have terminated.
 #pragma once
 
@@ -18,7 +19,7 @@
 enum class LossAction : std::uint8_t {
   /// First loss at this endpoint since its last probe: probe its address.
   kProbe,
-  /// A probe is in flight.
+  /// A probe of the endpoint is in flight: wait for its result.
   kWait,
   /// The endpoint is known to have crashed.
   kCrashed,
@@ -47,13 +48,14 @@
   /// How long a loss waits for confirmation: a restarted endpoint is in the
   /// published list with its new incarnation within a few seconds.
   core::Duration confirmation_timeout_ = std::chrono::seconds(10);
-  /// Endpoint incarnations held, crashed or suspected; the oldest are evicted.
+  /// Endpoint incarnations held, crashed or suspected; the first added is
+  /// evicted.
   std::size_t max_endpoints_ = 256;
   /// Requests held per endpoint incarnation.
   std::size_t max_requests_ = 64;
 };
 
-/// @brief Lost attempts of one entry.
+/// @brief Decides which lost attempts of one entry were lost to a crash.
 class CrashDetector {
  public:
   explicit CrashDetector(CrashDetectorSettings settings = {})
@@ -65,14 +67,15 @@
                                   const std::string& address,
                                   core::TimePoint now);
   /// @brief The endpoint's process is known to have terminated.
-  /// @return the attempts lost there; none when the crash was known already.
+  /// @return the attempts lost there; none if the crash was known already or no
+  /// loss is held.
   [[nodiscard]] SuspectedCrash OnCrashed(const EndpointIncarnation& endpoint);
   /// @brief The probe showed neither a crash nor its absence.
   void OnInconclusive(const EndpointIncarnation& endpoint);
-  /// @brief Losses that the probe did not decide and that wait for other
-  /// confirmation.
+  /// @brief Losses whose probe was inconclusive, to be checked against the
+  /// published list.
   [[nodiscard]] std::vector<SuspectedCrash> Unconfirmed(core::TimePoint now);
-  /// @brief Whether a probe for a crash of the request's last endpoint is in
+  /// @brief Whether a probe of any endpoint at which the request was lost is in
   /// flight.
   [[nodiscard]] bool ProbePending(const RequestDigest& request) const;
 
@@ -87,7 +90,8 @@
   void Expire(core::TimePoint now);
 
   CrashDetectorSettings settings_;
-  /// Ordered by time.
+  /// In order of insertion; a later loss after an inconclusive probe keeps its
+  /// position.
   std::deque<Loss> losses_;
 };
 
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_choice.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_choice.cpp
@@ -16,9 +16,9 @@
 /// Requests in flight assumed per request of this entry while there is no
 /// recent report, because other entries send requests too.
 constexpr std::uint32_t kUnreportedFactor = 3;
-/// Cost difference in milliseconds below which endpoints of plain services
-/// count as equal.
-constexpr double kPlainToleranceMs = 2;
+/// Upper limit of the random cost in milliseconds, for plain services and late
+/// requests; the minimum of that limit for others.
+constexpr double kMinRandomCostLimitMs = 2;
 
 /// Mean interval at which slots become free at a full engine, in milliseconds.
 double SlotIntervalMs(const config::EngineProfile& engine) {
@@ -27,15 +27,16 @@
          slots;
 }
 
-/// Cost difference in milliseconds within which the choice is random. All
+/// Upper limit of the random addition to each cost, in milliseconds. All
 /// entries see the same reports, whose age is about the interval at which slots
 /// become free. If each entry chose the lowest cost, they would overload one
-/// engine together. The wider tolerance does not apply to late streams, which
-/// it would spread over more engines.
-double CostToleranceMs(const ChoiceRequest& request) {
+/// engine together. The higher limit does not apply to late streams, which it
+/// would spread over more engines.
+double RandomCostLimitMs(const ChoiceRequest& request) {
   return request.engine_ == nullptr || !request.on_time_
-             ? kPlainToleranceMs
-             : std::max(kPlainToleranceMs, SlotIntervalMs(*request.engine_));
+             ? kMinRandomCostLimitMs
+             : std::max(kMinRandomCostLimitMs,
+                        SlotIntervalMs(*request.engine_));
 }
 
 }  // namespace
@@ -59,8 +60,8 @@
   return endpoint.failure_rate_ * std::exp2(-half_lives);
 }
 
-core::Duration EndpointTable::ExtraDelay(const Endpoint& endpoint,
-                                         core::TimePoint now) const {
+core::Duration EndpointTable::PathOrStallDelay(const Endpoint& endpoint,
+                                               core::TimePoint now) const {
   const auto delay =
       std::max(ExcessDelayAt(endpoint, now), UnresponsiveTime(endpoint));
   return HasRecentReport(endpoint, now)
@@ -116,7 +117,7 @@
     return false;
   }
   const auto& endpoint = found->second;
-  return SameIncarnation(endpoint.row_.incarnation(), incarnation) &&
+  return MayBeSameIncarnation(endpoint.row_.incarnation(), incarnation) &&
          !endpoint.row_.leaving_ &&
          !IsExpired(endpoint, settings_.missing_row_grace_, now) &&
          incarnations_.IsCurrent(endpoint.row_.address_, incarnation);
@@ -214,8 +215,8 @@
       core::ToMs(prediction.time_to_first_byte_) +
       FailureRateAt(endpoint, now) * core::ToMs(settings_.failure_cost_);
   if (request.engine_ != nullptr) {
-    // Every running request slows down the others, so the less loaded endpoint
-    // is better even when both have free slots.
+    // Requests slow each other down, so the less loaded endpoint is better even
+    // when both have free slots.
     cost += prediction.requests_ahead_ *
             core::ToMs(request.engine_->step_time_) / 2;
     if (!HasRecentReport(endpoint, now)) {
@@ -241,7 +242,7 @@
   // One for the local failure domain and one for the remote ones.
   std::array<Selection, 2> selections;
   const double late_share = request.on_time_ ? LateShare() : 0;
-  std::uniform_real_distribution<> random_cost(0, CostToleranceMs(request));
+  std::uniform_real_distribution<> random_cost(0, RandomCostLimitMs(request));
   for (const auto& [id, endpoint] : endpoints_) {
     if (endpoint.in_subset_ != in_subset || !IsUsable(endpoint, request, now)) {
       continue;
@@ -250,7 +251,7 @@
     prediction.requests_ahead_ = RequestsAhead(endpoint, late_share, now);
     prediction.time_to_first_byte_ =
         TimeToFirstByte(endpoint, request, prediction.requests_ahead_) +
-        ExtraDelay(endpoint, now);
+        PathOrStallDelay(endpoint, now);
     if (WeightsTooOld(endpoint, request, prediction.time_to_first_byte_, now)) {
       continue;
     }
@@ -265,6 +266,8 @@
       selection.randomized_cost_ = randomized_cost;
     }
   }
+  // Failure domains are compared without the random part, which must not move
+  // requests between them.
   const bool remote = selections[1].min_cost_ < selections[0].min_cost_;
   const auto& selection = selections[remote ? 1 : 0];
   if (selection.best_ == nullptr) {
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_chooser.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_chooser.hpp
@@ -24,22 +24,23 @@
   /// Concurrent requests that the backend supports; at least 1.
   std::uint64_t capacity_ = 1;
 
-  /// @brief Load relative to capacity, from the larger of the local and the
-  /// reported number of requests.
+  /// @brief Larger of `in_flight_` and `reported_load_`, relative to the
+  /// capacity.
   [[nodiscard]] double load() const noexcept;
 };
 
 /// @brief Settings of EndpointChooser.
 struct ChoiceSettings {
   /// The preferred endpoint of a prefix is used while its load is at most this
-  /// multiple of the mean load.
+  /// multiple of the mean load of the endpoints considered, plus one request.
   double affinity_bound_ = 1.25;
   /// Endpoints of all failure domains are considered when each local one has
   /// at least this load.
   double spillover_load_ = 1.0;
 };
 
-/// @brief Chooses one of the candidates for each request.
+/// @brief Chooses by prefix affinity and load. EndpointTable::Choose chooses by
+/// predicted cost instead.
 class EndpointChooser {
  public:
   EndpointChooser(core::FailureDomainId local_domain, ChoiceSettings settings,
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_incarnation.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_incarnation.hpp
@@ -26,8 +26,8 @@
 }
 
 /// @brief Whether both may be the same incarnation, as far as is known.
-[[nodiscard]] inline bool SameIncarnation(const EndpointIncarnation& left,
-                                          const EndpointIncarnation& right) {
+[[nodiscard]] inline bool MayBeSameIncarnation(
+    const EndpointIncarnation& left, const EndpointIncarnation& right) {
   return left.id_ == right.id_ &&
          !StartTimesDiffer(left.started_, right.started_);
 }
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_subset.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_subset.cpp
@@ -65,7 +65,7 @@
   std::vector<core::InstanceId> subset;
   const auto reserved_for_remote =
       settings.max_serving_ -
-      std::min(settings.max_local_, settings.max_serving_);
+      std::min(settings.reserved_local_, settings.max_serving_);
   const auto remote_count = std::min(remote.size(), reserved_for_remote);
   const auto local_count =
       std::min(local.size(), settings.max_serving_ - remote_count);
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_subset.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_subset.hpp
@@ -1,9 +1,9 @@
-// Deterministic subsetting: each entry uses a few endpoints of its own failure
-// domain and fewer of the others, by rendezvous hashing. With few entries per
-// endpoint, each of them knows the endpoint's load well; if every entry used
-// every endpoint, all would pick the same idle one at once. It also bounds the
-// load reports by the sizes of the subsets rather than by entries times
-// endpoints.
+// Deterministic subsetting: for each service, an entry uses a few endpoints of
+// the local failure domain and fewer remote ones, by rendezvous hashing.
+// Between reports, the load of an endpoint then depends on few entries; if
+// every entry used every endpoint, all would choose the same idle one at once.
+// It also bounds the load reports by the sizes of the subsets rather than by
+// entries times endpoints.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +16,17 @@
 
 /// @brief Size limits of a subset.
 struct EndpointSubsetSettings {
-  /// Serving endpoints of the local failure domain. The least loaded of ten, by
+  /// Places reserved for serving endpoints of the local failure domain, which
+  /// also fill those that remote ones leave free. The least loaded of ten, by
   /// recent reports, is hardly worse than the least loaded of all.
-  std::size_t max_local_ = 10;
-  /// Serving endpoints of all failure domains. Remote ones fill the remaining
-  /// places and take the load when the local domain loses its endpoints.
+  std::size_t reserved_local_ = 10;
+  /// Serving endpoints of all failure domains. Remote ones fill the places that
+  /// local ones do not need and take the load when the local domain loses its
+  /// endpoints.
   std::size_t max_serving_ = 16;
   /// Local endpoints that hold no weights yet, in addition, so that the entry
-  /// knows at once when they become able to serve.
+  /// knows at once when they become able to serve. Remote ones are used only
+  /// while the subset is smaller than `max_serving_`.
   std::size_t max_warming_ = 6;
 };
 
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_table.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_table.cpp
@@ -101,7 +101,7 @@
 bool EndpointTable::IsLeavingOrRemoved(
     const EndpointIncarnation& incarnation) const {
   const auto same = [&](const EndpointIncarnation& other) {
-    return SameIncarnation(other, incarnation);
+    return MayBeSameIncarnation(other, incarnation);
   };
   return std::ranges::any_of(leaving_, same) ||
          std::ranges::any_of(removed_, same);
@@ -119,7 +119,7 @@
   endpoint.listed_ = true;
   endpoint.missing_since_.reset();
   std::erase_if(removed_, [&](const EndpointIncarnation& removed) {
-    return SameIncarnation(removed, row.incarnation());
+    return MayBeSameIncarnation(removed, row.incarnation());
   });
   if (row.leaving_) {
     RememberLeaving(row.incarnation());
@@ -231,7 +231,7 @@
   }
   const bool was_removed =
       std::ranges::any_of(removed_, [&](const EndpointIncarnation& removed) {
-        return SameIncarnation(removed, incarnation);
+        return MayBeSameIncarnation(removed, incarnation);
       });
   if (was_removed) {
     return;
@@ -304,7 +304,7 @@
   RememberLeaving(incarnation);
   auto* endpoint = Find(incarnation.id_);
   if (endpoint != nullptr &&
-      SameIncarnation(endpoint->row_.incarnation(), incarnation)) {
+      MayBeSameIncarnation(endpoint->row_.incarnation(), incarnation)) {
     RememberLeaving(endpoint->row_.incarnation());
     endpoint->row_.leaving_ = true;
     subset_outdated_ = true;
@@ -314,7 +314,7 @@
 void EndpointTable::MarkTerminated(const EndpointIncarnation& incarnation) {
   const auto* endpoint = Find(incarnation.id_);
   if (endpoint == nullptr ||
-      SameIncarnation(endpoint->row_.incarnation(), incarnation)) {
+      MayBeSameIncarnation(endpoint->row_.incarnation(), incarnation)) {
     Erase(incarnation.id_);
   }
 }
@@ -403,7 +403,7 @@
 }
 
 void EndpointTable::OnEnded(const core::InstanceId& id, double prompt_tokens,
-                            core::TimePoint sent_at, bool answering,
+                            core::TimePoint sent_at, bool first_byte_received,
                             EndpointOutcome outcome, core::TimePoint now) {
   auto* endpoint = Find(id);
   if (endpoint == nullptr) {
@@ -416,7 +416,7 @@
     return;
   }
   endpoint->in_flight_sent_at_.erase(in_flight);
-  if (!answering) {
+  if (!first_byte_received) {
     RemoveAwaiting(*endpoint, prompt_tokens, sent_at);
   }
   const auto unreported =
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_table.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_table.hpp
@@ -1,6 +1,6 @@
-// State of each endpoint as known to an entry, from three sources of different
-// ages: the published list of endpoints, load reports and the entry's own
-// requests.
+// State of each endpoint as known to an entry (the process that takes callers'
+// requests and routes them), from three sources of different ages: the
+// published list of endpoints, load reports and the entry's own requests.
 #pragma once
 
 #include <algorithm>
@@ -34,8 +34,8 @@
   core::FailureDomainId domain_;
   std::uint32_t slots_ = 1;
   bool leaving_ = false;
-  /// Version of the weights that all layers hold; none for plain services and
-  /// engines that cannot serve yet.
+  /// Version of the weights that the engine has loaded in all its layers; none
+  /// for plain services and engines that cannot serve yet.
   std::optional<std::uint64_t> weights_version_;
   /// List revision at which the row was created; 0 if unknown.
   std::uint64_t created_ = 0;
@@ -59,8 +59,8 @@
   /// False if leases may have lapsed during a store outage, so that missing
   /// rows do not imply removal.
   bool complete_ = true;
-  /// The configuration store held this list at this time or later, by the clock
-  /// of the process that holds the change.
+  /// The list includes everything published before this time, by the clock of
+  /// the process that holds the change.
   core::TimePoint as_of_;
 };
 
@@ -75,7 +75,7 @@
   double slowdown_ = 1;
   /// Delay that its network path adds, summed over both directions.
   core::Duration path_delay_{};
-  /// The reporting incarnation; empty if unknown.
+  /// Id of the reporting endpoint; empty if unknown.
   core::InstanceId incarnation_;
   /// Start time of the reporting incarnation; none if unknown.
   std::optional<core::StartTime> started_;
@@ -87,7 +87,9 @@
   core::FailureDomainId domain_;
   /// Id of this entry, which determines its subset; empty to use all endpoints.
   core::InstanceId entry_;
-  /// Older reports are ignored.
+  /// Older reports are not recent: their load is only a lower bound, their path
+  /// delay is ignored and `unreported_cost_` is added. `accepting_` and
+  /// `slowdown_` still apply.
   core::Duration max_report_age_ = std::chrono::milliseconds(1500);
   /// Cost of an engine without a recent report, which may have terminated, be
   /// suspended or be behind a degraded link.
@@ -97,30 +99,32 @@
   /// time again. Agents report at least every 500 ms. Without this rule, an
   /// engine on a suspended machine appears to become idle.
   core::Duration unresponsive_after_ = std::chrono::milliseconds(700);
-  /// Assumed time until a request starts at an engine without recent reports,
-  /// whose link may delay it by more than a second.
+  /// Minimum time until a request starts that is assumed in the check of the
+  /// version constraint if the request is late or the last report is older than
+  /// `max_link_report_age_`: the link may delay it by more than a second.
   core::Duration unreported_delay_ = std::chrono::milliseconds(2500);
-  /// Older reports give no information about the link: agents report at least
+  /// An older last report may be due to a degraded link: agents report at least
   /// every 500 ms, and a degraded link drops their datagrams.
   core::Duration max_link_report_age_ = std::chrono::milliseconds(700);
-  /// Cost of a remote failure domain: the gain that justifies the traffic
-  /// between domains.
+  /// Added to the cost of remote endpoints: the minimum gain that justifies
+  /// traffic between failure domains.
   core::Duration remote_cost_ = std::chrono::milliseconds(40);
-  /// A row missing from the published list is kept this long, in case its lease
+  /// A row missing from an incomplete list is kept this long, in case its lease
   /// lapsed during an outage of the configuration store.
   core::Duration missing_row_grace_ = std::chrono::milliseconds(2500);
   /// An announced row is kept this long without being listed. Endpoints publish
   /// themselves when they start, and the list is read every 600 ms.
   core::Duration announced_grace_ = std::chrono::milliseconds(2500);
   /// Time from the announcement of a live endpoint until the store lists it. A
-  /// complete list requested later that lacks the endpoint ends the grace.
+  /// complete list requested at least this long after the announcement ends the
+  /// grace period if it lacks the endpoint.
   core::Duration max_publish_delay_ = std::chrono::milliseconds(300);
   /// Half-life of recorded failures and delays.
   core::Duration failure_half_life_ = std::chrono::seconds(3);
   /// A wait for a first byte beyond this indicates that the endpoint or its
   /// path has stalled; the time beyond it counts as delay of the endpoint.
   core::Duration overdue_after_ = std::chrono::milliseconds(400);
-  /// Expected delay of an endpoint that fails every request.
+  /// Cost of an endpoint that fails every request; scaled by the failure rate.
   core::Duration failure_cost_ = std::chrono::seconds(3);
 };
 
@@ -131,7 +135,8 @@
   core::Duration time_to_first_byte_{};
   /// Running and queued requests ahead of this one.
   std::uint32_t requests_ahead_ = 0;
-  /// Age and presence of the load report used, for the log.
+  /// Age of the last load report, recent or not, and whether there is one; for
+  /// the log.
   core::Duration report_age_{};
   bool reported_ = false;
 };
@@ -148,6 +153,7 @@
 /// @brief Constraints on the endpoint of a request.
 struct ChoiceRequest {
   std::string service_;
+  /// Profile of the engines; null for a plain service, which has no weights.
   const config::EngineProfile* engine_ = nullptr;
   double prompt_tokens_ = 0;
   /// False for late requests, which engines serve after those on time.
@@ -155,9 +161,9 @@
   /// Version of the weights that must generate the response; none for any.
   std::optional<std::uint64_t> weights_version_;
   VersionConstraint version_constraint_;
-  /// Limit of this entry's requests in flight at one endpoint, or 0. Each
-  /// request has a connection, and all entries share the connections that an
-  /// endpoint accepts.
+  /// Limit of this entry's requests in flight at one endpoint; 0 for no limit.
+  /// Each request has a connection, and all entries share the connections that
+  /// an endpoint accepts.
   std::uint32_t max_in_flight_ = 0;
   /// Endpoints of earlier attempts, which are not chosen again.
   std::vector<core::InstanceId> tried_;
@@ -184,12 +190,12 @@
   /// ignored.
   /// @param complete false if leases may have lapsed during a store outage:
   /// missing rows are kept for the grace period.
-  /// @param as_of time at which the list was requested from the configuration
-  /// store; the clock's epoch if unknown.
+  /// @param as_of the list includes everything published before this time; the
+  /// clock's epoch if unknown.
   void ApplyList(std::vector<EndpointRow> rows, std::uint64_t revision,
                  bool complete, core::TimePoint now,
                  core::TimePoint as_of = {});
-  /// @brief Applies a change of the list that another process published.
+  /// @brief Applies a change to the list, published by another process.
   /// @return false if the change starts after the known revision, so that the
   /// list must be read.
   bool ApplyChange(const EndpointListChange& change, core::TimePoint now);
@@ -201,15 +207,15 @@
   /// listed yet.
   /// @param row row without a weights version, which load reports supply.
   void ApplyAnnouncement(EndpointRow row, core::TimePoint now);
-  /// @brief Applies the incarnation that an agent announced for an address. It
-  /// takes its service and failure domain from the endpoint known there, and is
-  /// ignored if there is none.
+  /// @brief Like ApplyAnnouncement, for an agent that announced no row: the
+  /// rest of the row is copied from the endpoint known at the address. Ignored
+  /// if there is none.
   void ApplyIncarnation(const std::string& address,
                         const EndpointIncarnation& incarnation,
                         core::TimePoint now);
-  /// @brief Applies a load report of the endpoint at an address. Reports arrive
-  /// in order, so a report of another incarnation shows that it is the current
-  /// one.
+  /// @brief Applies a load report of the endpoint at an address; ignored if
+  /// older than the last one. A report with another start time shows that its
+  /// incarnation is the current one.
   void ApplyReport(const std::string& address, const LoadReport& report,
                    core::TimePoint reported_at);
   /// @brief Records that an incarnation announced that it is draining.
@@ -220,7 +226,8 @@
   /// address.
   void MarkReplaced(const core::InstanceId& id,
                     const core::InstanceId& current);
-  /// @brief Records the weights version that the endpoint announced.
+  /// @brief Records the weights version that the endpoint announced; none if it
+  /// can't serve.
   void MarkVersion(const core::InstanceId& id,
                    std::optional<std::uint64_t> version);
 
@@ -238,10 +245,10 @@
                    core::TimePoint sent_at, core::Duration predicted,
                    core::TimePoint now);
   /// @brief Records the end of a request.
-  /// @param answering whether the first byte had arrived.
+  /// @param first_byte_received whether the first byte had arrived.
   void OnEnded(const core::InstanceId& id, double prompt_tokens,
-               core::TimePoint sent_at, bool answering, EndpointOutcome outcome,
-               core::TimePoint now);
+               core::TimePoint sent_at, bool first_byte_received,
+               EndpointOutcome outcome, core::TimePoint now);
 
   /// @brief Chooses an endpoint for a request by predicted cost.
   [[nodiscard]] std::optional<EndpointChoice> Choose(
@@ -252,8 +259,9 @@
   [[nodiscard]] bool AcceptsRequests(const EndpointIncarnation& incarnation,
                                      core::TimePoint now) const;
 
-  /// @brief Whether another incarnation is known to serve at the address of a
-  /// listed one that did not drain.
+  /// @brief Whether another incarnation is known to serve at the address,
+  /// although this one was neither draining nor removed: its end was not
+  /// planned.
   [[nodiscard]] bool IsReplaced(const std::string& address,
                                 const EndpointIncarnation& incarnation) const;
   /// @brief Whether an incarnation announced that it is draining, or its row
@@ -317,7 +325,7 @@
     /// Decaying failure rate, 0 to 1, as of `failure_rate_updated_`.
     double failure_rate_ = 0;
     core::TimePoint failure_rate_updated_;
-    /// Decaying mean of the time to first byte; used for plain services only.
+    /// Exponentially smoothed time to first byte; used for plain services only.
     core::Duration mean_wait_{};
     std::optional<core::TimePoint> missing_since_;
     /// When its agent announced it, and until when it need not be listed.
@@ -346,7 +354,8 @@
     std::uint32_t requests_ahead_ = 0;
   };
 
-  /// @brief Best endpoint among those compared with each other.
+  /// @brief Best usable endpoint of the local failure domain, or of the remote
+  /// ones.
   struct Selection {
     const Endpoint* best_ = nullptr;
     Prediction prediction_;
@@ -372,11 +381,12 @@
   /// Estimated from this entry's requests, as every entry sends the same mix.
   [[nodiscard]] double LateShare() const;
   /// @brief Requests scheduled before a new one: the running ones and the
-  /// queued ones except for the fraction `late_share`.
+  /// queued ones except for the fraction `late_share`; all of them if there is
+  /// no recent report.
   [[nodiscard]] std::uint32_t RequestsAhead(const Endpoint& endpoint,
                                             double late_share,
                                             core::TimePoint now) const;
-  /// @brief Predicted time to first byte, without the extra delay.
+  /// @brief Predicted time to first byte, without PathOrStallDelay.
   [[nodiscard]] core::Duration TimeToFirstByte(
       const Endpoint& endpoint, const ChoiceRequest& request,
       std::uint32_t requests_ahead) const;
@@ -396,11 +406,12 @@
                                    const ChoiceRequest& request,
                                    core::Duration time_to_first_byte,
                                    core::TimePoint now) const;
-  /// @brief Delay beyond what the engine's work explains.
-  [[nodiscard]] core::Duration ExtraDelay(const Endpoint& endpoint,
-                                          core::TimePoint now) const;
+  /// @brief The largest of the excess delay of first bytes, the time for which
+  /// the endpoint is unresponsive and, if recent, the reported path delay.
+  [[nodiscard]] core::Duration PathOrStallDelay(const Endpoint& endpoint,
+                                                core::TimePoint now) const;
   /// @brief Time since the endpoint was last seen while others sent reports;
-  /// zero up to `unresponsive_after_`.
+  /// zero up to `unresponsive_after_` and for endpoints that sent no report.
   [[nodiscard]] core::Duration UnresponsiveTime(const Endpoint& endpoint) const;
   /// @brief Cost of a request at an endpoint, in milliseconds.
   [[nodiscard]] double Cost(const Endpoint& endpoint,
--- a/packages/chalkwell/src/chalkwell/routing/event_splitter.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/event_splitter.hpp
@@ -22,7 +22,7 @@
  public:
   /// @brief Appends bytes and returns the events they complete. Events whose id
   /// is not above that of the last complete event are omitted: a resumed stream
-  /// may repeat them.
+  /// may repeat them. Events without an id are never omitted.
   [[nodiscard]] CompleteEvents Append(std::string_view bytes);
   /// @brief Bytes of the incomplete event at the end.
   [[nodiscard]] const std::string& partial_event() const noexcept {
--- a/packages/chalkwell/src/chalkwell/routing/execution_guard.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/execution_guard.cpp
@@ -41,7 +41,7 @@
     window = windows_.emplace(ticket.issuer_, Window{}).first;
   }
   if (window == windows_.end()) {
-    return TicketStatus::kExpired;
+    return TicketStatus::kOutsideWindow;
   }
   return UseInWindow(window->second, ticket);
 }
@@ -58,7 +58,7 @@
   }
   const auto age = window.highest_ - ticket.sequence_;
   if (age >= kWindowSize) {
-    return TicketStatus::kExpired;
+    return TicketStatus::kOutsideWindow;
   }
   if (!window.used_.test(age) || faults_.ignore_used_tickets_) {
     window.used_.set(age);
--- a/packages/chalkwell/src/chalkwell/routing/execution_guard.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/execution_guard.hpp
@@ -19,7 +19,7 @@
 enum class TicketStatus : std::uint8_t {
   /// First use: execute the request.
   kAccepted,
-  /// Used before; the response is not cached, or no longer.
+  /// Used before; its response was not cached or has been evicted.
   kUsed,
   /// Used before; respond with the cached response.
   kResponseCached,
@@ -27,7 +27,7 @@
   kOtherIncarnation,
   /// Older than the window, or its issuer is unknown: whether it was used is
   /// unknown.
-  kExpired,
+  kOutsideWindow,
 };
 
 /// @brief Injected faults, by which tests verify that their checks detect them.
@@ -47,12 +47,14 @@
 
 /// @brief Tracks used tickets in a sliding window per issuer.
 ///
-/// Issuer numbers are assigned by the agent itself in rising order, so that one
-/// whose window was evicted is distinguishable from one never assigned.
+/// Issuer numbers are assigned by the agent in rising order and never reused,
+/// so a ticket of an evicted issuer matches no newer window.
 class ExecutionGuard {
  public:
   static constexpr std::size_t kWindowSize = 1024;
 
+  /// @param incarnation number of this start of the agent, different at each
+  /// start.
   ExecutionGuard(core::InstanceId endpoint, std::uint64_t incarnation,
                  GuardLimits limits = {}, GuardFaults faults = {});
 
--- a/packages/chalkwell/src/chalkwell/routing/execution_ticket.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/execution_ticket.hpp
@@ -15,9 +15,10 @@
 /// @brief Permission for one execution.
 struct ExecutionTicket {
   core::InstanceId endpoint_;
-  /// Of the agent; a later incarnation refuses all tickets of earlier ones.
+  /// Identifies the agent's incarnation; a later one refuses all tickets of
+  /// earlier ones.
   std::uint64_t incarnation_ = 0;
-  /// Number that the agent assigned to the stream of the issuing entry.
+  /// Number that the agent assigned to the connection of the issuing entry.
   std::uint64_t issuer_ = 0;
   /// Consecutive per issuer; starts at 1.
   std::uint64_t sequence_ = 0;
@@ -33,7 +34,7 @@
 /// @return none if the text is not a ticket.
 [[nodiscard]] std::optional<ExecutionTicket> ParseTicket(std::string_view text);
 
-/// @brief Issues tickets of one agent for one open stream.
+/// @brief Issues tickets of one agent for one open connection.
 class TicketIssuer {
  public:
   TicketIssuer(core::InstanceId endpoint, std::uint64_t incarnation,
--- a/packages/chalkwell/src/chalkwell/routing/fair_queue.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/fair_queue.hpp
@@ -1,5 +1,6 @@
-// Admission: shares the entry's capacity between client accounts by weight,
-// with queues bounded by the deadlines of requests.
+// Admission: shares the capacity of an entry (the process that takes callers'
+// requests and routes them) between client accounts by weight, with queues
+// bounded by the deadlines of requests.
 #pragma once
 
 #include <cstdint>
@@ -18,6 +19,7 @@
 struct QueuedRequest {
   std::uint64_t request_ = 0;
   core::ClientAccountId account_;
+  /// Share of the account relative to other accounts.
   std::uint64_t weight_ = 1;
   core::TimePoint deadline_;
 };
@@ -38,7 +40,7 @@
   [[nodiscard]] std::size_t in_flight() const noexcept { return in_flight_; }
   [[nodiscard]] std::size_t waiting() const noexcept { return waiting_; }
   /// @brief Estimated wait of a new request of the account, by the recent rate
-  /// of releases; zero when that is not known.
+  /// of releases; zero if it may start at once or no rate is known yet.
   [[nodiscard]] core::Duration EstimatedWait(
       const core::ClientAccountId& account) const;
 
@@ -58,7 +60,8 @@
   void Remove(std::uint64_t request);
   /// @brief Frees the place of a started request that has ended.
   void Release(core::TimePoint now);
-  /// @brief Adds a sample of the time from start to response.
+  /// @brief Adds a sample of the service time, from the start of a request to
+  /// the end of its response.
   void OnServiceTime(core::Duration service_time) noexcept;
   void SetMaxInFlight(std::size_t limit) noexcept {
     limits_.max_in_flight_ = limit;
--- a/packages/chalkwell/src/chalkwell/routing/first_byte_timeout.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/first_byte_timeout.hpp
@@ -12,7 +12,7 @@
 
 /// @brief An attempt whose first byte has not arrived.
 struct PendingAttempt {
-  /// Target time to first byte of its route.
+  /// Target time to first byte, as set for its route.
   core::Duration target_latency_{};
   /// Time to first byte predicted when the endpoint was chosen.
   core::Duration predicted_first_byte_{};
--- a/packages/chalkwell/src/chalkwell/routing/incarnation_table.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/incarnation_table.cpp
@@ -14,7 +14,7 @@
               const EndpointIncarnation& incarnation) {
   return std::ranges::any_of(incarnations,
                              [&](const EndpointIncarnation& other) {
-                               return SameIncarnation(other, incarnation);
+                               return MayBeSameIncarnation(other, incarnation);
                              });
 }
 
@@ -29,7 +29,7 @@
 void IncarnationTable::Supersede(AddressState& state,
                                  const EndpointIncarnation& incarnation) {
   std::erase_if(state.previous_, [&](const EndpointIncarnation& previous) {
-    return SameIncarnation(previous, incarnation);
+    return MayBeSameIncarnation(previous, incarnation);
   });
   if (!state.current_.id_.empty()) {
     state.previous_.push_back(state.current_);
@@ -52,7 +52,7 @@
   if (current.id_.empty()) {
     current = incarnation;
   }
-  if (SameIncarnation(current, incarnation)) {
+  if (MayBeSameIncarnation(current, incarnation)) {
     state.created_ = created;
     if (!current.started_) {
       current.started_ = incarnation.started_;
@@ -74,7 +74,7 @@
 void IncarnationTable::OnAnnounced(const std::string& address,
                                    const EndpointIncarnation& incarnation) {
   auto& state = addresses_[address];
-  if (SameIncarnation(state.current_, incarnation)) {
+  if (MayBeSameIncarnation(state.current_, incarnation)) {
     if (!state.current_.started_) {
       state.current_.started_ = incarnation.started_;
     }
@@ -87,7 +87,7 @@
                                  const EndpointIncarnation& incarnation) const {
   const auto found = addresses_.find(address);
   return found == addresses_.end() || found->second.current_.id_.empty() ||
-         SameIncarnation(found->second.current_, incarnation);
+         MayBeSameIncarnation(found->second.current_, incarnation);
 }
 
 }  // namespace chalkwell::routing
--- a/packages/chalkwell/src/chalkwell/routing/incarnation_table.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/incarnation_table.hpp
@@ -16,20 +16,20 @@
 /// @brief Incarnations by address, from the published list and from what
 /// endpoints announce.
 ///
-/// After a simultaneous restart of all endpoints, their old rows stayed listed
-/// for 3.6 s. Without this table, 360 of 700 attempts within 1.2 s reached
-/// another incarnation and were refused, and half of the load reports were
-/// attributed to terminated incarnations.
+/// After a simultaneous restart of all endpoints, their old rows stay listed
+/// for 3.6 s. Without this table, 360 of 700 attempts within 1.2 s were refused
+/// by another incarnation, and half of the load reports were attributed to
+/// terminated incarnations.
 class IncarnationTable {
  public:
   /// @brief Processes a row of the published list.
-  /// @param created list revision at which the row was created; of two ids, the
-  /// newer row is the current one. 0 if unknown.
+  /// @param created list revision at which the row was created; if rows of two
+  /// ids have this address, the one created later is current. 0 if unknown.
   void OnRow(const std::string& address, const EndpointIncarnation& incarnation,
              std::uint64_t created);
-  /// @brief Processes an announcement by the endpoint or its agent of who
-  /// serves at the address. It takes precedence over rows, since the row of a
-  /// terminated incarnation may be written late.
+  /// @brief Processes an announcement, by the endpoint or its agent, of the
+  /// incarnation that serves at the address. It takes precedence over rows,
+  /// since the row of a terminated incarnation may be written late.
   void OnAnnounced(const std::string& address,
                    const EndpointIncarnation& incarnation);
   /// @brief Whether no other incarnation is known to serve at the address.
--- a/packages/chalkwell/src/chalkwell/routing/list_history.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/list_history.hpp
@@ -1,6 +1,6 @@
-// Builds the list changes that a process which reads the published list for
-// others sends after each read. A change spans several reads, so that a lost
-// message leaves no gap. The first changes after a start contain the full
+// One process reads the published list for others and sends them a change after
+// each read. This builds the changes. A change spans several reads, so that a
+// lost message leaves no gap. The first changes after a start contain the full
 // list.
 #pragma once
 
@@ -17,15 +17,16 @@
 class ListHistory {
  public:
   /// @brief Adds a read.
+  ///
+  /// After an incomplete read, missing rows are published as removed only once
+  /// a complete list lacks them too. Incomplete reads are published as well:
+  /// otherwise every process reads the list itself for 2.5 s after each start
+  /// and each outage (600 calls by 149 members).
   /// @param complete false if leases may have lapsed during an outage of the
   /// configuration store.
-  /// Missing rows are then published as removed only once a complete list lacks
-  /// them too. Such reads are published nevertheless: when they were not, every
-  /// process read the list itself for 2.5 s after each start and each outage,
-  /// which made 600 calls by 149 members.
-  /// @return the change to publish; the full list if this process has not read
-  /// for a while, since others may meanwhile have published rows that it never
-  /// saw.
+  /// @return the change to publish; the full list if the last read was longer
+  /// ago than kMaxReadGap, since others may meanwhile have published rows that
+  /// it never saw.
   EndpointListChange OnRead(std::uint64_t revision,
                             std::vector<EndpointRow> rows, bool complete,
                             core::TimePoint now);
--- a/packages/chalkwell/src/chalkwell/routing/request_age_estimator.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_age_estimator.cpp
@@ -1,5 +1,5 @@
-// Histogram of the last times of each route, by value and, where values do not
-// repeat, by bin.
+// Histogram of the recent times to the deadline of each route, by value and,
+// where values do not repeat, by bin.
 #include "chalkwell/routing/request_age_estimator.hpp"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 /// Requests kept per route: a few seconds of the requests of one entry.
 constexpr std::size_t kHistorySize = 192;
-/// Fewer requests do not show the distribution.
+/// With fewer requests the bins are not used.
 constexpr std::size_t kMinSamples = 8;
 /// A time that occurs this often in the history is that of first attempts: of
 /// times scattered over seconds, three are rarely equal by chance.
@@ -18,8 +18,8 @@
 /// Bins between zero and the longest time; ages below the width of a bin are
 /// reported as zero.
 constexpr std::int64_t kBins = 12;
-/// A bin with less than this fraction of the mean count of dense bins holds no
-/// first attempts.
+/// A bin with less than this fraction of the mean count of the dense bins with
+/// longer times is not dense: it holds no first attempts.
 constexpr double kDenseFraction = 0.6;
 /// Maximum number of routes; when it is exceeded, all are discarded.
 constexpr std::size_t kMaxRoutes = 4096;
@@ -31,7 +31,8 @@
   std::uint32_t count_ = 0;
   /// Those of them whose time is frequent.
   std::uint32_t frequent_ = 0;
-  std::int64_t lowest_ = 0;
+  /// Shortest time in the bin; its upper edge if it is empty.
+  std::int64_t shortest_ms_ = 0;
 };
 
 std::int64_t BinWidth(const Counts& counts) {
@@ -43,10 +44,10 @@
 Bin BinAt(const Counts& counts, std::int64_t index) {
   const auto width = BinWidth(counts);
   const auto highest = counts.rbegin()->first - index * width;
-  Bin bin{.lowest_ = highest};
+  Bin bin{.shortest_ms_ = highest};
   for (auto time = counts.upper_bound(highest - width);
        time != counts.end() && time->first <= highest; ++time) {
-    bin.lowest_ = bin.count_ == 0 ? time->first : bin.lowest_;
+    bin.shortest_ms_ = bin.count_ == 0 ? time->first : bin.shortest_ms_;
     bin.count_ += time->second;
     bin.frequent_ += time->second >= kFrequent ? time->second : 0;
   }
@@ -67,9 +68,9 @@
   return total / static_cast<double>(bins);
 }
 
-/// Age where all callers of a kind set the same time; none when no longer time
-/// is frequent. Callers of different kinds may share a route, so the age is
-/// measured from the next longer frequent time.
+/// Age where all callers of a kind set the same time; none if no time of at
+/// least `left_ms` is frequent. Callers of different kinds may share a route,
+/// so the age is measured from the next longer frequent time.
 std::optional<std::int64_t> AgeByValue(const Counts& counts,
                                        std::int64_t left_ms) {
   for (auto next = counts.lower_bound(left_ms); next != counts.end(); ++next) {
@@ -89,7 +90,7 @@
   while (index > 0 && bin.count_ < min_count) {
     bin = BinAt(counts, --index);
   }
-  const auto age = bin.lowest_ - left_ms;
+  const auto age = bin.shortest_ms_ - left_ms;
   return age < width ? 0 : age;
 }
 
@@ -118,6 +119,8 @@
         AgeByValue(history.counts_, left_ms).value_or(longest - left_ms));
   }
   const auto first = BinAt(history.counts_, 0);
+  // By value if at least half of the requests with the longest times have a
+  // frequent one.
   const bool repeats = 2 * first.frequent_ >= first.count_;
   return std::chrono::milliseconds(
       repeats ? AgeByValue(history.counts_, left_ms).value_or(0)
--- a/packages/chalkwell/src/chalkwell/routing/request_quarantine.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_quarantine.cpp
@@ -1,5 +1,5 @@
-// A standing is a function of the merged crashes only, so that entries with the
-// same records agree.
+// A standing depends only on the merged crashes and the time, so that entries
+// with the same records agree.
 #include "chalkwell/routing/request_quarantine.hpp"
 
 #include <algorithm>
@@ -52,7 +52,7 @@
   auto& crashes = row.record_.crashes_;
   const auto known =
       std::ranges::find_if(crashes, [&](const EndpointCrash& other) {
-        return SameIncarnation(other.endpoint_, crash.endpoint_);
+        return MayBeSameIncarnation(other.endpoint_, crash.endpoint_);
       });
   if (known != crashes.end()) {
     const bool cleared = crash.cleared_ && !known->cleared_;
@@ -103,9 +103,9 @@
 bool RequestQuarantine::AddCrash(const RequestDigest& request,
                                  const EndpointCrash& crash) {
   auto& row = RowOf(request);
-  auto known = crash;
-  known.cleared_ = known.cleared_ || CompletedAfter(request, crash);
-  if (!Insert(row, known)) {
+  auto added = crash;
+  added.cleared_ = added.cleared_ || CompletedAfter(request, crash);
+  if (!Insert(row, added)) {
     return false;
   }
   row.sampled_ = 0;
@@ -164,8 +164,8 @@
   return found != table_.end() && now < found->second.trial_until_;
 }
 
-void RequestQuarantine::Add(Attribution& attribution,
-                            const EndpointCrash& crash) const {
+void RequestQuarantine::CountIfIndependent(Attribution& attribution,
+                                           const EndpointCrash& crash) const {
   if (crash.cleared_) {
     return;
   }
@@ -189,7 +189,7 @@
   Attribution attribution;
   if (const auto* record = Find(request)) {
     for (const auto& crash : record->crashes_) {
-      Add(attribution, crash);
+      CountIfIndependent(attribution, crash);
     }
   }
   return attribution;
@@ -203,14 +203,14 @@
 std::size_t RequestQuarantine::AttributedCrashesWith(
     const RequestDigest& request, const EndpointCrash& crash) const {
   auto attribution = AttributionOf(request);
-  Add(attribution, crash);
+  CountIfIndependent(attribution, crash);
   return attribution.count_;
 }
 
 core::Duration RequestQuarantine::DurationAfter(std::size_t crashes) const {
-  auto duration = settings_.initial_duration_;
-  for (auto n = settings_.quarantined_after_; n < crashes; ++n) {
-    duration = std::min(2 * duration, settings_.max_duration_);
+  auto duration = settings_.initial_quarantine_;
+  for (auto n = settings_.quarantined_crashes_; n < crashes; ++n) {
+    duration = std::min(2 * duration, settings_.max_quarantine_);
   }
   return duration;
 }
@@ -219,7 +219,7 @@
     const RequestDigest& request) const {
   const auto attribution = AttributionOf(request);
   const bool quarantined =
-      attribution.count_ >= settings_.quarantined_after_ &&
+      attribution.count_ >= settings_.quarantined_crashes_ &&
       attribution.last_ - attribution.first_ >= settings_.same_cause_window_;
   return quarantined ? attribution.last_ + DurationAfter(attribution.count_)
                      : core::TimePoint{};
@@ -231,7 +231,7 @@
     return Standing::kClear;
   }
   const auto crashes = AttributedCrashes(request);
-  if (crashes < settings_.suspected_after_) {
+  if (crashes < settings_.suspected_crashes_) {
     return Standing::kClear;
   }
   return now < QuarantinedUntil(request) ? Standing::kQuarantined
@@ -260,7 +260,8 @@
   std::vector<Candidate> order;
   order.reserve(table_.size());
   for (auto& [request, row] : table_) {
-    const bool clear = AttributedCrashes(request) < settings_.suspected_after_;
+    const bool clear =
+        AttributedCrashes(request) < settings_.suspected_crashes_;
     if (!clear || row.sampled_ < settings_.max_clear_samples_) {
       order.push_back({&row, clear});
     }
--- a/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
@@ -1,6 +1,7 @@
 // Quarantine of requests that crash endpoints. A request that was in flight at
 // several endpoints when they crashed is suspected, then refused. The table is
-// replicated state: entries merge records in any order, repeatedly and late.
+// replicated between entries: merging is commutative and idempotent, so records
+// may arrive in any order, repeatedly and late.
 #pragma once
 
 #include <chrono>
@@ -55,34 +56,37 @@
 
 /// @brief Settings of RequestQuarantine.
 struct QuarantineSettings {
-  std::size_t suspected_after_ = 2;
-  std::size_t quarantined_after_ = 3;
-  /// Crashes within this time of each other count as one, unless the request
-  /// was sent after the earlier one: endpoints that fail together have a common
-  /// cause, and a frequent request is in flight at many of them. It is also the
-  /// minimum time from the first to the last crash of a quarantined request.
+  /// Attributed crashes from which a request is suspected or quarantined.
+  std::size_t suspected_crashes_ = 2;
+  std::size_t quarantined_crashes_ = 3;
+  /// A crash within this time of the last counted one is not counted, unless
+  /// the request was sent after that one and ran for `min_run_time_`: endpoints
+  /// that fail together have a common cause, and a frequent request is in
+  /// flight at many of them. It is also the minimum time from the first to the
+  /// last crash of a quarantined request.
   core::Duration same_cause_window_ = std::chrono::milliseconds(250);
-  /// Minimum time from sending a request to a crash that it can cause: it has
-  /// to arrive, be parsed and be started.
+  /// Within `same_cause_window_`, minimum time from sending a request to a
+  /// crash that it can cause: it has to arrive, be parsed and be started.
   core::Duration min_run_time_ = std::chrono::milliseconds(10);
-  /// Maximum error of the interval between two crashes that another entry
-  /// reported.
+  /// Maximum error of the interval between two crashes if another entry
+  /// reported one of them.
   core::Duration max_clock_error_ = std::chrono::milliseconds(5);
   /// Time from the last crash until the request may be run again, one at a
-  /// time; doubled with each further crash, up to the maximum below.
-  core::Duration initial_duration_ = std::chrono::seconds(60);
-  core::Duration max_duration_ = std::chrono::minutes(30);
+  /// time; doubled with each crash beyond `quarantined_crashes_`, up to the
+  /// maximum below.
+  core::Duration initial_quarantine_ = std::chrono::seconds(60);
+  core::Duration max_quarantine_ = std::chrono::minutes(30);
   /// Time from the last crash until the record is removed.
   core::Duration record_retention_ = std::chrono::hours(1);
   /// Maximum number of records; the one with the oldest last crash is evicted.
   std::size_t max_records_ = 1024;
   /// Crashes kept per request; the oldest are evicted.
   std::size_t max_crashes_ = 8;
-  /// How many times the record of a clear request is sampled after a change:
-  /// by then every entry has received it.
+  /// How many times Sample returns the record of a clear request after a
+  /// change: by then every entry has received it.
   unsigned max_clear_samples_ = 6;
-  /// How long a completed run clears its request of earlier crashes that are
-  /// confirmed only afterwards, and the maximum number of completions kept.
+  /// How long a completion is kept, to clear its request of earlier crashes
+  /// that are confirmed only afterwards, and the maximum number kept.
   core::Duration completion_retention_ = std::chrono::seconds(15);
   std::size_t max_completions_ = 8192;
 };
@@ -107,11 +111,11 @@
   MergeResult Merge(const CrashRecord& record);
   /// @brief The request completed: clears it of earlier crashes, including
   /// those that are reported later.
-  /// @return whether any crash was attributed to it.
+  /// @return whether any crash was not cleared before.
   bool OnCompleted(const RequestDigest& request, core::TimePoint now);
   /// @brief Clears the request of all its crashes, as when an operator lifts
   /// the quarantine.
-  /// @return whether any crash was attributed to it.
+  /// @return whether any crash was not cleared before.
   bool Clear(const RequestDigest& request);
   /// @brief Removes records and completions past their retention time.
   void Expire(core::TimePoint now);
@@ -131,16 +135,18 @@
   /// @brief Number of independent crashes attributed to the request.
   [[nodiscard]] std::size_t AttributedCrashes(
       const RequestDigest& request) const;
-  /// @brief That number with one more crash.
+  /// @brief AttributedCrashes if this crash, later than those recorded, were
+  /// added.
   [[nodiscard]] std::size_t AttributedCrashesWith(
       const RequestDigest& request, const EndpointCrash& crash) const;
   [[nodiscard]] std::size_t suspected_after() const noexcept {
-    return settings_.suspected_after_;
+    return settings_.suspected_crashes_;
   }
   [[nodiscard]] const CrashRecord* Find(const RequestDigest& request) const;
   [[nodiscard]] std::vector<CrashRecord> Records() const;
-  /// @brief Records to send to other entries: those of suspected requests
-  /// first, then by how seldom they were sampled.
+  /// @brief Selects records to send to other entries: those of suspected and
+  /// quarantined requests first, each group by ascending number of times
+  /// selected. Those of clear requests are selected `max_clear_samples_` times.
   [[nodiscard]] std::vector<CrashRecord> Sample(std::size_t max_count);
   [[nodiscard]] std::size_t size() const noexcept { return table_.size(); }
 
@@ -149,7 +155,7 @@
     CrashRecord record_;
     /// Time until which a trial may be in flight at another entry.
     core::TimePoint trial_until_;
-    /// Number of times it was sampled since its last change.
+    /// Number of times Sample returned it since its last change.
     unsigned sampled_ = 0;
   };
 
@@ -167,8 +173,10 @@
     core::TimePoint last_;
   };
 
-  /// @brief Counts the crash if it is independent of the previous one.
-  void Add(Attribution& attribution, const EndpointCrash& crash) const;
+  /// @brief Counts the crash if it is not cleared and independent of the last
+  /// one counted.
+  void CountIfIndependent(Attribution& attribution,
+                          const EndpointCrash& crash) const;
   [[nodiscard]] Attribution AttributionOf(const RequestDigest& request) const;
   [[nodiscard]] core::Duration DurationAfter(std::size_t crashes) const;
 
--- a/packages/chalkwell/src/chalkwell/routing/request_tracker.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_tracker.hpp
@@ -19,8 +19,11 @@
 /// @brief Outcome of a request as reported to its caller.
 enum class Outcome : std::uint8_t {
   kAnswered,
+  /// Certainly not executed: refused, never sent, or no endpoint was found.
   kRefusedNotRun,
+  /// An attempt was executed and failed.
   kFailedRan,
+  /// It may have been executed.
   kUnknown,
 };
 
@@ -33,7 +36,7 @@
   kNeverSent,
   /// The agent refused it before forwarding it to the backend.
   kRefusedNotRun,
-  /// The backend executed it and failed.
+  /// The backend executed it and failed, or responded with other weights.
   kFailedRan,
   /// The stream ended without a reply: it may have been executed.
   kLost,
@@ -56,7 +59,8 @@
 struct SendAttempt {
   AttemptNumber attempt_ = 0;
   core::InstanceId endpoint_;
-  /// Number of events that were forwarded; the response resumes after them.
+  /// Number of complete events forwarded to the caller; the response resumes
+  /// after them.
   std::uint64_t resume_from_ = 0;
 };
 /// @brief Cancel the attempt at the agent.
@@ -89,7 +93,7 @@
 
 /// @brief Properties of a request and its limits.
 struct RequestTraits {
-  /// Whether it may be executed more than once.
+  /// Whether it may be executed more than once, as set for its route.
   bool repeatable_ = false;
   /// Whether another endpoint can resume a response that was begun.
   bool resumable_ = false;
@@ -133,7 +137,8 @@
                                          std::uint64_t events = 1);
   [[nodiscard]] RequestActions OnEnded(AttemptNumber attempt, AttemptEnd end,
                                        core::TimePoint now);
-  /// @brief The deadline passed or the caller disconnected.
+  /// @brief Ends the request and cancels its attempt in flight, because the
+  /// deadline passed or the caller disconnected.
   [[nodiscard]] RequestActions Abort();
 
  private:
--- a/packages/chalkwell/src/chalkwell/routing/retry_budget.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/retry_budget.hpp
@@ -29,7 +29,8 @@
   core::Duration window_ = std::chrono::seconds(10);
 };
 
-/// @brief Allows retries by the requests and retries of the last window.
+/// @brief Decides whether a retry is allowed, from the numbers of requests and
+/// retries in the last window.
 ///
 /// The loss of an endpoint breaks all its responses at once. Resuming these has
 /// priority, so part of the reserve is not available to other retries.
--- a/packages/chalkwell/src/chalkwell/routing/retry_jitter.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/retry_jitter.hpp
@@ -1,7 +1,7 @@
 // Jitter for Retry-After. With a constant value, callers refused at the same
 // time retry at the same time and with equal remaining times to their
-// deadlines. RequestAgeEstimator, which takes times that repeat for those of
-// first attempts, would then take the retries for first attempts.
+// deadlines. RequestAgeEstimator treats frequent times as those of first
+// attempts and would mistake such retries for them.
 #pragma once
 
 #include <cstdint>
--- a/packages/chalkwell/src/chalkwell/routing/slot_queue.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/slot_queue.cpp
@@ -1,4 +1,4 @@
-// Round robin over senders.
+// Round robin over entries.
 #include "chalkwell/routing/slot_queue.hpp"
 
 #include <algorithm>
@@ -8,17 +8,18 @@
 
 std::size_t SlotQueue::active_senders(core::TimePoint now) const {
   const auto active = std::ranges::count_if(last_offer_, [&](const auto& item) {
-    return now - item.second <= limits_.sender_activity_window_;
+    return now - item.second <= limits_.entry_activity_window_;
   });
   return std::max<std::size_t>(1, static_cast<std::size_t>(active));
 }
 
-SlotDecision SlotQueue::Offer(std::uint64_t run, const core::InstanceId& sender,
+SlotDecision SlotQueue::Offer(std::uint64_t attempt,
+                              const core::InstanceId& entry,
                               core::TimePoint now) {
   std::erase_if(last_offer_, [&](const auto& item) {
-    return now - item.second > limits_.sender_activity_window_;
+    return now - item.second > limits_.entry_activity_window_;
   });
-  last_offer_[sender] = now;
+  last_offer_[entry] = now;
   if (in_use_ < limits_.capacity_ && waiting_ == 0) {
     ++in_use_;
     return SlotDecision::kStart;
@@ -26,11 +27,11 @@
   if (waiting_ >= limits_.max_waiting_) {
     return SlotDecision::kFull;
   }
-  auto& queue = queues_[sender];
+  auto& queue = queues_[entry];
   if (queue.empty()) {
-    order_.push_back(sender);
+    order_.push_back(entry);
   }
-  queue.push_back(run);
+  queue.push_back(attempt);
   ++waiting_;
   return SlotDecision::kWait;
 }
@@ -39,32 +40,32 @@
   if (in_use_ >= limits_.capacity_ || order_.empty()) {
     return std::nullopt;
   }
-  const auto sender = std::move(order_.front());
+  const auto entry = std::move(order_.front());
   order_.pop_front();
-  const auto queue = queues_.find(sender);
-  const auto run = queue->second.front();
+  const auto queue = queues_.find(entry);
+  const auto attempt = queue->second.front();
   queue->second.pop_front();
   if (queue->second.empty()) {
     queues_.erase(queue);
   } else {
-    order_.push_back(sender);
+    order_.push_back(entry);
   }
   --waiting_;
   ++in_use_;
-  return run;
+  return attempt;
 }
 
-bool SlotQueue::Remove(std::uint64_t run) {
-  for (auto& [sender, queue] : queues_) {
-    const auto found = std::ranges::find(queue, run);
+bool SlotQueue::Remove(std::uint64_t attempt) {
+  for (auto& [entry, queue] : queues_) {
+    const auto found = std::ranges::find(queue, attempt);
     if (found == queue.end()) {
       continue;
     }
     queue.erase(found);
     --waiting_;
     if (queue.empty()) {
-      std::erase(order_, sender);
-      queues_.erase(core::InstanceId(sender));
+      std::erase(order_, entry);
+      queues_.erase(core::InstanceId(entry));
     }
     return true;
   }
@@ -72,14 +73,14 @@
 }
 
 std::vector<std::uint64_t> SlotQueue::TakeWaiting() {
-  std::vector<std::uint64_t> runs;
-  for (const auto& [sender, queue] : queues_) {
-    runs.insert(runs.end(), queue.begin(), queue.end());
+  std::vector<std::uint64_t> attempts;
+  for (const auto& [entry, queue] : queues_) {
+    attempts.insert(attempts.end(), queue.begin(), queue.end());
   }
   queues_.clear();
   order_.clear();
   waiting_ = 0;
-  return runs;
+  return attempts;
 }
 
 }  // namespace chalkwell::routing
--- a/packages/chalkwell/src/chalkwell/routing/stream_admission.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/stream_admission.cpp
@@ -47,29 +47,30 @@
   return request.age_ < request.target_;
 }
 
-AdmissionDecision DecideStream(EndpointTable& endpoints, ChoiceRequest wanted,
+AdmissionDecision DecideStream(EndpointTable& endpoints,
+                               ChoiceRequest constraints,
                                const StreamRequest& request,
                                core::TimePoint now) {
   AdmissionDecision decision;
   decision.on_time_ = CanBeOnTime(request);
-  wanted.on_time_ = decision.on_time_;
-  decision.choice_ = endpoints.Choose(wanted, now);
+  constraints.on_time_ = decision.on_time_;
+  decision.choice_ = endpoints.Choose(constraints, now);
   if (!decision.choice_) {
     decision.retry_after_ = kNoEndpointRetryDelay;
     return decision;
   }
-  const auto& engine = *wanted.engine_;
+  const auto& engine = *constraints.engine_;
   if (decision.on_time_ &&
       AdmitsOnTime(request, decision.choice_->time_to_first_byte_,
-                   ExtraPrefillTime(engine, wanted.prompt_tokens_))) {
+                   ExtraPrefillTime(engine, constraints.prompt_tokens_))) {
     return decision;
   }
   if (decision.on_time_) {
     // It would miss its target latency, so it gets no precedence over streams
     // that can still meet theirs.
     decision.on_time_ = false;
-    wanted.on_time_ = false;
-    decision.choice_ = endpoints.Choose(wanted, now);
+    constraints.on_time_ = false;
+    decision.choice_ = endpoints.Choose(constraints, now);
   }
   if (!decision.choice_ ||
       !AdmitsLate(engine, decision.choice_->requests_ahead_)) {
--- a/packages/chalkwell/src/chalkwell/routing/stream_admission.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/stream_admission.hpp
@@ -2,9 +2,10 @@
 //
 // After an outage, or while engines switch weights, retries and first attempts
 // together exceed the capacity of the engines. Served in order of arrival, all
-// of them would miss their target latency. Streams that can still meet it,
-// counted from their caller's first attempt, are on time and go first. The
-// others are late and get the slots that are left.
+// of them would miss their target latency. A stream is on time, and goes first,
+// if less than its target latency has passed since the caller's first attempt
+// and its first event is predicted within a fixed fraction of the target from
+// now. The others are late and get the slots that are left.
 #pragma once
 
 #include <cstdint>
@@ -24,14 +25,16 @@
   core::Duration age_{};
 };
 
-/// @brief Whether the first event can still meet the target latency.
+/// @brief Whether less than the target latency has passed since the caller's
+/// first attempt.
 [[nodiscard]] bool CanBeOnTime(const StreamRequest& request);
 
 /// @brief Result of the admission of a stream.
 struct AdmissionDecision {
   /// Whether it takes precedence over late streams.
   bool on_time_ = true;
-  /// The endpoint to send it to now; none if no endpoint can accept it.
+  /// The endpoint chosen; none if no endpoint can accept it. Send the stream
+  /// only if `retry_after_` is not set.
   std::optional<EndpointChoice> choice_;
   /// When the caller should retry; set if the stream is refused.
   std::optional<core::Duration> retry_after_;
@@ -39,9 +42,10 @@
 
 /// @brief Decides on the admission of a stream by the predicted time to its
 /// first event.
-/// @param wanted constraints on the endpoint.
+/// @param constraints constraints on the endpoint. `engine_` must not be null;
+/// `on_time_` is set here.
 [[nodiscard]] AdmissionDecision DecideStream(EndpointTable& endpoints,
-                                             ChoiceRequest wanted,
+                                             ChoiceRequest constraints,
                                              const StreamRequest& request,
                                              core::TimePoint now);
 
@@ -53,12 +57,14 @@
                                 core::Duration first_event,
                                 core::Duration extra_prefill);
 
-/// @brief Whether a late stream is admitted.
+/// @brief Whether few enough requests are ahead for a late stream to be
+/// admitted: less than a fixed fraction of the engine's slots.
 /// @param requests_ahead see EndpointChoice, of the engine it would be sent to.
 [[nodiscard]] bool AdmitsLate(const config::EngineProfile& engine,
                               std::uint32_t requests_ahead);
 
-/// @brief Scheduling priority at the engine; 0 is the most urgent.
+/// @brief Scheduling priority at the engine; 0 is the most urgent. It is
+/// `priority` if the stream is on time, and less urgent if it is late.
 /// @param priority priority of the route or account, if any.
 [[nodiscard]] std::optional<std::uint32_t> EnginePriority(
     std::optional<std::uint32_t> priority, bool on_time);
--- a/tests/routing/execution_guard_test.cpp
+++ b/tests/routing/execution_guard_test.cpp
@@ -32,13 +32,13 @@
   CHECK(guard.Use({kId, 7, issuer, 4}) == kAccepted);
   CHECK(guard.Use({kId, 6, issuer, 1}) == kOtherIncarnation);
   CHECK(guard.Use({core::InstanceId("c"), 7, issuer, 1}) == kOtherIncarnation);
-  CHECK(guard.Use({kId, 7, issuer + 1, 1}) == kExpired);
+  CHECK(guard.Use({kId, 7, issuer + 1, 1}) == kOutsideWindow);
   guard.CacheResponse(ticket, "answer");
   CHECK(guard.Use(ticket) == kResponseCached);
   CHECK(*guard.FindCachedResponse(ticket) == "answer");
   const auto above_window = 5 + ExecutionGuard::kWindowSize;
   CHECK(guard.Use({kId, 7, issuer, above_window}) == kAccepted);
-  CHECK(guard.Use({kId, 7, issuer, 3}) == kExpired);
+  CHECK(guard.Use({kId, 7, issuer, 3}) == kOutsideWindow);
 }
 
 TEST_CASE("the guard evicts the oldest issuers and responses", "[routing]") {
@@ -48,7 +48,7 @@
     (void)guard.RegisterIssuer();
   }
   CHECK(guard.issuer_count() == 4);
-  CHECK(guard.Use({kId, 7, first, 1}) == TicketStatus::kExpired);
+  CHECK(guard.Use({kId, 7, first, 1}) == TicketStatus::kOutsideWindow);
   const auto issuer = guard.RegisterIssuer();
   for (std::uint64_t i = 1; i <= 3; ++i) {
     guard.CacheResponse({kId, 7, issuer, i}, "x");
--- a/tests/routing/slot_queue_test.cpp
+++ b/tests/routing/slot_queue_test.cpp
@@ -54,7 +54,7 @@
 }
 
 TEST_CASE("recently active senders are counted, at least one", "[routing]") {
-  SlotQueue slots({.sender_activity_window_ = 5s});
+  SlotQueue slots({.entry_activity_window_ = 5s});
   CHECK(slots.active_senders(kStart) == 1);
   (void)slots.Offer(1, kNorth, kStart);
   (void)slots.Offer(2, kSouth, kStart + 3s);
