--- a/packages/chalkwell/src/chalkwell/swarm/assembly.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/assembly.hpp
@@ -38,8 +38,8 @@
   [[nodiscard]] bool complete() const noexcept;
 
   /// @brief Verifies the bytes of a chunk and adds it.
-  /// @return false when the digest or the index does not match; the caller must
-  /// discard the bytes.
+  /// @return false if the index is out of range, or the size or the digest does
+  /// not match; the caller must discard the bytes.
   [[nodiscard]] bool VerifyAndAdd(std::size_t index, std::string_view bytes);
   /// @brief Adds a chunk that the engine reports as present and verified.
   void MarkHeld(std::size_t index);
--- a/packages/chalkwell/src/chalkwell/swarm/fetch_window.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/fetch_window.hpp
@@ -13,8 +13,10 @@
 namespace chalkwell::swarm {
 
 struct FetchWindowSettings {
+  /// Sizes of the window in outstanding chunk requests.
   std::size_t min_size_ = 1;
-  /// Fills a link of 7 Mbit/s and 6 ms to peers that serve other members too.
+  /// Fills a link of 7 Mbit/s with a delay of 6 ms to peers that serve other
+  /// members too.
   std::size_t initial_size_ = 6;
   std::size_t max_size_ = 8;
   /// Configured rate of the local link. 0 means unknown: the transmission time
@@ -30,8 +32,8 @@
   /// as degraded. Peers that serve many members deliver a third of the rate,
   /// which must not count.
   double degraded_rate_fraction_ = 0.2;
-  /// Minimum time between two decreases: chunks requested before the first must
-  /// arrive before their delay shows its effect.
+  /// Minimum time between two decreases: the first one has an effect on the
+  /// delay only once the chunks requested before it have arrived.
   core::Duration min_decrease_interval_ = std::chrono::milliseconds(300);
 };
 
@@ -64,7 +66,9 @@
   struct Sample {
     core::TimePoint at_;
     core::Duration queueing_delay_;
-    /// Bytes of a whole window of chunks over the transfer time of this one.
+    /// Estimated rate of the link, assuming that a whole window of chunks was
+    /// in transfer: the bytes of the window over the transfer time of this
+    /// chunk.
     double bytes_per_second_ = 0;
   };
 
--- a/packages/chalkwell/src/chalkwell/swarm/manifest_search.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/manifest_search.hpp
@@ -18,8 +18,8 @@
 
 struct ManifestSearchSettings {
   /// A request without a reply for this long has the next source asked in
-  /// parallel; a reply usually takes some 10 ms. Without it, after a power loss
-  /// of all machines, 43 agents of one failure domain waited 1.5 s for
+  /// parallel; a reply usually takes some 10 ms. Without hedging, after a power
+  /// loss of all machines, 43 agents of one failure domain waited 1.5 s for
   /// connections that a saturated link had dropped, and their engines served
   /// 2.5 s after all others.
   core::Duration hedge_delay_ = std::chrono::milliseconds(250);
@@ -49,7 +49,7 @@
   [[nodiscard]] std::optional<ManifestSource> Next(
       std::span<const SwarmMember> holders,
       std::optional<std::size_t> origin_rank, core::TimePoint now);
-  /// @brief The last request failed: the next source may be asked at once.
+  /// @brief A request failed: the next source may be asked at once.
   void OnRequestFailed() noexcept { asked_at_.reset(); }
 
  private:
--- a/packages/chalkwell/src/chalkwell/swarm/neighbours.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/neighbours.hpp
@@ -15,13 +15,13 @@
 namespace chalkwell::swarm {
 
 struct NeighbourSettings {
-  /// Maximum number of neighbours in the local failure domain. Each member
-  /// receives announcements from as many members as it announces to. When
-  /// neighbours were chosen independently, some members received from only two
-  /// or three, and of 204 members, half of which were complete 4.0 s after the
-  /// publication of a version, the last was complete after 5.6 s; now it is
-  /// after 4.1 s, in simulated time. An announcement reaches 40 members in two
-  /// hops, 350 in three.
+  /// Maximum number of neighbours in the local failure domain, rounded up to an
+  /// even number. Each member receives announcements from as many members as it
+  /// announces to: with independently chosen neighbours some would receive from
+  /// only two or three. Of 204 simulated members, half of which are complete
+  /// 4.0 s after the publication of a version, the last one is complete after
+  /// 4.1 s; with independently chosen neighbours it was after 5.6 s. An
+  /// announcement reaches 40 members in two hops, 350 in three.
   std::size_t local_ = 8;
   /// Number of neighbours in each remote failure domain, so that a domain finds
   /// chunks in another one even if their importer is lost.
--- a/packages/chalkwell/src/chalkwell/swarm/older_version_chunks.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/older_version_chunks.hpp
@@ -1,6 +1,6 @@
 // Chunks of the version that an engine serves, kept while a newer version
-// overwrites them in its staging area: engines that start during a rollout can
-// fetch them.
+// overwrites them in the engine's staging area: engines that start during a
+// rollout can fetch them.
 #pragma once
 
 #include <cstddef>
@@ -32,8 +32,9 @@
   }
   /// @brief Whether a chunk would be lost if it were overwritten now.
   [[nodiscard]] bool NeedsCopy(std::size_t chunk) const;
-  /// @brief Keeps a copy of a staged chunk that is about to be overwritten.
-  /// When the copy exceeds the limit, the chunk is no longer available.
+  /// @brief Keeps a copy of a staged chunk that is about to be overwritten. If
+  /// the copies would exceed the limit, none is kept of this chunk and it is no
+  /// longer available.
   void SaveCopy(std::size_t chunk, std::string bytes);
   /// @brief Removes a chunk that can no longer be read, with its copy.
   void Remove(std::size_t chunk);
--- a/packages/chalkwell/src/chalkwell/swarm/origin_progress.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/origin_progress.hpp
@@ -1,5 +1,5 @@
-// Estimates when every chunk of a version has left the origin, from the rate at
-// which chunks became available among the members.
+// Estimates when every chunk of a version is held by some member, from the rate
+// at which chunks became available among the members.
 #pragma once
 
 #include <cstddef>
@@ -34,8 +34,8 @@
 
   std::size_t chunks_ = 0;
   core::TimePoint started_;
-  /// Increasing in both members; of the samples older than the sampling window
-  /// only the newest is kept.
+  /// Both fields increase; of the samples older than the sampling window only
+  /// the newest is kept.
   std::deque<Sample> samples_;
 };
 
--- a/packages/chalkwell/src/chalkwell/swarm/pacer.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/pacer.hpp
@@ -13,8 +13,8 @@
 class Pacer {
  public:
   /// @param bytes_per_second rate of the link; 0 means no limit.
-  /// @param burst how far ahead of the rate the sender may get, as time on the
-  /// link.
+  /// @param burst how much may be sent at once after an idle period, as its
+  /// transmission time.
   Pacer(std::uint64_t bytes_per_second, core::Duration burst);
 
   /// @brief Accounts for request traffic, which is never delayed; later weight
--- a/packages/chalkwell/src/chalkwell/swarm/planner.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/planner.cpp
@@ -176,29 +176,30 @@
 }
 
 std::vector<std::size_t> Planner::MissingRarestFirst() {
-  struct Ranked {
+  struct Candidate {
     HolderCount holders_;
-    std::uint64_t tie_;
+    std::uint64_t tie_breaker_;
     std::size_t chunk_;
   };
-  std::vector<Ranked> ranked;
+  std::vector<Candidate> candidates;
   for (std::size_t chunk = 0; chunk < chunks_.size(); ++chunk) {
     if (!held_.Has(chunk) && !outstanding_.contains(chunk)) {
       const auto holders = CountHolders(chunk);
       // Chunks fetched from the origin follow the order of the origin window.
       const bool in_order = settings_.origin_window_ > 0 && holders.total_ == 0;
-      ranked.push_back({holders, in_order ? chunk : random_(), chunk});
+      candidates.push_back({holders, in_order ? chunk : random_(), chunk});
     }
   }
-  std::ranges::sort(ranked, {}, [](const Ranked& entry) {
+  std::ranges::sort(candidates, {}, [](const Candidate& candidate) {
     // Chunks that no local member holds come first: the other local members
     // wait for their import.
-    return std::tuple(entry.holders_.local_, entry.holders_.total_, entry.tie_);
+    return std::tuple(candidate.holders_.local_, candidate.holders_.total_,
+                      candidate.tie_breaker_);
   });
   std::vector<std::size_t> missing;
-  missing.reserve(ranked.size());
-  for (const auto& entry : ranked) {
-    missing.push_back(entry.chunk_);
+  missing.reserve(candidates.size());
+  for (const auto& candidate : candidates) {
+    missing.push_back(candidate.chunk_);
   }
   return missing;
 }
@@ -277,7 +278,7 @@
   return *rank;
 }
 
-bool Planner::Skipped(std::size_t chunk, std::size_t ahead) const {
+bool Planner::IsSkipped(std::size_t chunk, std::size_t ahead) const {
   if (settings_.origin_window_ == 0 ||
       skip_counts_[chunk] < settings_.origin_window_ * ahead) {
     return false;
@@ -300,7 +301,7 @@
     return OriginFetchCause::kAssigned;
   }
   const auto ahead = rank - settings_.origin_copies_ + 1;
-  if (Skipped(chunk, ahead) && CountHolders(chunk).healthy_ == 0) {
+  if (IsSkipped(chunk, ahead) && CountHolders(chunk).healthy_ == 0) {
     return OriginFetchCause::kTakeover;
   }
   const auto idle = now - last_progress_;
--- a/packages/chalkwell/src/chalkwell/swarm/planner.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/planner.hpp
@@ -28,14 +28,17 @@
   /// Maximum number of outstanding requests to the origin.
   std::size_t max_origin_requests_ = 2;
   /// Size of the origin window: the first chunks, by index, that no member is
-  /// known to hold. Only these may be fetched from the origin, by all members
-  /// together, because the members share the origin's link and connections, and
-  /// chunks that it has sent can spread while it sends the next ones. 0 means
-  /// no limit.
+  /// known to hold, without those that as many later chunks have overtaken; the
+  /// overtaken ones may be fetched too. Only these may be fetched from the
+  /// origin, by all members together, because the members share the origin's
+  /// link and connections, and chunks that it has sent can spread while it
+  /// sends the next ones. 0 means no limit.
   std::size_t origin_window_ = 0;
-  /// The next member in the priority order fetches a chunk from the origin when
-  /// the swarm made no progress for this long, or when a whole window of later
-  /// chunks became available before the chunk.
+  /// A member fetches a chunk from the origin in place of the members ahead of
+  /// it in the priority order when for this time per member ahead no chunk
+  /// became available and no origin request of this member failed, or when one
+  /// origin window of later chunks per member ahead became available before the
+  /// chunk.
   core::Duration origin_takeover_timeout_ = std::chrono::seconds(2);
   /// Timeout of a chunk request.
   core::Duration chunk_timeout_ = std::chrono::seconds(5);
@@ -58,10 +61,10 @@
   core::InstanceId id_;
   core::FailureDomainId domain_;
   /// Its link is degraded. The member comes last in the priority order, and
-  /// chunks that only such members hold are fetched from the origin by others:
-  /// otherwise chunks would saturate its link, its responses to requests would
-  /// wait behind them, and all members would wait for the chunks that it
-  /// fetches.
+  /// chunks that only such members hold are fetched from the origin by others,
+  /// and from such a member only after `origin_takeover_timeout_`: otherwise
+  /// chunks would saturate its link, its responses to requests would wait
+  /// behind them, and all members would wait for the chunks that it fetches.
   bool degraded_ = false;
 
   friend bool operator==(const SwarmMember&, const SwarmMember&) = default;
@@ -70,7 +73,7 @@
 /// @brief A chunk to request now.
 struct FetchRequest {
   std::size_t chunk_ = 0;
-  /// None for the weight store or the origin.
+  /// None for the origin, which may be a weight store.
   std::optional<core::InstanceId> peer_;
 };
 
@@ -88,6 +91,7 @@
   Planner(SwarmMember self, PlannerSettings settings, std::uint64_t seed);
 
   [[nodiscard]] const ChunkSet& held() const noexcept { return held_; }
+  /// @brief Whether every chunk is held; true before Start().
   [[nodiscard]] bool complete() const noexcept { return held_.full(); }
   [[nodiscard]] std::size_t outstanding() const noexcept {
     return outstanding_.size();
@@ -116,6 +120,7 @@
     origin_available_ = available;
   }
   /// @brief Records the chunks that a connected peer announces.
+  /// @param peer its `degraded_` is ignored; SetMembers() sets it.
   void OnAnnounced(const SwarmMember& peer, const ChunkSet& chunks,
                    core::TimePoint now);
   void OnPeerLost(const core::InstanceId& peer);
@@ -147,7 +152,7 @@
     /// In the local failure domain.
     std::size_t local_ = 0;
     std::size_t total_ = 0;
-    /// Without degraded links.
+    /// Peers whose links are not degraded.
     std::size_t healthy_ = 0;
   };
   struct Request {
@@ -177,10 +182,12 @@
   [[nodiscard]] std::size_t OriginRank(std::size_t chunk) const;
   /// @brief First member in the priority order of a chunk.
   [[nodiscard]] const core::InstanceId& FirstInOrder(std::size_t chunk) const;
-  /// @brief Whether so many later chunks became available before this one that
-  /// the members ahead in its priority order are presumed lost.
+  /// @brief Whether at least one origin window of later chunks per member ahead
+  /// became available before this one, and the first member in its priority
+  /// order has no earlier chunk to fetch: the members ahead are then presumed
+  /// lost.
   /// @param ahead number of these members.
-  [[nodiscard]] bool Skipped(std::size_t chunk, std::size_t ahead) const;
+  [[nodiscard]] bool IsSkipped(std::size_t chunk, std::size_t ahead) const;
   /// @brief First chunk after the origin window.
   [[nodiscard]] std::size_t OriginWindowEnd() const;
   /// @brief Counts a chunk that became available as skipping the earlier ones
@@ -229,7 +236,8 @@
   /// When a chunk was last added to `available_`, or a request to the origin
   /// last failed: while the origin serves nobody, a lack of progress does not
   /// mean that the members ahead are lost. After an origin outage of 4 s the
-  /// origin sends 1.08 copies in total; without counting its failures, 1.11.
+  /// origin sends each chunk 1.08 times on average; without counting its failed
+  /// requests, 1.11 times.
   core::TimePoint last_progress_;
   std::uint64_t assigned_origin_fetches_ = 0;
   std::uint64_t takeover_origin_fetches_ = 0;
