--- a/packages/chalkwell/src/chalkwell/core/event.cpp
+++ b/packages/chalkwell/src/chalkwell/core/event.cpp
@@ -33,7 +33,8 @@
      "A published document is active in this process.", "None."},
     {kDocumentRefused, kWarning, "document-refused",
      "A published document was refused; the previous one stays active.",
-     "Read the reason; sign and publish a corrected document."},
+     "Read the reason; publish a corrected document, signed if its kind is "
+     "signed."},
     {kDocumentConflict, kWarning, "document-conflict",
      "Two documents have the same version but different content.",
      "Publish one document with a higher version."},
@@ -59,12 +60,12 @@
      "None: processes forward large rules to each other, and all documents "
      "while the store is unreachable."},
     {kControlTraffic, kInfo, "control-traffic",
-     "Bytes that this process sent to other processes of the system in the "
-     "last seconds, by kind; far_bytes went to other failure domains.",
+     "Bytes that this process sent to other processes of the system since the "
+     "previous such line, by kind; far_bytes went to other failure domains.",
      "None; docs/OPERATIONS.md lists the usual values."},
     {kStoreCalls, kInfo, "store-calls",
-     "Calls of this process to the configuration store in the last seconds, "
-     "by section and by cause.",
+     "Calls of this process to the configuration store since the previous such "
+     "line, by section (rules, weights, endpoints) and by cause.",
      "None; docs/OPERATIONS.md lists the usual values."},
     {kPeerConnected, kInfo, "peer-connected", "A stream to a peer was opened.",
      "None."},
@@ -101,7 +102,8 @@
      "A staged chunk no longer matches its digest and is fetched again.",
      "If it recurs at one instance, check its memory."},
     {kOlderWeightsFirst, kInfo, "older-weights-first",
-     "An engine without weights gets an older version that is still permitted.",
+     "An engine without weights first fetches an older version that may still "
+     "be used.",
      "If it persists, check the origin of weights."},
     {kTurnTaken, kInfo, "turn-taken",
      "This endpoint obtained a rollout slot and drains before it switches.",
@@ -120,15 +122,14 @@
      "The engine does not respond.", "Check the engine."},
     {kPauseNoticed, kWarning, "pause-noticed",
      "This process was suspended for longer than its lease; it queries the "
-     "state "
-     "of its engine again.",
+     "state of its engine again.",
      "Check the machine if it recurs."},
     {kEngineClaimed, kInfo, "engine-claimed",
      "This agent claims its engine with a fencing number.", "None."},
     {kAgentReplaced, kWarning, "agent-replaced",
      "Another agent claimed the engine with a higher fencing number; this "
      "agent accepts no more work. It claims the engine again after several "
-     "leases if the list still names it.",
+     "leases if the published instance list still names it.",
      "Stop this process if the list names another; if it recurs, look for a "
      "second agent of this engine."},
     {kRequestRefused, kInfo, "request-refused",
@@ -145,7 +146,9 @@
     {kLateAnswerDropped, kInfo, "late-answer-dropped",
      "A response to an abandoned attempt was discarded.", "None."},
     {kTicketRefused, kInfo, "ticket-refused",
-     "An execution ticket was refused.", "None."},
+     "An endpoint did not run a request: its execution ticket was used before, "
+     "is of another incarnation, or is too old.",
+     "None."},
     {kBadRequest, kInfo, "bad-request",
      "A caller's request is malformed; the response names the field.", "None."},
     {kAccountRefused, kInfo, "account-refused",
@@ -158,22 +161,21 @@
      "An attempt ended without a complete response.",
      "If it recurs at one endpoint, check that endpoint."},
     {kRequestEnded, kInfo, "request-ended",
-     "The outcome of an admitted request.", "None."},
+     "An admitted request ended; the fields give its outcome.", "None."},
     {kCallerGone, kInfo, "caller-gone",
      "A caller disconnected before its response was complete; its run is "
      "cancelled.",
      "None."},
     {kCallerLimit, kInfo, "caller-limit",
      "A request violated a limit on size, time or format.",
-     "Check the active limits if callers should be allowed to."},
+     "Raise the active limit if such requests should be allowed."},
     {kEndpointCrashed, kWarning, "endpoint-crashed",
      "An endpoint's process ended while requests were in flight there.",
-     "If the same request is suspected repeatedly, it is quarantined; "
-     "otherwise check the endpoint."},
+     "Check the endpoint, unless request-standing names a suspected request."},
     {kRequestStanding, kWarning, "request-standing",
      "A request was suspected of crashing endpoints, quarantined, or cleared; "
-     "crashes lists each crash with the entry that observed it.",
-     "Find its caller by the content of request-sent lines; lift a wrong "
+     "the field crashes lists each crash with the entry that observed it.",
+     "Find its caller by the field content of request-sent lines; lift a wrong "
      "quarantine with `chalkwell quarantine`."},
     {kRequestQuarantined, kInfo, "request-quarantined",
      "A request was refused because endpoints crashed while running similar "
--- a/packages/chalkwell/src/chalkwell/core/event.hpp
+++ b/packages/chalkwell/src/chalkwell/core/event.hpp
@@ -1,4 +1,5 @@
-// Numbered events; every log line, problem document and alarm carries one.
+// Numbered events; each log line, problem document and alarm carries the number
+// of one.
 #pragma once
 
 #include <span>
--- a/packages/chalkwell/src/chalkwell/core/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/core/fwd.hpp
@@ -16,8 +16,8 @@
 enum class EventNumber : std::uint16_t;
 
 /// @brief Monotonic time, passed to all time-dependent functions as an
-/// argument. Callers use a clock that advances while the machine is suspended,
-/// so that known state ages during a suspension.
+/// argument. Callers use CLOCK_BOOTTIME, as daemon::BootTime() does, so that
+/// known state ages during a suspension; steady_clock::now() stands still then.
 using TimePoint = std::chrono::steady_clock::time_point;
 /// @brief Wall-clock start time of a process, by its own clock. It identifies
 /// one incarnation and is never compared with other clocks.
--- a/packages/chalkwell/src/chalkwell/core/identifier.hpp
+++ b/packages/chalkwell/src/chalkwell/core/identifier.hpp
@@ -36,7 +36,7 @@
 using InstanceId = Identifier<InstanceTag>;
 using FailureDomainId = Identifier<FailureDomainTag>;
 using ClientAccountId = Identifier<ClientAccountTag>;
-/// @brief Name of the role that an endpoint serves.
+/// @brief Kind of work of an endpoint, to which routes and bundles refer.
 using Role = Identifier<RoleTag>;
 
 }  // namespace chalkwell::core
--- a/packages/chalkwell/src/chalkwell/core/json.cpp
+++ b/packages/chalkwell/src/chalkwell/core/json.cpp
@@ -5,17 +5,18 @@
 
 namespace chalkwell::core::internal {
 
-void ThrowFieldError(const std::string& field, const std::string& problem) {
-  throw Error(Step::kParse, "", "field '" + field + "' " + problem);
+void ThrowFieldError(const std::string& field, const std::string& rule) {
+  throw Error(Step::kParse, "", "field '" + field + "' " + rule);
 }
 
-nlohmann::json ParseObject(std::string_view text, const std::string& what) {
+nlohmann::json ParseObject(std::string_view text,
+                           const std::string& document_kind) {
   auto root = nlohmann::json::parse(text, nullptr, false);
   if (root.is_discarded()) {
-    ThrowFieldError(what, "must be well-formed JSON");
+    ThrowFieldError(document_kind, "must be well-formed JSON");
   }
   if (!root.is_object()) {
-    ThrowFieldError(what, "must be a JSON object");
+    ThrowFieldError(document_kind, "must be a JSON object");
   }
   return root;
 }
