--- a/packages/chalkwell/src/chalkwell/bundle/bundle.hpp
+++ b/packages/chalkwell/src/chalkwell/bundle/bundle.hpp
@@ -13,7 +13,8 @@
 
 namespace chalkwell::bundle {
 
-/// @brief A contiguous range of one file.
+/// @brief A contiguous range of one file; ranges follow each other in the order
+/// of ManifestFile::chunks_.
 struct Chunk {
   core::Digest digest_;
   /// Bytes, more than zero.
@@ -35,8 +36,8 @@
   [[nodiscard]] std::uint64_t size() const noexcept;
 };
 
-/// @brief All files of one version of the weights, identified by content
-/// digest.
+/// @brief All files of one version of the weights, identified by the
+/// BLAKE2b-256 digest of its serialized form.
 struct Manifest {
   /// Ordered by path; paths are unique.
   std::vector<ManifestFile> files_;
@@ -52,10 +53,13 @@
   /// At least 1, incremented by operators; the highest signed version is
   /// active.
   std::uint64_t version_ = 0;
+  /// Name of the model.
   std::string model_;
+  /// Names that requests may give instead of the model's.
   std::vector<std::string> adapters_;
   /// Roles of the endpoints that serve it; at least one.
   std::vector<core::Role> roles_;
+  /// Digest that identifies the manifest.
   core::Digest manifest_;
   /// Total size of all chunks in bytes.
   std::uint64_t total_size_ = 0;
--- a/packages/chalkwell/src/chalkwell/bundle/signature.hpp
+++ b/packages/chalkwell/src/chalkwell/bundle/signature.hpp
@@ -19,9 +19,11 @@
 struct PublicKey {
   std::array<std::uint8_t, 32> bytes_{};
 
-  /// @brief Key id: the first 16 hexadecimal digits of the key's digest.
+  /// @brief Key id: the first 16 hexadecimal digits of the key's BLAKE2b-256
+  /// digest.
   [[nodiscard]] std::string KeyId() const;
   [[nodiscard]] std::string ToHex() const;
+  /// @return std::nullopt unless the text is 64 hexadecimal digits.
   [[nodiscard]] static std::optional<PublicKey> FromHex(std::string_view text);
 
   friend bool operator==(const PublicKey&, const PublicKey&) = default;
@@ -37,14 +39,17 @@
   /// 32 bytes; for tests and demos only.
   [[nodiscard]] static KeyPair FromSeed(std::string_view seed);
   [[nodiscard]] std::string SecretToHex() const;
+  /// @return std::nullopt unless the text is 128 hexadecimal digits; otherwise
+  /// the secret is not checked.
   [[nodiscard]] static std::optional<KeyPair> FromSecretHex(
       std::string_view text);
 };
 
-/// @brief A payload with the signature over its exact bytes.
+/// @brief A payload with the signature over its context and its exact bytes.
 struct SignedEnvelope {
   std::string payload_;
   std::string key_id_;
+  /// 64 raw bytes.
   std::string signature_;
 };
 
