--- a/packages/chalkwell/src/chalkwell/config/published_lists.hpp
+++ b/packages/chalkwell/src/chalkwell/config/published_lists.hpp
@@ -1,4 +1,5 @@
 // Published lists of instances, client accounts and routes, and their parsers.
+// The direct path (daemon/direct) uses TrafficRules instead of the latter two.
 #pragma once
 
 #include <cstdint>
--- a/packages/chalkwell/src/chalkwell/rollout/first_fetch.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/first_fetch.hpp
@@ -16,8 +16,7 @@
   /// Transfer time of the missing part of the newest version on this
   /// instance's link.
   core::Duration newest_transfer_{};
-  /// Transfer time of the missing part of the older version, of which peers
-  /// hold every chunk.
+  /// Transfer time of the older version, of which peers hold every chunk.
   core::Duration older_transfer_{};
   /// Until requests may no longer start on the older version.
   core::Duration older_expiry_{};
