--- a/packages/emulator/src/emulator/engine.hpp
+++ b/packages/emulator/src/emulator/engine.hpp
@@ -21,15 +21,17 @@
   std::uint32_t priority_ = 0;
 };
 
-/// @brief Notifications about the requests of an engine.
+/// @brief Notifications about the requests of an engine, called from
+/// AdvanceTo() and Submit().
 struct EngineCallbacks {
   std::function<void(std::uint64_t id, core::TimePoint now)> on_first_event_;
+  /// Only for complete requests, not after Cancel() or Restart().
   std::function<void(std::uint64_t id, core::TimePoint now)> on_end_;
 };
 
 /// @brief Simulates an engine pass by pass. Each pass admits waiting requests,
-/// prefills prompts in order, and generates tokens for each request whose
-/// prompt is complete.
+/// prefills up to 2,048 prompt tokens in order of admission, and generates
+/// tokens for each request whose prompt is complete.
 class Engine {
  public:
   /// @param queue_limit maximum number of waiting requests.
--- a/packages/emulator/src/emulator/fleet.cpp
+++ b/packages/emulator/src/emulator/fleet.cpp
@@ -41,7 +41,7 @@
   std::size_t entry_ = 0;
   std::size_t engine_ = 0;
   core::TimePoint sent_at_;
-  core::Duration predicted_{};
+  core::Duration predicted_time_to_first_byte_{};
   bool on_time_ = true;
   bool in_flight_ = false;
   bool started_ = false;
@@ -198,6 +198,7 @@
     Retry(id, spec_.reconnect_delay_);
     return;
   }
+  // The factor keeps a rounded result below the number of entries.
   call.entry_ = static_cast<std::size_t>(Uniform() * 0.999999 *
                                          static_cast<double>(entries_.size()));
   auto& entry = entries_[call.entry_];
@@ -235,15 +236,17 @@
     return decision.retry_after_;
   }
   const auto& chosen = *decision.choice_;
+  // The number after "engine-", see IdOf().
   call.engine_ = std::stoul(chosen.row_.id_.value().substr(7));
   call.on_time_ = decision.on_time_;
   call.sent_at_ = now_;
-  call.predicted_ = chosen.time_to_first_byte_;
+  call.predicted_time_to_first_byte_ = chosen.time_to_first_byte_;
   const auto priority = routing::EnginePriority(1, decision.on_time_);
   const bool accepted = engines_[call.engine_].Submit(
       {id, call.prompt_tokens_, call.output_tokens_, priority.value_or(1)},
       now_);
   if (!accepted) {
+    // The engine's queue is full or the engine is not ready.
     return std::chrono::milliseconds(500);
   }
   call.in_flight_ = true;
@@ -286,8 +289,8 @@
   call.started_ = true;
   call.first_event_at_ = now;
   entries_[call.entry_].endpoints_->OnFirstByte(
-      IdOf(call.engine_), call.prompt_tokens_, call.sent_at_, call.predicted_,
-      now);
+      IdOf(call.engine_), call.prompt_tokens_, call.sent_at_,
+      call.predicted_time_to_first_byte_, now);
 }
 
 void Simulation::OnEnd(std::uint64_t id, core::TimePoint now) {
@@ -370,6 +373,7 @@
   for (const auto& outage : spec_.outages_) {
     Schedule(kStart + outage.at_, [this, outage] { StartOutage(outage); });
   }
+  // Requests that arrive near the end get 8 s to finish.
   const auto end = kStart + spec_.duration_ + std::chrono::seconds(8);
   while (!events_.empty() && events_.top().at_ < end) {
     const auto event = events_.top();
--- a/packages/emulator/src/emulator/fleet.hpp
+++ b/packages/emulator/src/emulator/fleet.hpp
@@ -26,10 +26,13 @@
   double output_tokens_ = 0;
   /// Standard deviation of the logarithm of both sizes.
   double size_sigma_ = 0;
+  /// Target latency of the first event, counted from the first attempt.
   core::Duration target_{};
-  /// Time in which a caller wants the response.
+  /// Time in which a caller wants the response; entries learn what is left of
+  /// it at each attempt.
   core::Duration time_budget_{};
-  /// Time budgets are uniform between the full one and this share less.
+  /// Time budgets are uniform between (1 - spread) * `time_budget_` and
+  /// `time_budget_`.
   double time_budget_spread_ = 0;
 };
 
@@ -54,7 +57,8 @@
   std::size_t engines_ = 20;
   std::size_t entries_ = 9;
   /// Number of failure domains, to which engines and entries are assigned
-  /// round-robin. With 0, each entry uses all engines, else its own subset.
+  /// round-robin. With 0, each entry uses all engines, else the subset that
+  /// routing::EndpointTable selects.
   std::size_t domains_ = 0;
   std::size_t engine_queue_limit_ = 32;
   std::vector<RequestClass> classes_;
@@ -68,9 +72,10 @@
   core::Duration duration_ = std::chrono::seconds(20);
   core::Duration report_interval_ = std::chrono::milliseconds(110);
   core::Duration report_delay_ = std::chrono::milliseconds(3);
-  /// A caller cancels its request if no event arrives for this long.
+  /// A caller cancels its request if the first event does not arrive within
+  /// this time after it was sent.
   core::Duration caller_timeout_ = std::chrono::milliseconds(2400);
-  /// Delay after which a caller without a response retries during an outage.
+  /// Delay before the retry of an attempt made during an outage.
   core::Duration reconnect_delay_ = std::chrono::seconds(1);
   std::uint64_t seed_ = 1;
   /// Whether entries let late requests wait for those that are on time.
@@ -79,11 +84,12 @@
 
 /// @brief Outcomes of the requests whose first attempt was made in one second.
 struct SecondStats {
+  /// Requests that ended.
   std::uint32_t requests_ = 0;
   std::uint32_t within_target_ = 0;
   /// The first event came after the target latency.
   std::uint32_t late_ = 0;
-  /// The caller cancelled, or its second attempt failed too.
+  /// The caller timed out, or its second attempt was refused or met an outage.
   std::uint32_t failed_ = 0;
   /// Requests whose first attempt was refused.
   std::uint32_t first_attempts_refused_ = 0;
