--- a/packages/chalkwell/src/chalkwell/routing/endpoint_choice.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_choice.cpp
@@ -16,8 +16,8 @@
 /// Requests in flight assumed per request of this entry while there is no
 /// recent report, because other entries send requests too.
 constexpr std::uint32_t kUnreportedFactor = 3;
-/// Upper limit of the random cost in milliseconds, for plain services and late
-/// requests; the minimum of that limit for others.
+/// Smallest upper limit of the random cost, in milliseconds; used for plain
+/// services and late requests.
 constexpr double kMinRandomCostLimitMs = 2;
 
 /// Mean interval at which slots become free at a full engine, in milliseconds.
--- a/packages/chalkwell/src/chalkwell/routing/list_history.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/list_history.hpp
@@ -26,7 +26,7 @@
   /// configuration store.
   /// @return the change to publish; the full list if the last read was longer
   /// ago than kMaxReadGap, since others may meanwhile have published rows that
-  /// it never saw.
+  /// this process never saw.
   EndpointListChange OnRead(std::uint64_t revision,
                             std::vector<EndpointRow> rows, bool complete,
                             core::TimePoint now);
--- a/tests/routing/slot_queue_test.cpp
+++ b/tests/routing/slot_queue_test.cpp
@@ -19,7 +19,7 @@
 const core::InstanceId kNorth("north");
 const core::InstanceId kSouth("south");
 
-TEST_CASE("a run starts, waits or is refused", "[routing]") {
+TEST_CASE("an attempt starts, waits or is refused", "[routing]") {
   struct Row {
     int before_;
     SlotDecision verdict_;
@@ -29,19 +29,19 @@
                Row{2, SlotDecision::kWait}, Row{4, SlotDecision::kWait},
                Row{5, SlotDecision::kFull});
   SlotQueue slots({.capacity_ = 2, .max_waiting_ = 3});
-  std::uint64_t run = 0;
+  std::uint64_t attempt = 0;
   for (int i = 0; i < row.before_; ++i) {
-    (void)slots.Offer(++run, kNorth, kStart);
+    (void)slots.Offer(++attempt, kNorth, kStart);
   }
-  CHECK(slots.Offer(++run, kSouth, kStart) == row.verdict_);
+  CHECK(slots.Offer(++attempt, kSouth, kStart) == row.verdict_);
 }
 
 TEST_CASE("slots are assigned round robin over entries, whatever their load",
           "[routing]") {
   SlotQueue slots({.capacity_ = 1, .max_waiting_ = 10});
   (void)slots.Offer(1, kNorth, kStart);
-  for (const std::uint64_t run : {2, 3, 4}) {
-    (void)slots.Offer(run, kNorth, kStart);
+  for (const std::uint64_t attempt : {2, 3, 4}) {
+    (void)slots.Offer(attempt, kNorth, kStart);
   }
   (void)slots.Offer(5, kSouth, kStart);
   std::vector<std::uint64_t> order;
@@ -53,7 +53,7 @@
   CHECK(order == std::vector<std::uint64_t>{2, 5, 3, 4});
 }
 
-TEST_CASE("recently active senders are counted, at least one", "[routing]") {
+TEST_CASE("recently active entries are counted, at least one", "[routing]") {
   SlotQueue slots({.entry_activity_window_ = 5s});
   CHECK(slots.active_senders(kStart) == 1);
   (void)slots.Offer(1, kNorth, kStart);
@@ -70,7 +70,8 @@
 };
 
 TEST_CASE(
-    "no run is lost or started twice, and no slot is free while runs wait",
+    "no attempt is lost or started twice, and no slot is free while attempts "
+    "wait",
     "[routing]") {
   rc::prop("slot queue", [] {
     constexpr std::size_t kCapacity = 3;
@@ -79,24 +80,24 @@
     SlotModel model;
     std::uint64_t next = 0;
     const auto start_waiting = [&] {
-      while (const auto run = slots.Next()) {
-        RC_ASSERT(model.waiting_.erase(*run) == 1U);
-        RC_ASSERT(model.running_.insert(*run).second);
+      while (const auto attempt = slots.Next()) {
+        RC_ASSERT(model.waiting_.erase(*attempt) == 1U);
+        RC_ASSERT(model.running_.insert(*attempt).second);
       }
     };
     const auto steps =
         *rc::gen::container<std::vector<int>>(300, rc::gen::inRange(0, 100));
     for (const int step : steps) {
-      const int sender = step % 4;
+      const int entry = step % 4;
       if (step < 60) {
         const auto verdict = slots.Offer(
-            ++next, core::InstanceId(std::to_string(sender)), kStart);
+            ++next, core::InstanceId(std::to_string(entry)), kStart);
         const bool full = model.running_.size() == kCapacity;
         RC_ASSERT((verdict == SlotDecision::kStart) == !full);
         if (verdict == SlotDecision::kStart) {
           model.running_.insert(next);
         } else if (verdict == SlotDecision::kWait) {
-          model.waiting_[next] = sender;
+          model.waiting_[next] = entry;
         } else {
           RC_ASSERT(model.waiting_.size() == kMaxWaiting);
         }
@@ -105,10 +106,10 @@
         slots.Release();
         start_waiting();
       } else if (step < 97 && !model.waiting_.empty()) {
-        const auto run = model.waiting_.begin()->first;
-        model.waiting_.erase(run);
-        RC_ASSERT(slots.Remove(run));
-        RC_ASSERT(!slots.Remove(run));
+        const auto attempt = model.waiting_.begin()->first;
+        model.waiting_.erase(attempt);
+        RC_ASSERT(slots.Remove(attempt));
+        RC_ASSERT(!slots.Remove(attempt));
       } else if (step >= 97) {
         RC_ASSERT(slots.TakeWaiting().size() == model.waiting_.size());
         model.waiting_.clear();
