--- a/packages/chalkwell/src/chalkwell/config/published_lists.hpp
+++ b/packages/chalkwell/src/chalkwell/config/published_lists.hpp
@@ -1,5 +1,6 @@
 // Published lists of instances, client accounts and routes, and their parsers.
-// The direct path (daemon/direct) uses TrafficRules instead of the latter two.
+// The direct path (daemon/direct) uses TrafficRules and an endpoint list
+// instead.
 #pragma once
 
 #include <cstdint>
--- a/packages/chalkwell/src/chalkwell/core/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/core/fwd.hpp
@@ -20,7 +20,8 @@
 /// known state ages during a suspension; steady_clock::now() stands still then.
 using TimePoint = std::chrono::steady_clock::time_point;
 /// @brief Wall-clock start time of a process, by its own clock. It identifies
-/// one incarnation and is never compared with other clocks.
+/// one incarnation; it is never compared with other clocks and not ordered: the
+/// clock may be stepped back.
 using StartTime = std::chrono::sys_time<std::chrono::milliseconds>;
 using Duration = std::chrono::steady_clock::duration;
 
