--- a/packages/daemon/src/daemon/direct/direct_agent.cpp
+++ b/packages/daemon/src/daemon/direct/direct_agent.cpp
@@ -82,14 +82,14 @@
       reader_(process.loop(), adapter_.store_,
               ReaderSettingsOf(process.settings()), process.log(),
               process.metrics(),
-              [this](Section, const Published& published) {
+              [this](Section, const StoreSnapshot& published) {
                 OnPublished(published);
               }),
       mesh_(
           process.loop(), SelfOf(process), MeshSettingsOf(process.settings()),
           process.log(), process.metrics(),
           {.on_load_ = nullptr,
-           .on_held_ =
+           .on_held_chunks_ =
                [this](const membership::Member& sender,
                       const HeldMessage& held) {
                  weights_.OnHeld(sender, held);
@@ -136,7 +136,7 @@
   mesh_.Start();
   AskFacts();
   PollEngine();
-  process_.Run([this] { mesh_.Leave(); });
+  process_.Run([this] { mesh_.AnnounceLeaving(); });
 }
 
 void DirectAgent::AskFacts() {
@@ -193,7 +193,7 @@
   }
 }
 
-void DirectAgent::OnPublished(const Published& published) {
+void DirectAgent::OnPublished(const StoreSnapshot& published) {
   if (published.rules_) {
     if (const auto facts = FactsOf(*published.rules_, service_)) {
       TakeFacts(*facts);
@@ -254,17 +254,17 @@
   load.endpoint_ = endpoint_;
   load.active_ = report->load_.active_;
   load.queued_ = report->load_.queued_;
-  load.accepting_ = !weights_.switching() && !report->ordered_;
+  load.accepting_ = !weights_.switching() && !report->activating_;
   load.pace_ = static_cast<std::uint32_t>(report->load_.slowdown_ * kPaceUnit);
   const auto inbound = InboundDelay(now);
   load.inbound_ms_ = static_cast<std::uint32_t>(
       std::chrono::duration_cast<milliseconds>(inbound).count());
   load.started_ms_ = ToMs(report->started_);
-  const auto held = report->models_.find(model_);
-  if (held != report->models_.end()) {
+  const auto held = report->model_versions_.find(model_);
+  if (held != report->model_versions_.end()) {
     load.version_ = held->second;
   }
-  orders_ = report->orders_;
+  orders_ = report->activation_count_;
   started_ = report->started_;
   version_ = load.version_;
   const bool changed = !last_load_ || !SameLoad(*last_load_, load);
@@ -279,10 +279,10 @@
 }
 
 bool DirectAgent::Restarted(const EngineReport& report) const {
-  const auto held = report.models_.find(model_);
-  const auto version = held == report.models_.end() ? 0 : held->second;
+  const auto held = report.model_versions_.find(model_);
+  const auto version = held == report.model_versions_.end() ? 0 : held->second;
   return routing::StartTimesDiffer(report.started_, started_) ||
-         report.orders_ < orders_ || version < version_;
+         report.activation_count_ < orders_ || version < version_;
 }
 
 void DirectAgent::AskIncarnation() {
@@ -314,7 +314,7 @@
                               {"serving_version", weights_.serving()},
                               {"pieces_held", weights_.held().count()},
                               {"pieces", weights_.held().size()},
-                              {"members", mesh_.Live().size()}};
+                              {"members", mesh_.LiveMembers().size()}};
   return status.dump();
 }
 
--- a/packages/daemon/src/daemon/direct/direct_agent.hpp
+++ b/packages/daemon/src/daemon/direct/direct_agent.hpp
@@ -28,7 +28,7 @@
  private:
   void PollEngine();
   void OnReport(const std::optional<EngineReport>& report);
-  void OnPublished(const Published& published);
+  void OnPublished(const StoreSnapshot& published);
   void TakeFacts(const EngineFacts& facts);
   /// @brief Asks what the engine's service is, and which other agents there
   /// are, from time to time.
--- a/packages/daemon/src/daemon/direct/direct_entry.cpp
+++ b/packages/daemon/src/daemon/direct/direct_entry.cpp
@@ -87,13 +87,13 @@
       reader_(process.loop(), adapter_.store_,
               ReaderSettingsOf(process.settings()), process.log(),
               process.metrics(),
-              [this](Section section, const Published& published) {
+              [this](Section section, const StoreSnapshot& published) {
                 OnPublished(section, published);
               }),
       mesh_(process.loop(), SelfOf(process), MeshSettingsOf(process.settings()),
             process.log(), process.metrics(),
             {.on_load_ = [this](const LoadMessage& load) { OnLoad(load); },
-             .on_held_ = nullptr,
+             .on_held_chunks_ = nullptr,
              .on_subscribe_ = nullptr,
              .on_agent_ =
                  [this](const std::string& agent) {
@@ -107,7 +107,7 @@
                  },
              .on_lost_ =
                  [this](const membership::Member& member) {
-                   keeper_.OnLost(member);
+                   keeper_.OnMemberLost(member);
                  },
              .on_departed_ =
                  [this](const DepartedMessage& departed) {
@@ -116,12 +116,12 @@
              .on_list_ =
                  [this](const membership::Member& teller,
                         const ListMessage& list, core::TimePoint sent_at) {
-                   list_.OnChange(teller, list, sent_at);
+                   list_.OnListMessage(teller, list, sent_at);
                  },
              .on_rules_ =
                  [this](const membership::Member& member, std::uint64_t version,
                         bool watches) {
-                   keeper_.OnHeard(member, version, watches);
+                   keeper_.OnVersionAnnounced(member, version, watches);
                  },
              .on_crashes_ =
                  [this](const membership::Member& sender,
@@ -132,7 +132,7 @@
              .crashes_ =
                  [this](std::size_t most) { return quarantine_.Sample(most); },
              .rules_version_ = [this] { return keeper_.version(); },
-             .watches_rules_ = [this] { return keeper_.watches(); },
+             .watches_rules_ = [this] { return keeper_.is_watcher(); },
              .weights_ =
                  [this] {
                    std::map<std::string, std::uint64_t> known;
@@ -146,7 +146,7 @@
       list_(process.loop(), endpoints_, mesh_, process.log(),
             EndpointListSettingsOf(process.settings()),
             {.read_ = [this] { reader_.ReadNow(Section::kEndpoints); },
-             .named_ =
+             .is_known_service_ =
                  [this](const std::string& service) {
                    return rules_.empty() || rules_.HasService(service);
                  }}),
@@ -155,7 +155,7 @@
               [this](const config::TrafficRules& rules,
                      const std::string& source) { TakeRules(rules, source); }),
       relay_(process.loop(), adapter_.store_, mesh_, process.log(),
-             [this](Section section, const Published& published) {
+             [this](Section section, const StoreSnapshot& published) {
                TakePublished(section, published, "peer");
              }),
       stop_timer_(process.loop()),
@@ -224,7 +224,7 @@
 }
 
 void DirectEntry::BeginStop() {
-  mesh_.Leave();
+  mesh_.AnnounceLeaving();
   callers_->CloseAfterAnswers();
   process_.stop().OnWorkAccepted();
   stop_timer_.Once(kStopListening, [this] {
@@ -262,23 +262,23 @@
   return limits;
 }
 
-void DirectEntry::OnPublished(Section section, const Published& published) {
+void DirectEntry::OnPublished(Section section, const StoreSnapshot& published) {
   if (section == Section::kRules) {
     keeper_.OnPublished(published);
     return;
   }
-  relay_.Keep(section, published);
+  relay_.Store(section, published);
   TakePublished(section, published, std::string(kStoreSource));
 }
 
 void DirectEntry::AskPeersIfCutOff() {
   const auto away = process_.loop().Now() - reader_.reachable_since();
   if (!reader_.reachable() && away >= kRelayInterval) {
-    relay_.Ask();
+    relay_.Fetch();
   }
 }
 
-void DirectEntry::TakePublished(Section section, const Published& published,
+void DirectEntry::TakePublished(Section section, const StoreSnapshot& published,
                                 const std::string& source) {
   for (const auto& weights : published.weights_) {
     TakeWeights(weights, source == kStoreSource);
@@ -319,7 +319,7 @@
                        {{"model", weights.model_},
                         {"version", std::to_string(weights.version_)}});
   // The time of a bound runs from the naming, not from its being heard.
-  if (from_store || keeper_.watches()) {
+  if (from_store || keeper_.is_watcher()) {
     mesh_.TellNews();
   }
   subscribed_.clear();
@@ -548,7 +548,7 @@
                               {"rules_version", rules_.rules().version_},
                               {"bundle_version", 0},
                               {"model", ""},
-                              {"members", mesh_.Live().size()},
+                              {"members", mesh_.LiveMembers().size()},
                               {"requests_in_flight", in_flight_},
                               {"requests_waiting", 0},
                               {"quarantine", quarantine_.Status()},
--- a/packages/daemon/src/daemon/direct/direct_entry.hpp
+++ b/packages/daemon/src/daemon/direct/direct_entry.hpp
@@ -39,7 +39,7 @@
  private:
   /// @brief Takes what may change while the process runs.
   void TakeSettings();
-  void OnPublished(Section section, const Published& published);
+  void OnPublished(Section section, const StoreSnapshot& published);
   void TakeRules(const config::TrafficRules& rules, const std::string& source);
   /// @brief Answers a call of another process of the system.
   void OnPeer(const PeerCallPtr& call);
@@ -48,7 +48,7 @@
   /// @brief Asks the agents of the endpoints in use for their reports, those
   /// that are due.
   void Subscribe();
-  void TakePublished(Section section, const Published& published,
+  void TakePublished(Section section, const StoreSnapshot& published,
                      const std::string& source);
   void AskPeersIfCutOff();
   void OnLoad(const LoadMessage& message);
--- a/packages/daemon/src/daemon/direct/direct_request.cpp
+++ b/packages/daemon/src/daemon/direct/direct_request.cpp
@@ -159,7 +159,8 @@
   };
   options.is_ours_ = [this,
                       self = shared_from_this()](const HttpHeaders& headers) {
-    return context_.adapter_.requests_.answers_(headers, request_.caller_.id_);
+    return context_.adapter_.requests_.matches_request_(headers,
+                                                        request_.caller_.id_);
   };
   const auto number = send.attempt_;
   auto http = context_.adapter_.requests_.write_attempt_(
--- a/packages/daemon/src/daemon/direct/endpoint_list.cpp
+++ b/packages/daemon/src/daemon/direct/endpoint_list.cpp
@@ -50,7 +50,7 @@
 void EndpointList::LeaveOutUnnamed(std::vector<routing::EndpointRow>& rows) {
   std::set<core::InstanceId> unnamed;
   std::erase_if(rows, [&](const routing::EndpointRow& row) {
-    const bool known = hooks_.named_(row.service_);
+    const bool known = hooks_.is_known_service_(row.service_);
     if (!known && unnamed.insert(row.id_).second &&
         !unnamed_.contains(row.id_)) {
       log_.Write(
@@ -63,15 +63,15 @@
   unnamed_ = std::move(unnamed);
 }
 
-void EndpointList::TakeRead(Published published, bool from_store) {
+void EndpointList::TakeRead(StoreSnapshot published, bool from_store) {
   LeaveOutUnnamed(published.endpoints_);
   const auto now = loop_.Now();
   const auto before = endpoints_.Rows();
-  outage_.OnListReceived(published.asked_at_, now);
+  outage_.OnListReceived(published.as_of_, now);
   const bool complete = !outage_.LeasesMayHaveExpired(now);
   endpoints_.ApplyList(published.endpoints_, published.revision_, complete, now,
-                       published.asked_at_);
-  endpoints_.ConfirmAsOf(published.asked_at_);
+                       published.as_of_);
+  endpoints_.ConfirmAsOf(published.as_of_);
   const auto after = endpoints_.Rows();
   if (before != after) {
     LogChange(from_store ? "store" : "peer");
@@ -113,10 +113,10 @@
   }
 }
 
-void EndpointList::TellOthers(const Published& published, bool complete) {
+void EndpointList::TellOthers(const StoreSnapshot& published, bool complete) {
   auto change = history_.OnRead(published.revision_, published.endpoints_,
                                 complete, loop_.Now());
-  change.as_of_ = published.asked_at_;
+  change.as_of_ = published.as_of_;
   if (duty_.IsReader(loop_.Now()) && change.rows_.size() <= kMaxRows) {
     mesh_.TellList(ToMessage(change, loop_.Now()));
   }
@@ -133,10 +133,10 @@
   RunWaiting();
 }
 
-void EndpointList::OnChange(const membership::Member& teller,
-                            const ListMessage& message,
-                            core::TimePoint sent_at) {
-  if (message.tried_) {
+void EndpointList::OnListMessage(const membership::Member& teller,
+                                 const ListMessage& message,
+                                 core::TimePoint sent_at) {
+  if (message.read_failed_) {
     duty_.OnPeerReadFailed(loop_.Now());
     outage_.OnReadFailed();
     return;
@@ -182,13 +182,13 @@
     const auto now =
         std::ranges::find(after, row.id_, &routing::EndpointRow::id_);
     if (now == after.end()) {
-      departed.gone_.push_back(ToMessage(row.incarnation()));
+      departed.removed_.push_back(ToMessage(row.incarnation()));
     } else if (now->leaving_ && !row.leaving_) {
       departed.leaving_.push_back(ToMessage(now->incarnation()));
     }
   }
-  if (!departed.leaving_.empty() || !departed.gone_.empty()) {
-    mesh_.TellDeparted(departed);
+  if (!departed.leaving_.empty() || !departed.removed_.empty()) {
+    mesh_.PublishDeparted(departed);
   }
 }
 
@@ -197,7 +197,7 @@
     endpoints_.MarkLeaving(ToLife(life));
   }
   // One that came back is in the next list that is read.
-  for (const auto& life : departed.gone_) {
+  for (const auto& life : departed.removed_) {
     endpoints_.MarkTerminated(ToLife(life));
   }
 }
@@ -208,7 +208,7 @@
   };
   const auto own = rank(mesh_.self().domain_);
   std::set<core::FailureDomainId> ahead;
-  for (const auto& member : mesh_.Live()) {
+  for (const auto& member : mesh_.LiveMembers()) {
     if (rank(member.domain_) > own) {
       ahead.insert(member.domain_);
     }
--- a/packages/daemon/src/daemon/direct/endpoint_list.hpp
+++ b/packages/daemon/src/daemon/direct/endpoint_list.hpp
@@ -34,7 +34,7 @@
   /// Reads the list now.
   std::function<void()> read_;
   /// Whether the rules in force name a service.
-  std::function<bool(const std::string& service)> named_;
+  std::function<bool(const std::string& service)> is_known_service_;
 };
 
 /// @brief Keeps an entry's table of endpoints up with the list.
@@ -48,11 +48,11 @@
   /// @param from_store whether this process read it itself.
   /// Rows of services that nobody named are left out: they may have another
   /// writer, and one that bears a good endpoint's address would hide it.
-  void TakeRead(Published published, bool from_store);
+  void TakeRead(StoreSnapshot published, bool from_store);
   /// @brief A member told what it, or another one, read.
   /// @param sent_at when it did, by the own clock.
-  void OnChange(const membership::Member& teller, const ListMessage& message,
-                core::TimePoint sent_at);
+  void OnListMessage(const membership::Member& teller,
+                     const ListMessage& message, core::TimePoint sent_at);
   /// @brief The store did not answer a read.
   void OnReadFailed();
   /// @brief Any entry told which endpoints leave.
@@ -66,7 +66,7 @@
 
  private:
   /// @param complete whether no lease can have lapsed unseen.
-  void TellOthers(const Published& published, bool complete);
+  void TellOthers(const StoreSnapshot& published, bool complete);
   void TellDeparted(const std::vector<routing::EndpointRow>& before,
                     const std::vector<routing::EndpointRow>& after);
   /// @brief Other failure domains that come before the own one in reading.
--- a/packages/daemon/src/daemon/direct/engine_facts.cpp
+++ b/packages/daemon/src/daemon/direct/engine_facts.cpp
@@ -93,7 +93,7 @@
       done_(std::move(done)) {}
 
 std::optional<membership::Member> FactsAsker::NextEntry() {
-  auto entries = mesh_.Live();
+  auto entries = mesh_.LiveMembers();
   std::erase_if(entries, [](const membership::Member& member) {
     return member.kind_ != membership::MemberKind::kEntry || member.leaving_;
   });
--- a/packages/daemon/src/daemon/direct/hooks.hpp
+++ b/packages/daemon/src/daemon/direct/hooks.hpp
@@ -29,7 +29,7 @@
   std::optional<core::Duration> time_left_;
   /// Tokens of the prompt, and the most that may come out; 0 when not given.
   double prompt_tokens_ = 0;
-  double answer_tokens_ = 0;
+  double max_output_tokens_ = 0;
 };
 
 /// @brief What an attempt demands of its endpoint.
@@ -69,7 +69,7 @@
       read_answer_;
   /// Whether an answer belongs to the request with this id.
   std::function<bool(const HttpHeaders& headers, const std::string& id)>
-      answers_;
+      matches_request_;
   /// Headers of an answer that go on to the caller.
   std::function<HttpHeaders(const HttpHeaders& headers)> caller_headers_;
   /// Headers of an answer of our own.
@@ -93,32 +93,32 @@
 enum class ReadEnd : std::uint8_t {
   kRead,
   /// A watch saw nothing in its time.
-  kNothingNew,
+  kUnchanged,
   /// The store forgot what came after the revision; read anew.
   kHistoryGone,
   kUnreachable,
 };
 
 /// @brief What a read brought.
-struct Published {
-  ReadEnd end_ = ReadEnd::kUnreachable;
+struct StoreSnapshot {
+  ReadEnd outcome_ = ReadEnd::kUnreachable;
   /// When the store was asked: what it said was so at this time, or later.
-  core::TimePoint asked_at_;
+  core::TimePoint as_of_;
   /// Of the store, at the time of the answer.
   std::uint64_t revision_ = 0;
   std::optional<config::TrafficRules> rules_;
   /// The rules as published, undecoded; for peers.
-  std::string rules_text_;
+  std::string encoded_rules_;
   std::vector<NamedWeights> weights_;
   std::vector<routing::EndpointRow> endpoints_;
   /// What the store said of endpoints or weights, undecoded, page by page, when
   /// it is the whole section; for peers.
-  std::vector<std::string> pages_;
+  std::vector<std::string> encoded_pages_;
   /// Rows that could not be decoded, for the log.
-  std::vector<std::string> faults_;
+  std::vector<std::string> decode_errors_;
 };
 
-using PublishedHandler = std::function<void(Published)>;
+using PublishedHandler = std::function<void(StoreSnapshot)>;
 
 /// @brief Ends a call under way; its handler is not called any more.
 using CancelCall = std::function<void()>;
@@ -133,10 +133,10 @@
                            core::Duration wait, PublishedHandler done)>
       watch_;
   /// Decodes rules that another process has.
-  std::function<Published(const std::string& text)> decode_rules_;
+  std::function<StoreSnapshot(const std::string& text)> decode_rules_;
   /// Decodes what another process heard from the store.
-  std::function<Published(Section section,
-                          const std::vector<std::string>& pages)>
+  std::function<StoreSnapshot(Section section,
+                              const std::vector<std::string>& pages)>
       decode_;
 };
 
@@ -144,24 +144,24 @@
 struct EngineReport {
   routing::LoadReport load_;
   /// Models that it holds whole, with their versions.
-  std::map<std::string, std::uint64_t> models_;
+  std::map<std::string, std::uint64_t> model_versions_;
   /// Orders taken in this life.
-  std::uint64_t orders_ = 0;
+  std::uint64_t activation_count_ = 0;
   /// An order is under way.
-  bool ordered_ = false;
+  bool activating_ = false;
   /// Start of its life; none when it does not say.
   std::optional<core::StartTime> started_;
 };
 
 /// @brief Answer to an order.
-enum class OrderEnd : std::uint8_t { kBegun, kDone, kRefused, kLost };
+enum class OrderEnd : std::uint8_t { kStarted, kDone, kRefused, kLost };
 
 /// @brief List of a version's pieces.
 struct WeightsManifest {
   std::string model_;
   std::uint64_t version_ = 0;
   /// SHA-256 of each piece.
-  std::vector<core::Digest> digests_;
+  std::vector<core::Digest> chunk_digests_;
 };
 
 /// @brief Calls to the engine beside an agent, and to the source of weights.
@@ -173,22 +173,22 @@
       incarnation_;
   std::function<void(const std::string& model, std::uint64_t version,
                      std::function<void(OrderEnd)>)>
-      start_;
+      activate_;
   std::function<void(const std::string& model, std::size_t piece,
                      std::string bytes, std::function<void(bool)>)>
-      stage_;
+      stage_chunk_;
   std::function<void(const std::string& model, std::size_t piece,
                      std::function<void(std::optional<std::string>)>)>
-      staged_;
+      read_staged_chunk_;
   /// Manifest from the source; version 0 asks for the newest.
   std::function<void(const Address& origin, const std::string& model,
                      std::uint64_t version,
                      std::function<void(std::optional<WeightsManifest>)>)>
-      manifest_;
+      fetch_manifest_;
   std::function<void(const Address& origin, const std::string& model,
                      std::uint64_t version, std::size_t piece,
                      std::function<void(std::optional<std::string>)>)>
-      piece_;
+      fetch_chunk_;
 };
 
 /// @brief A deployment's adapter.
--- a/packages/daemon/src/daemon/direct/mesh_messages.cpp
+++ b/packages/daemon/src/daemon/direct/mesh_messages.cpp
@@ -31,7 +31,7 @@
           .address_ = member.address_,
           .beat_ = member.heartbeat_,
           .leaving_ = member.leaving_,
-          .near_ = member.local_members_};
+          .local_members_ = member.local_members_};
 }
 
 membership::Member ToMember(const MemberMessage& message) {
@@ -44,7 +44,7 @@
   member.address_ = message.address_;
   member.heartbeat_ = message.beat_;
   member.leaving_ = message.leaving_;
-  member.local_members_ = message.near_;
+  member.local_members_ = message.local_members_;
   return member;
 }
 
@@ -72,7 +72,7 @@
   message.age_ms_ = ToAgeMs(now - change.as_of_);
   message.from_ = change.from_;
   message.to_ = change.to_;
-  message.whole_ = change.full_;
+  message.full_ = change.full_;
   message.complete_ = change.complete_;
   for (const auto& row : change.rows_) {
     message.rows_.push_back({.id_ = row.id_.value(),
@@ -86,7 +86,7 @@
                              .started_ms_ = ToMs(row.started_)});
   }
   for (const auto& id : change.removed_) {
-    message.gone_.push_back(id.value());
+    message.removed_.push_back(id.value());
   }
   return message;
 }
@@ -97,7 +97,7 @@
   change.as_of_ = sent_at - ToAge(message.age_ms_);
   change.from_ = message.from_;
   change.to_ = message.to_;
-  change.full_ = message.whole_;
+  change.full_ = message.full_;
   change.complete_ = message.complete_;
   for (const auto& told : message.rows_) {
     routing::EndpointRow row;
@@ -114,7 +114,7 @@
     }
     change.rows_.push_back(std::move(row));
   }
-  for (const auto& id : message.gone_) {
+  for (const auto& id : message.removed_) {
     change.removed_.emplace_back(id);
   }
   return change;
--- a/packages/daemon/src/daemon/direct/mesh_messages.hpp
+++ b/packages/daemon/src/daemon/direct/mesh_messages.hpp
@@ -32,9 +32,9 @@
   std::string address_;
   std::uint64_t beat_ = 0;
   bool leaving_ = false;
-  std::uint32_t near_ = 0;
+  std::uint32_t local_members_ = 0;
   MSGPACK_DEFINE(id_, incarnation_, kind_, domain_, address_, beat_, leaving_,
-                 near_)
+                 local_members_)
 };
 
 /// @brief What an agent's engine reported.
@@ -64,7 +64,7 @@
 struct HeldMessage {
   std::string model_;
   std::uint64_t version_ = 0;
-  std::uint32_t pieces_ = 0;
+  std::uint32_t chunks_ = 0;
   std::string bits_;
   /// Version that its engine serves; 0 for none.
   std::uint64_t serving_ = 0;
@@ -77,7 +77,7 @@
   std::uint64_t older_version_ = 0;
   std::string older_bits_;
   bool has_older_manifest_ = false;
-  MSGPACK_DEFINE(model_, version_, pieces_, bits_, serving_, has_manifest_,
+  MSGPACK_DEFINE(model_, version_, chunks_, bits_, serving_, has_manifest_,
                  narrowed_, older_version_, older_bits_, has_older_manifest_)
 };
 
@@ -104,16 +104,17 @@
   std::uint64_t from_ = 0;
   std::uint64_t to_ = 0;
   std::vector<EndpointRowMessage> rows_;
-  std::vector<std::string> gone_;
+  std::vector<std::string> removed_;
   /// The rows are the whole list.
-  bool whole_ = false;
+  bool full_ = false;
   /// Whole lists only: false when rows may be missing that are not gone.
   bool complete_ = true;
   /// Nothing but that a read was tried in vain.
-  bool tried_ = false;
+  bool read_failed_ = false;
   /// Since the store was asked for it, as the message is sent.
   std::uint64_t age_ms_ = 0;
-  MSGPACK_DEFINE(from_, to_, rows_, gone_, whole_, complete_, tried_, age_ms_)
+  MSGPACK_DEFINE(from_, to_, rows_, removed_, full_, complete_, read_failed_,
+                 age_ms_)
 };
 
 /// @brief Wire form of one life of an endpoint.
@@ -127,8 +128,8 @@
 /// @brief Endpoints that are seen to leave or to be gone.
 struct DepartedMessage {
   std::vector<LifeMessage> leaving_;
-  std::vector<LifeMessage> gone_;
-  MSGPACK_DEFINE(leaving_, gone_)
+  std::vector<LifeMessage> removed_;
+  MSGPACK_DEFINE(leaving_, removed_)
 };
 
 /// @brief Wire form of one crash of an endpoint.
@@ -162,7 +163,7 @@
 struct MeshMessage {
   MemberMessage sender_;
   std::vector<MemberMessage> rows_;
-  std::vector<HeldMessage> held_;
+  std::vector<HeldMessage> held_chunks_;
   /// Newest weights the sender has heard of, by model.
   std::map<std::string, std::uint64_t> weights_;
   /// Whether the sender wants an answer, to know that the other lives.
@@ -179,8 +180,9 @@
   /// The sender takes the rules from the store: its neighbours need not.
   bool watches_rules_ = false;
   std::vector<CrashRecordMessage> crashes_;
-  MSGPACK_DEFINE(sender_, rows_, held_, weights_, asks_, subscribes_, departed_,
-                 sent_ms_, list_, rules_version_, watches_rules_, crashes_)
+  MSGPACK_DEFINE(sender_, rows_, held_chunks_, weights_, asks_, subscribes_,
+                 departed_, sent_ms_, list_, rules_version_, watches_rules_,
+                 crashes_)
 };
 
 /// A pace travels in thousandths.
--- a/packages/daemon/src/daemon/direct/mesh_node.cpp
+++ b/packages/daemon/src/daemon/direct/mesh_node.cpp
@@ -123,7 +123,7 @@
   return {table_.self(), table_.Live()};
 }
 
-void MeshNode::Leave() {
+void MeshNode::AnnounceLeaving() {
   table_.SetLeaving();
   table_.RaiseHeartbeat();
   SendTo(TrafficKind::kGossip, table_.Live(), Envelope());
@@ -228,7 +228,7 @@
       answer.rows_.push_back(ToMessage(row));
     }
   }
-  SendTo(TrafficKind::kAnswer, {asker}, answer);
+  SendTo(TrafficKind::kReply, {asker}, answer);
 }
 
 void MeshNode::OnMessage(const MeshMessage& message) {
@@ -242,9 +242,9 @@
   if (message.subscribes_ && hooks_.on_subscribe_) {
     hooks_.on_subscribe_(sender);
   }
-  for (const auto& held : message.held_) {
-    if (hooks_.on_held_) {
-      hooks_.on_held_(sender, held);
+  for (const auto& held : message.held_chunks_) {
+    if (hooks_.on_held_chunks_) {
+      hooks_.on_held_chunks_(sender, held);
     }
   }
   TakeNews(message, sender, delay);
@@ -285,10 +285,10 @@
                         core::Duration delay) {
   const auto& departed = message.departed_;
   if (hooks_.on_departed_ &&
-      !(departed.leaving_.empty() && departed.gone_.empty())) {
+      !(departed.leaving_.empty() && departed.removed_.empty())) {
     hooks_.on_departed_(departed);
   }
-  const bool lists = message.list_.to_ > 0 || message.list_.tried_;
+  const bool lists = message.list_.to_ > 0 || message.list_.read_failed_;
   if (hooks_.on_list_ && lists) {
     hooks_.on_list_(sender, message.list_, loop_.Now() - delay);
   }
@@ -308,7 +308,8 @@
 void MeshNode::PassOn(const MeshMessage& message,
                       const membership::Member& sender, core::Duration delay) {
   const auto& departed = message.departed_;
-  const bool departs = !(departed.leaving_.empty() && departed.gone_.empty());
+  const bool departs =
+      !(departed.leaving_.empty() && departed.removed_.empty());
   const bool lists = message.list_.to_ > 0;
   if (!IsEntry() || sender.domain_ == self().domain_ || !(departs || lists)) {
     return;
@@ -341,7 +342,7 @@
   }
 }
 
-void MeshNode::TellDeparted(const DepartedMessage& departed) {
+void MeshNode::PublishDeparted(const DepartedMessage& departed) {
   auto message = Envelope();
   message.departed_ = departed;
   SendTo(TrafficKind::kDeparted,
@@ -375,13 +376,13 @@
 
 void MeshNode::TellReadFailed() {
   auto message = Envelope();
-  message.list_.tried_ = true;
+  message.list_.read_failed_ = true;
   told_domain_at_ = loop_.Now();
   SendTo(TrafficKind::kList, Neighbours(), message);
 }
 
 void MeshNode::TellNews(const std::vector<membership::Member>& members) {
-  SendTo(TrafficKind::kNews, members, Envelope());
+  SendTo(TrafficKind::kNotification, members, Envelope());
 }
 
 void MeshNode::TellNews() {
@@ -393,8 +394,8 @@
                         const core::FailureDomainId& domain,
                         const HeldMessage& held) {
   auto message = Envelope();
-  message.held_.push_back(held);
-  Send(TrafficKind::kHeld, agent, domain, message);
+  message.held_chunks_.push_back(held);
+  Send(TrafficKind::kHeldChunks, agent, domain, message);
 }
 
 }  // namespace chalkwell::daemon::direct
--- a/packages/daemon/src/daemon/direct/mesh_node.hpp
+++ b/packages/daemon/src/daemon/direct/mesh_node.hpp
@@ -37,7 +37,7 @@
 struct MeshHooks {
   std::function<void(const LoadMessage& load)> on_load_;
   std::function<void(const membership::Member& sender, const HeldMessage& held)>
-      on_held_;
+      on_held_chunks_;
   /// An entry wants this agent's reports.
   std::function<void(const membership::Member& entry)> on_subscribe_;
   /// An agent that has just started, or that no entry uses, greets.
@@ -81,9 +81,9 @@
   /// @brief Begins to tell and to listen.
   void Start();
   /// @brief Tells the members known that this process ends.
-  void Leave();
+  void AnnounceLeaving();
   /// @brief Entries known: all of the own failure domain, few of each other.
-  [[nodiscard]] std::vector<membership::Member> Live() const {
+  [[nodiscard]] std::vector<membership::Member> LiveMembers() const {
     return table_.Live();
   }
   /// @brief Live entries of the own failure domain that do not leave.
@@ -107,7 +107,7 @@
                   const LoadMessage& load);
   /// @brief Tells whoever must know which endpoints leave: the one that reads
   /// the list first spares the others the wait for their own reading.
-  void TellDeparted(const DepartedMessage& departed);
+  void PublishDeparted(const DepartedMessage& departed);
   /// @brief Tells whoever must know what was read of the list of endpoints.
   void TellList(const ListMessage& list);
   /// @brief Tells the own failure domain that the list could not be read.
--- a/packages/daemon/src/daemon/direct/older_weights.cpp
+++ b/packages/daemon/src/daemon/direct/older_weights.cpp
@@ -43,8 +43,8 @@
 void OlderWeights::OnOverwritten(std::size_t piece,
                                  std::optional<std::string> bytes) {
   const bool spoilt =
-      bytes && manifest_ && piece < manifest_->digests_.size() &&
-      core::Digest::Sha256Of(*bytes) != manifest_->digests_[piece];
+      bytes && manifest_ && piece < manifest_->chunk_digests_.size() &&
+      core::Digest::Sha256Of(*bytes) != manifest_->chunk_digests_[piece];
   if (!bytes || spoilt) {
     pieces_.Remove(piece);
     return;
--- a/packages/daemon/src/daemon/direct/piece_exchange.cpp
+++ b/packages/daemon/src/daemon/direct/piece_exchange.cpp
@@ -34,7 +34,7 @@
 
 ManifestMessage ToMessage(const WeightsManifest& manifest) {
   ManifestMessage message{manifest.model_, manifest.version_, {}};
-  for (const auto& digest : manifest.digests_) {
+  for (const auto& digest : manifest.chunk_digests_) {
     const auto& bytes = digest.bytes();
     message.digests_.emplace_back(bytes.begin(), bytes.end());
   }
@@ -49,7 +49,7 @@
       return std::nullopt;
     }
     std::ranges::copy(bytes, digest.begin());
-    manifest.digests_.emplace_back(digest);
+    manifest.chunk_digests_.emplace_back(digest);
   }
   return manifest;
 }
@@ -228,9 +228,9 @@
   }
   const auto* manifest = source_.manifest_(message.version_);
   const bool known =
-      manifest != nullptr && message.piece_ < manifest->digests_.size();
-  return !known ||
-         core::Digest::Sha256Of(*bytes) == manifest->digests_[message.piece_];
+      manifest != nullptr && message.piece_ < manifest->chunk_digests_.size();
+  return !known || core::Digest::Sha256Of(*bytes) ==
+                       manifest->chunk_digests_[message.piece_];
 }
 
 void PieceExchange::AnswerPiece(const PeerCallPtr& call,
@@ -243,7 +243,7 @@
     GivePiece(call, message, *copy);
     return;
   }
-  client_.staged_(
+  client_.read_staged_chunk_(
       message.model_, message.piece_,
       [this, call, message](std::optional<std::string> bytes) {
         // Overwritten while it was read, it was copied before.
--- a/packages/daemon/src/daemon/direct/published_reader.cpp
+++ b/packages/daemon/src/daemon/direct/published_reader.cpp
@@ -22,7 +22,7 @@
   switch (end) {
     case ReadEnd::kRead:
       return "read";
-    case ReadEnd::kNothingNew:
+    case ReadEnd::kUnchanged:
       return "nothing-new";
     case ReadEnd::kHistoryGone:
       return "history-gone";
@@ -47,7 +47,7 @@
       handler_(std::move(handler)),
       since_(loop.Now()),
       tell_(loop) {
-  tell_.Every(kTellInterval, [this] { calls_.Tell(); });
+  tell_.Every(kTellInterval, [this] { calls_.LogSummary(); });
 }
 
 PublishedReader::Task::Task(Loop& loop, Section section, bool watched,
@@ -129,13 +129,14 @@
   if (!reading_.emplace(section, number).second) {
     return;
   }
-  calls_.OnCall(section, StoreCallCause::kOnce);
+  calls_.OnCall(section, StoreCallCause::kSingleRead);
   const auto cancel = store_.read_(
-      section, [this, section, asked_at = loop_.Now()](Published published) {
+      section,
+      [this, section, asked_at = loop_.Now()](StoreSnapshot published) {
         reading_.erase(section);
         CountAnswer(section, published);
-        if (published.end_ == ReadEnd::kRead) {
-          published.asked_at_ = asked_at;
+        if (published.outcome_ == ReadEnd::kRead) {
+          published.as_of_ = asked_at;
           handler_(section, published);
         }
       });
@@ -151,12 +152,13 @@
   });
 }
 
-void PublishedReader::CountAnswer(Section section, const Published& published) {
+void PublishedReader::CountAnswer(Section section,
+                                  const StoreSnapshot& published) {
   metrics_.Count("store_answers_total",
                  {{"section", std::string(ToString(section))},
-                  {"end", std::string(ToString(published.end_))}});
-  auto bytes = published.rules_text_.size();
-  for (const auto& page : published.pages_) {
+                  {"end", std::string(ToString(published.outcome_))}});
+  auto bytes = published.encoded_rules_.size();
+  for (const auto& page : published.encoded_pages_) {
     bytes += page.size();
   }
   metrics_.Count("store_document_bytes_total",
@@ -173,9 +175,9 @@
   task.asking_ = true;
   task.asked_at_ = loop_.Now();
   calls_.OnCall(task.section_, CauseOf(task));
-  task.cancel_ = Call(task, [this, &task](Published published) {
+  task.cancel_ = Call(task, [this, &task](StoreSnapshot published) {
     task.asking_ = false;
-    published.asked_at_ = task.asked_at_;
+    published.as_of_ = task.asked_at_;
     OnAnswer(task, published);
   });
 }
@@ -203,27 +205,27 @@
   task.asking_ = true;
   calls_.OnCall(Section::kWeights, StoreCallCause::kProbe);
   task.cancel_ = store_.read_(
-      Section::kWeights, [this, &task](const Published& published) {
+      Section::kWeights, [this, &task](const StoreSnapshot& published) {
         task.asking_ = false;
         CountAnswer(Section::kWeights, published);
-        task.failed_ = published.end_ == ReadEnd::kUnreachable;
+        task.failed_ = published.outcome_ == ReadEnd::kUnreachable;
         SetReachable(!task.failed_);
         Schedule(task, !task.failed_, false);
       });
 }
 
-void PublishedReader::OnAnswer(Task& task, const Published& published) {
+void PublishedReader::OnAnswer(Task& task, const StoreSnapshot& published) {
   CountAnswer(task.section_, published);
-  LogFaults(task.section_, published.faults_);
+  LogFaults(task.section_, published.decode_errors_);
   const bool first = task.revision_ == 0;
-  switch (published.end_) {
+  switch (published.outcome_) {
     case ReadEnd::kRead:
       SetReachable(true);
       last_read_ = loop_.Now();
       task.revision_ = std::max(task.revision_, published.revision_);
       handler_(task.section_, published);
       break;
-    case ReadEnd::kNothingNew:
+    case ReadEnd::kUnchanged:
       SetReachable(true);
       last_read_ = loop_.Now();
       task.revision_ = std::max(task.revision_, published.revision_);
@@ -241,7 +243,7 @@
       }
       break;
   }
-  task.failed_ = published.end_ == ReadEnd::kUnreachable;
+  task.failed_ = published.outcome_ == ReadEnd::kUnreachable;
   if (task.failed_ && task.on_failed_) {
     task.on_failed_();
   }
--- a/packages/daemon/src/daemon/direct/published_reader.hpp
+++ b/packages/daemon/src/daemon/direct/published_reader.hpp
@@ -29,7 +29,7 @@
 /// @brief Reader of the sections that a process needs.
 class PublishedReader {
  public:
-  using Handler = std::function<void(Section section, const Published&)>;
+  using Handler = std::function<void(Section section, const StoreSnapshot&)>;
 
   PublishedReader(Loop& loop, const StoreClient& store,
                   PublishedReaderSettings settings, EventLog& log,
@@ -102,13 +102,13 @@
   void Probe(Task& task);
   void EndCall(Task& task);
   void PollWhenDue(Task& task);
-  void OnAnswer(Task& task, const Published& published);
+  void OnAnswer(Task& task, const StoreSnapshot& published);
   /// @param first whether the section was read for the first time.
   void Schedule(Task& task, bool succeeded, bool first);
   [[nodiscard]] static StoreCallCause CauseOf(const Task& task);
   /// @brief Logs values that cannot be decoded, each once until it changes.
   void LogFaults(Section section, const std::vector<std::string>& faults);
-  void CountAnswer(Section section, const Published& published);
+  void CountAnswer(Section section, const StoreSnapshot& published);
   void SetReachable(bool reachable);
 
   Loop& loop_;
--- a/packages/daemon/src/daemon/direct/published_relay.cpp
+++ b/packages/daemon/src/daemon/direct/published_relay.cpp
@@ -26,12 +26,13 @@
       log_(log),
       handler_(std::move(handler)) {}
 
-void PublishedRelay::Keep(Section section, const Published& published) {
+void PublishedRelay::Store(Section section, const StoreSnapshot& published) {
   auto& kept = kept_[section];
-  if (published.pages_.empty() || published.revision_ < kept.revision_) {
+  if (published.encoded_pages_.empty() ||
+      published.revision_ < kept.revision_) {
     return;
   }
-  kept = {published.revision_, published.pages_, published.asked_at_};
+  kept = {published.revision_, published.encoded_pages_, published.as_of_};
 }
 
 bool PublishedRelay::Answer(const PeerCallPtr& call) {
@@ -54,9 +55,9 @@
   return true;
 }
 
-void PublishedRelay::Ask() {
+void PublishedRelay::Fetch() {
   std::vector<membership::Member> entries;
-  for (const auto& member : mesh_.Live()) {
+  for (const auto& member : mesh_.LiveMembers()) {
     if (member.kind_ == membership::MemberKind::kEntry) {
       entries.push_back(member);
     }
@@ -99,18 +100,18 @@
   for (const auto& [number, pages] : answer.pages_) {
     const auto section = static_cast<Section>(number);
     auto published = store_.decode_(section, pages);
-    if (published.end_ != ReadEnd::kRead) {
+    if (published.outcome_ != ReadEnd::kRead) {
       continue;
     }
     const auto age = answer.ages_ms_.find(number);
     if (age != answer.ages_ms_.end()) {
-      published.asked_at_ = asked_at - ToAge(age->second);
+      published.as_of_ = asked_at - ToAge(age->second);
     }
     log_.Write(core::EventNumber::kLearnedFromPeer,
                {{"peer", peer},
                 {"section", std::to_string(number)},
                 {"revision", std::to_string(published.revision_)}});
-    Keep(section, published);
+    Store(section, published);
     handler_(section, published);
   }
 }
--- a/packages/daemon/src/daemon/direct/published_relay.hpp
+++ b/packages/daemon/src/daemon/direct/published_relay.hpp
@@ -43,15 +43,15 @@
 /// @brief Answers others and asks them.
 class PublishedRelay {
  public:
-  using Handler = std::function<void(Section section, const Published&)>;
+  using Handler = std::function<void(Section section, const StoreSnapshot&)>;
 
   PublishedRelay(Loop& loop, const StoreClient& store, MeshNode& mesh,
                  EventLog& log, Handler handler);
 
   /// @brief The store answered with a whole section.
-  void Keep(Section section, const Published& published);
+  void Store(Section section, const StoreSnapshot& published);
   /// @brief Asks one live entry now, unless an answer is awaited.
-  void Ask();
+  void Fetch();
   /// @brief Answers a peer's call.
   /// @return false when the call is not for the relay.
   bool Answer(const PeerCallPtr& call);
--- a/packages/daemon/src/daemon/direct/rules_exchange.cpp
+++ b/packages/daemon/src/daemon/direct/rules_exchange.cpp
@@ -55,7 +55,7 @@
 RulesExchange::RulesExchange(Loop& loop, Metrics& metrics)
     : loop_(loop), metrics_(metrics) {}
 
-void RulesExchange::Keep(RulesDocument document) {
+void RulesExchange::Add(RulesDocument document) {
   const auto digest = core::Digest::Of(document.text_);
   kept_.push_front({std::move(document), digest});
   if (kept_.size() > kKept) {
@@ -111,7 +111,7 @@
   return true;
 }
 
-void RulesExchange::Ask(const std::string& address, Done done) {
+void RulesExchange::Fetch(const std::string& address, Done done) {
   auto& connection = connections_[address];
   if (connection == nullptr) {
     connection = std::make_unique<PeerConnection>(loop_, ParseAddress(address));
--- a/packages/daemon/src/daemon/direct/rules_exchange.hpp
+++ b/packages/daemon/src/daemon/direct/rules_exchange.hpp
@@ -61,12 +61,12 @@
   RulesExchange(Loop& loop, Metrics& metrics);
 
   /// @brief A newer document is in force.
-  void Keep(RulesDocument document);
+  void Add(RulesDocument document);
   /// @brief Answers a peer's call.
   /// @return false when the call is not for rules.
   bool Answer(const PeerCallPtr& call);
   /// @brief Asks a peer for rules newer than those kept.
-  void Ask(const std::string& address, Done done);
+  void Fetch(const std::string& address, Done done);
 
  private:
   struct Kept {
--- a/packages/daemon/src/daemon/direct/rules_keeper.cpp
+++ b/packages/daemon/src/daemon/direct/rules_keeper.cpp
@@ -46,11 +46,11 @@
   tick_.Every(kTick, [this] { Tick(); });
 }
 
-void RulesKeeper::OnPublished(const Published& published) {
+void RulesKeeper::OnPublished(const StoreSnapshot& published) {
   if (published.rules_) {
     Take(*published.rules_,
          {published.rules_->version_, published.revision_,
-          published.rules_text_},
+          published.encoded_rules_},
          std::string(kStoreSource));
   }
 }
@@ -66,15 +66,15 @@
   if (source != kStoreSource) {
     reader_.Skip(Section::kRules, document.revision_);
   }
-  exchange_.Keep(std::move(document));
+  exchange_.Add(std::move(document));
   handler_(rules, source);
   if (watches_ || source == kStoreSource) {
     mesh_.TellNews();
   }
 }
 
-void RulesKeeper::OnHeard(const membership::Member& member,
-                          std::uint64_t version, bool watches) {
+void RulesKeeper::OnVersionAnnounced(const membership::Member& member,
+                                     std::uint64_t version, bool watches) {
   const auto now = loop_.Now();
   const bool near = member.domain_ == mesh_.self().domain_;
   if (watches && near) {
@@ -126,7 +126,7 @@
 
 void RulesKeeper::CatchUp(core::TimePoint now) {
   if (const auto peer = catch_up_.Next(watches_, now)) {
-    const auto live = mesh_.Live();
+    const auto live = mesh_.LiveMembers();
     const auto found = std::ranges::find(live, *peer, &membership::Member::id_);
     if (found == live.end()) {
       catch_up_.OnPeerLost(*peer);
@@ -141,10 +141,10 @@
 }
 
 void RulesKeeper::AskPeer(const membership::Member& peer) {
-  exchange_.Ask(peer.address_,
-                [this, id = peer.id_](std::optional<RulesDocument> document) {
-                  OnAnswer(id, std::move(document));
-                });
+  exchange_.Fetch(peer.address_,
+                  [this, id = peer.id_](std::optional<RulesDocument> document) {
+                    OnAnswer(id, std::move(document));
+                  });
 }
 
 void RulesKeeper::OnAnswer(const core::InstanceId& peer,
--- a/packages/daemon/src/daemon/direct/rules_keeper.hpp
+++ b/packages/daemon/src/daemon/direct/rules_keeper.hpp
@@ -31,12 +31,12 @@
 
   void Start();
   /// @brief The reader brought the section of rules.
-  void OnPublished(const Published& published);
+  void OnPublished(const StoreSnapshot& published);
   /// @brief A member told which rules it has.
   /// @param watches whether it takes them from the store.
-  void OnHeard(const membership::Member& member, std::uint64_t version,
-               bool watches);
-  void OnLost(const membership::Member& member) {
+  void OnVersionAnnounced(const membership::Member& member,
+                          std::uint64_t version, bool watches);
+  void OnMemberLost(const membership::Member& member) {
     catch_up_.OnPeerLost(member.id_);
   }
   /// @brief Answers a peer's call.
@@ -46,7 +46,7 @@
   /// @brief Version in force; 0 for none.
   [[nodiscard]] std::uint64_t version() const noexcept { return version_; }
   /// @brief Whether this entry takes the rules from the store.
-  [[nodiscard]] bool watches() const noexcept { return watches_; }
+  [[nodiscard]] bool is_watcher() const noexcept { return watches_; }
 
  private:
   /// @param document the same rules, undecoded.
--- a/packages/daemon/src/daemon/direct/store_call_count.cpp
+++ b/packages/daemon/src/daemon/direct/store_call_count.cpp
@@ -28,7 +28,7 @@
       return "poll";
     case StoreCallCause::kProbe:
       return "probe";
-    case StoreCallCause::kOnce:
+    case StoreCallCause::kSingleRead:
       return "once";
   }
   return "";
@@ -45,7 +45,7 @@
   ++by_cause_.at(static_cast<std::size_t>(cause));
 }
 
-void StoreCallCount::Tell() {
+void StoreCallCount::LogSummary() {
   const auto count = [](std::uint64_t calls) { return std::to_string(calls); };
   const auto of = [&](Section section) {
     return count(by_section_.at(static_cast<std::size_t>(section)));
@@ -67,7 +67,7 @@
               {"watch", by(StoreCallCause::kWatch)},
               {"poll", by(StoreCallCause::kPoll)},
               {"probe", by(StoreCallCause::kProbe)},
-              {"once", by(StoreCallCause::kOnce)}});
+              {"once", by(StoreCallCause::kSingleRead)}});
   by_section_ = {};
   by_cause_ = {};
 }
--- a/packages/daemon/src/daemon/direct/store_call_count.hpp
+++ b/packages/daemon/src/daemon/direct/store_call_count.hpp
@@ -23,7 +23,7 @@
   /// A small read that shows whether the store answers.
   kProbe,
   /// A single read that a decision asked for.
-  kOnce,
+  kSingleRead,
 };
 
 [[nodiscard]] std::string_view ToString(Section section);
@@ -37,7 +37,7 @@
 
   void OnCall(Section section, StoreCallCause cause);
   /// @brief Writes a line when calls were made since the last one.
-  void Tell();
+  void LogSummary();
 
  private:
   static constexpr std::size_t kSections = 3;
--- a/packages/daemon/src/daemon/direct/traffic_count.cpp
+++ b/packages/daemon/src/daemon/direct/traffic_count.cpp
@@ -21,15 +21,15 @@
       return "subscription";
     case TrafficKind::kGossip:
       return "gossip";
-    case TrafficKind::kAnswer:
+    case TrafficKind::kReply:
       return "answer";
-    case TrafficKind::kNews:
+    case TrafficKind::kNotification:
       return "news";
     case TrafficKind::kList:
       return "list";
     case TrafficKind::kDeparted:
       return "departed";
-    case TrafficKind::kHeld:
+    case TrafficKind::kHeldChunks:
       return "held";
     case TrafficKind::kCrashes:
       return "crashes";
@@ -93,11 +93,11 @@
               {"report", bytes(TrafficKind::kReport)},
               {"subscription", bytes(TrafficKind::kSubscription)},
               {"gossip", bytes(TrafficKind::kGossip)},
-              {"answer", bytes(TrafficKind::kAnswer)},
-              {"news", bytes(TrafficKind::kNews)},
+              {"answer", bytes(TrafficKind::kReply)},
+              {"news", bytes(TrafficKind::kNotification)},
               {"list", bytes(TrafficKind::kList)},
               {"departed", bytes(TrafficKind::kDeparted)},
-              {"held", bytes(TrafficKind::kHeld)}});
+              {"held", bytes(TrafficKind::kHeldChunks)}});
   sent_bytes_ = {};
   far_bytes_ = 0;
   received_bytes_ = 0;
--- a/packages/daemon/src/daemon/direct/traffic_count.hpp
+++ b/packages/daemon/src/daemon/direct/traffic_count.hpp
@@ -17,11 +17,11 @@
   kReport,
   kSubscription,
   kGossip,
-  kAnswer,
-  kNews,
+  kReply,
+  kNotification,
   kList,
   kDeparted,
-  kHeld,
+  kHeldChunks,
   kCrashes,
 };
 
--- a/packages/daemon/src/daemon/direct/weights_keeper.cpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper.cpp
@@ -116,12 +116,12 @@
     // Which of its models counts is not known yet: it may serve already.
     return;
   }
-  const auto held = report.models_.find(model_);
-  const auto version = held == report.models_.end() ? 0 : held->second;
+  const auto held = report.model_versions_.find(model_);
+  const auto version = held == report.model_versions_.end() ? 0 : held->second;
   const bool restarted =
       routing::StartTimesDiffer(report.started_, started_seen_) ||
-      report.orders_ < orders_seen_;
-  orders_seen_ = report.orders_;
+      report.activation_count_ < orders_seen_;
+  orders_seen_ = report.activation_count_;
   started_seen_ = report.started_;
   heard_engine_ = true;
   if (restarted) {
@@ -138,7 +138,7 @@
     OnServing(version, restarted);
   }
   const bool needless = version > 0 && version >= goal_.version_;
-  if (needless && phase_ != Phase::kSettled && !report.ordered_) {
+  if (needless && phase_ != Phase::kSettled && !report.activating_) {
     SetPhase(Phase::kSettled);
     turns_.OnServing(peers_.self(), version, process_.loop().Now());
   }
@@ -225,7 +225,7 @@
   HeldMessage held;
   held.model_ = model_;
   held.version_ = HeldVersion();
-  held.pieces_ = static_cast<std::uint32_t>(held_.size());
+  held.chunks_ = static_cast<std::uint32_t>(held_.size());
   held.bits_ = held_.ToBytes();
   held.serving_ = serving_;
   held.has_manifest_ = manifest_.has_value();
@@ -240,8 +240,8 @@
   std::set<core::InstanceId> audience(near.begin(), near.end());
   for (const auto piece : drawn_) {
     if (manifest_ && held_.Has(piece)) {
-      audience.merge(swarm::ImportersOf(manifest_->digests_[piece].ToHex(),
-                                        self, peers_.agents()));
+      audience.merge(swarm::ImportersOf(
+          manifest_->chunk_digests_[piece].ToHex(), self, peers_.agents()));
     }
   }
   return audience;
--- a/packages/daemon/src/daemon/direct/weights_keeper_fetch.cpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper_fetch.cpp
@@ -123,7 +123,7 @@
 
 void WeightsKeeper::AskOriginManifest() {
   process_.metrics().Count("origin_manifests_total", {});
-  client_.manifest_(
+  client_.fetch_manifest_(
       *origin_, model_, goal_.version_,
       [this, job = job_](const std::optional<WeightsManifest>& manifest) {
         OnSource(manifest.has_value(), "manifest");
@@ -158,7 +158,7 @@
 
 void WeightsKeeper::TakeManifest(const WeightsManifest& manifest) {
   if (phase_ != Phase::kManifest || manifest.model_ != model_ ||
-      manifest.digests_.empty() ||
+      manifest.chunk_digests_.empty() ||
       (goal_.version_ != 0 && manifest.version_ != goal_.version_)) {
     return;
   }
@@ -168,7 +168,7 @@
     named_.OnVersionPublished(manifest.version_, process_.loop().Now());
   }
   manifest_ = manifest;
-  held_ = swarm::ChunkSet(manifest.digests_.size());
+  held_ = swarm::ChunkSet(manifest.chunk_digests_.size());
   SetPhase(Phase::kFetching);
   announce_due_ = true;
   if (serving_ == 0) {
@@ -182,7 +182,7 @@
 
 void WeightsKeeper::StartPlanner() {
   std::vector<bundle::Chunk> chunks;
-  for (const auto& digest : manifest_->digests_) {
+  for (const auto& digest : manifest_->chunk_digests_) {
     chunks.push_back({digest, 1});
   }
   const auto now = process_.loop().Now();
@@ -247,7 +247,7 @@
   process_.log().Write(core::EventNumber::kOriginDrawn,
                        {{"piece", std::to_string(piece)}});
   process_.metrics().Count("origin_pieces_total", {});
-  client_.piece_(
+  client_.fetch_chunk_(
       *origin_, model_, goal_.version_, piece,
       [this, job = job_, piece](const std::optional<std::string>& bytes) {
         OnSource(bytes.has_value(), "piece");
@@ -262,8 +262,8 @@
                             const std::optional<std::string>& bytes,
                             const std::string& source) {
   const auto now = process_.loop().Now();
-  const bool good =
-      bytes && core::Digest::Sha256Of(*bytes) == manifest_->digests_.at(piece);
+  const bool good = bytes && core::Digest::Sha256Of(*bytes) ==
+                                 manifest_->chunk_digests_.at(piece);
   if (!good) {
     planner_.OnRequestFailed(piece, now);
     process_.log().Write(
--- a/packages/daemon/src/daemon/direct/weights_keeper_switch.cpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper_switch.cpp
@@ -26,26 +26,27 @@
     return;
   }
   staged_checked_ = true;
-  client_.staged_(model_, 0, [this](const std::optional<std::string>& bytes) {
-    if (bytes && !manifest_ && phase_ == Phase::kSettled) {
-      held_ = swarm::ChunkSet(usual_pieces_);
-      for (std::size_t piece = 0; piece < usual_pieces_; ++piece) {
-        held_.Add(piece);
-      }
-      announce_due_ = true;
-    }
-  });
+  client_.read_staged_chunk_(
+      model_, 0, [this](const std::optional<std::string>& bytes) {
+        if (bytes && !manifest_ && phase_ == Phase::kSettled) {
+          held_ = swarm::ChunkSet(usual_pieces_);
+          for (std::size_t piece = 0; piece < usual_pieces_; ++piece) {
+            held_.Add(piece);
+          }
+          announce_due_ = true;
+        }
+      });
 }
 
 void WeightsKeeper::ReadStaged(std::size_t piece) {
-  client_.staged_(
+  client_.read_staged_chunk_(
       model_, piece,
       [this, job = job_, piece](const std::optional<std::string>& bytes) {
         if (!Current(job)) {
           return;
         }
-        if (bytes &&
-            core::Digest::Sha256Of(*bytes) == manifest_->digests_[piece]) {
+        if (bytes && core::Digest::Sha256Of(*bytes) ==
+                         manifest_->chunk_digests_[piece]) {
           held_.Add(piece);
         }
         const bool nothing = piece == 0 && !bytes;
@@ -65,34 +66,35 @@
     PutStaged(piece, std::move(bytes));
     return;
   }
-  client_.staged_(model_, piece,
-                  [this, job = job_, piece, bytes = std::move(bytes)](
-                      std::optional<std::string> served) mutable {
-                    older_.OnOverwritten(piece, std::move(served));
-                    if (Current(job)) {
-                      PutStaged(piece, std::move(bytes));
-                    }
-                  });
+  client_.read_staged_chunk_(
+      model_, piece,
+      [this, job = job_, piece,
+       bytes = std::move(bytes)](std::optional<std::string> served) mutable {
+        older_.OnOverwritten(piece, std::move(served));
+        if (Current(job)) {
+          PutStaged(piece, std::move(bytes));
+        }
+      });
 }
 
 void WeightsKeeper::PutStaged(std::size_t piece, std::string bytes) {
-  client_.stage_(model_, piece, std::move(bytes),
-                 [this, job = job_, piece](bool taken) {
-                   if (!Current(job)) {
-                     return;
-                   }
-                   const auto now = process_.loop().Now();
-                   if (!taken) {
-                     planner_.OnRequestFailed(piece, now);
-                     process_.log().Write(core::EventNumber::kStageFailed,
-                                          {{"piece", std::to_string(piece)}});
-                     return;
-                   }
-                   held_.Add(piece);
-                   planner_.OnChunkReceived(piece, now);
-                   announce_due_ = true;
-                   Pump();
-                 });
+  client_.stage_chunk_(
+      model_, piece, std::move(bytes), [this, job = job_, piece](bool taken) {
+        if (!Current(job)) {
+          return;
+        }
+        const auto now = process_.loop().Now();
+        if (!taken) {
+          planner_.OnRequestFailed(piece, now);
+          process_.log().Write(core::EventNumber::kStageFailed,
+                               {{"piece", std::to_string(piece)}});
+          return;
+        }
+        held_.Add(piece);
+        planner_.OnChunkReceived(piece, now);
+        announce_due_ = true;
+        Pump();
+      });
 }
 
 void WeightsKeeper::OnMissing(const PieceMessage& asked) {
@@ -168,14 +170,14 @@
     StartPlanner();
     return;
   }
-  client_.staged_(
+  client_.read_staged_chunk_(
       model_, piece,
       [this, job = job_, piece](const std::optional<std::string>& bytes) {
         if (!Current(job)) {
           return;
         }
         const bool good = bytes && core::Digest::Sha256Of(*bytes) ==
-                                       manifest_->digests_[piece];
+                                       manifest_->chunk_digests_[piece];
         if (!good) {
           ++spoilt_;
           held_.Remove(piece);
@@ -191,7 +193,7 @@
   process_.log().Write(
       core::EventNumber::kOrderSent,
       {{"model", model_}, {"version", std::to_string(goal_.version_)}});
-  client_.start_(model_, goal_.version_, [this, job = job_](OrderEnd end) {
+  client_.activate_(model_, goal_.version_, [this, job = job_](OrderEnd end) {
     if (!Current(job)) {
       return;
     }
--- a/tests/daemon/mesh_node_test.cpp
+++ b/tests/daemon/mesh_node_test.cpp
@@ -115,7 +115,7 @@
   CHECK(answer->weights_.at("m") == 7);
   CHECK(answer->rows_.front().id_ == "self");
   // Agents are no members.
-  CHECK(node.Live().empty());
+  CHECK(node.LiveMembers().empty());
 }
 
 }  // namespace
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -42,7 +42,7 @@
   CHECK(caller.key_ == row.key_);
   CHECK(caller.time_left_ == row.left_);
   CHECK(caller.prompt_tokens_ == row.prompt_);
-  CHECK(caller.answer_tokens_ == row.answer_);
+  CHECK(caller.max_output_tokens_ == row.answer_);
 }
 
 TEST_CASE("what of a caller's headers reaches an endpoint", "[platform]") {
--- a/tests/platform/foreign_rows_test.cpp
+++ b/tests/platform/foreign_rows_test.cpp
@@ -99,11 +99,11 @@
       Decode({Item("servers/i-1", Base64(GoodRow().dump())),
               Item("servers/i-2", Base64(spoilt.dump())),
               Item("servers/i-3", Base64(GoodRow().dump()))});
-  CHECK(published.end_ == ReadEnd::kRead);
+  CHECK(published.outcome_ == ReadEnd::kRead);
   CHECK(published.revision_ == 42);
   CHECK(published.endpoints_.size() == 2);
-  REQUIRE(published.faults_.size() == 1);
-  CHECK(published.faults_[0].starts_with("servers/i-2: "));
+  REQUIRE(published.decode_errors_.size() == 1);
+  CHECK(published.decode_errors_[0].starts_with("servers/i-2: "));
 }
 
 TEST_CASE("bytes that cannot be read name no endpoint", "[platform]") {
@@ -113,9 +113,9 @@
   const auto published =
       Decode({Item("servers/i-1", value),
               Item("servers/i-2", Base64(GoodRow().dump()))});
-  CHECK(published.end_ == ReadEnd::kRead);
+  CHECK(published.outcome_ == ReadEnd::kRead);
   CHECK(published.endpoints_.size() == 1);
-  CHECK(published.faults_.size() == 1);
+  CHECK(published.decode_errors_.size() == 1);
 }
 
 /// Changes one thing of a document, at any depth.
@@ -167,9 +167,9 @@
         Decode({Item("servers/i-1", Base64(GoodRow().dump())),
                 Item("servers/i-2", Base64(text)),
                 Item("servers/i-3", Base64(GoodRow().dump()))});
-    REQUIRE(published.end_ == ReadEnd::kRead);
+    REQUIRE(published.outcome_ == ReadEnd::kRead);
     REQUIRE(published.revision_ == 42);
-    REQUIRE(published.endpoints_.size() + published.faults_.size() == 3);
+    REQUIRE(published.endpoints_.size() + published.decode_errors_.size() == 3);
     REQUIRE(published.endpoints_.size() >= 2);
   }
 }
