--- a/packages/daemon/src/daemon/direct/direct_agent.cpp
+++ b/packages/daemon/src/daemon/direct/direct_agent.cpp
@@ -67,7 +67,7 @@
 bool SameLoad(const LoadMessage& left, const LoadMessage& right) {
   return left.active_ == right.active_ && left.queued_ == right.queued_ &&
          left.accepting_ == right.accepting_ &&
-         left.version_ == right.version_ && left.pace_ == right.pace_ &&
+         left.version_ == right.version_ && left.slowdown_ == right.slowdown_ &&
          left.started_ms_ == right.started_ms_ &&
          Difference(left.inbound_ms_, right.inbound_ms_) < kInboundStepMs;
 }
@@ -91,12 +91,12 @@
           {.on_load_ = nullptr,
            .on_held_chunks_ =
                [this](const membership::Member& sender,
-                      const HeldMessage& held) {
+                      const HeldChunksMessage& held) {
                  weights_.OnHeld(sender, held);
                },
            .on_subscribe_ =
                [this](const membership::Member& entry) { OnSubscribe(entry); },
-           .on_agent_ = nullptr,
+           .on_agent_started_ = nullptr,
            .on_weights_ =
                [this](const std::string& model, std::uint64_t version) {
                  weights_.OnNamed({model, version});
@@ -255,7 +255,8 @@
   load.active_ = report->load_.active_;
   load.queued_ = report->load_.queued_;
   load.accepting_ = !weights_.switching() && !report->activating_;
-  load.pace_ = static_cast<std::uint32_t>(report->load_.slowdown_ * kPaceUnit);
+  load.slowdown_ =
+      static_cast<std::uint32_t>(report->load_.slowdown_ * kSlowdownUnit);
   const auto inbound = InboundDelay(now);
   load.inbound_ms_ = static_cast<std::uint32_t>(
       std::chrono::duration_cast<milliseconds>(inbound).count());
--- a/packages/daemon/src/daemon/direct/direct_entry.cpp
+++ b/packages/daemon/src/daemon/direct/direct_entry.cpp
@@ -95,7 +95,7 @@
             {.on_load_ = [this](const LoadMessage& load) { OnLoad(load); },
              .on_held_chunks_ = nullptr,
              .on_subscribe_ = nullptr,
-             .on_agent_ =
+             .on_agent_started_ =
                  [this](const std::string& agent) {
                    // It has no subscribers yet.
                    subscribed_.erase(agent);
@@ -115,7 +115,8 @@
                  },
              .on_list_ =
                  [this](const membership::Member& teller,
-                        const ListMessage& list, core::TimePoint sent_at) {
+                        const EndpointListMessage& list,
+                        core::TimePoint sent_at) {
                    list_.OnListMessage(teller, list, sent_at);
                  },
              .on_rules_ =
@@ -213,7 +214,7 @@
       [this](const PeerCallPtr& call) { OnPeer(call); });
   relay_timer_.Every(kRelayInterval, [this] { AskPeersIfCutOff(); });
   process_.OnReload([this] { TakeSettings(); });
-  process_.OnResume([this] { mesh_.GreetSeed(); });
+  process_.OnResume([this] { mesh_.QuerySeed(); });
   mesh_.Start();
   keeper_.Start();
   subscribe_timer_.Every(kSubscribeTick, [this] { Subscribe(); });
@@ -284,14 +285,14 @@
     TakeWeights(weights, source == kStoreSource);
   }
   if (section == Section::kEndpoints) {
-    list_.TakeRead(published, source == kStoreSource);
+    list_.ApplyRead(published, source == kStoreSource);
   }
 }
 
 void DirectEntry::OnPeer(const PeerCallPtr& call) {
   const bool answered =
       keeper_.Answer(call) || relay_.Answer(call) ||
-      AnswerFactsCall(call, rules_.rules(), endpoints_.Rows(), mesh_);
+      HandleFactsCall(call, rules_.rules(), endpoints_.Rows(), mesh_);
   if (!answered) {
     call->Respond(kNotFound, "");
   }
@@ -310,7 +311,7 @@
                          static_cast<double>(rules.version_));
 }
 
-void DirectEntry::TakeWeights(const NamedWeights& weights, bool from_store) {
+void DirectEntry::TakeWeights(const TargetVersion& weights, bool from_store) {
   if (!weights_[weights.model_].OnVersionPublished(weights.version_,
                                                    process_.loop().Now())) {
     return;
@@ -320,7 +321,7 @@
                         {"version", std::to_string(weights.version_)}});
   // The time of a bound runs from the naming, not from its being heard.
   if (from_store || keeper_.is_watcher()) {
-    mesh_.TellNews();
+    mesh_.AnnounceVersions();
   }
   subscribed_.clear();
   Subscribe();
@@ -334,7 +335,7 @@
     if (service == nullptr || !service->engine_) {
       continue;
     }
-    const auto agent = mesh_.AddressBeside(row.address_);
+    const auto agent = mesh_.MeshAddressOf(row.address_);
     const auto known = subscribed_.find(agent);
     const bool near = row.domain_ == process_.domain();
     const auto interval = near ? kSubscribeInterval : kFarSubscribeInterval;
--- a/packages/daemon/src/daemon/direct/direct_entry.hpp
+++ b/packages/daemon/src/daemon/direct/direct_entry.hpp
@@ -44,7 +44,7 @@
   /// @brief Answers a call of another process of the system.
   void OnPeer(const PeerCallPtr& call);
   /// @param from_store whether this process heard it from the store itself.
-  void TakeWeights(const NamedWeights& weights, bool from_store);
+  void TakeWeights(const TargetVersion& weights, bool from_store);
   /// @brief Asks the agents of the endpoints in use for their reports, those
   /// that are due.
   void Subscribe();
@@ -90,7 +90,7 @@
   MeshNode mesh_;
   QuarantineKeeper quarantine_;
   EndpointList list_;
-  RulesKeeper keeper_;
+  RulesManager keeper_;
   PublishedRelay relay_;
   std::unique_ptr<PeerServer> peers_;
   std::unique_ptr<Http1Server> callers_;
--- a/packages/daemon/src/daemon/direct/direct_request.cpp
+++ b/packages/daemon/src/daemon/direct/direct_request.cpp
@@ -278,7 +278,7 @@
   const auto now = context_.loop_.Now();
   attempt_.status_ = status;
   attempt_.headers_ = headers;
-  attempt_.facts_ = context_.adapter_.requests_.read_answer_(status, headers);
+  attempt_.facts_ = context_.adapter_.requests_.read_response_(status, headers);
   attempt_.answering_ = true;
   context_.endpoints_.OnFirstByte(
       attempt_.choice_.row_.id_, request_.caller_.prompt_tokens_,
@@ -332,7 +332,7 @@
                               context_.loop_.Now() - request_.received_at_);
     exchange_->Start(
         attempt_.status_,
-        context_.adapter_.requests_.caller_headers_(attempt_.headers_));
+        context_.adapter_.requests_.forwarded_headers_(attempt_.headers_));
   }
   exchange_->Write(bytes);
   if (exchange_->pending() > kMaxPending && attempt_.call_ != nullptr) {
@@ -367,7 +367,7 @@
 
 routing::AttemptEnd DirectRequest::EndOfAnswer() const {
   const auto status = attempt_.status_;
-  if (attempt_.facts_.not_run_ || attempt_.facts_.other_endpoint_) {
+  if (attempt_.facts_.not_run_ || attempt_.facts_.mismatched_) {
     return routing::AttemptEnd::kRefusedNotRun;
   }
   if (!attempt_.facts_.signed_ && status < 300) {
@@ -386,7 +386,7 @@
       EndAttempt(end, routing::EndpointOutcome::kAnswered);
       return;
     case routing::AttemptEnd::kRefusedNotRun:
-      if (attempt_.facts_.other_endpoint_ &&
+      if (attempt_.facts_.mismatched_ &&
           !attempt_.facts_.incarnation_.empty() &&
           attempt_.facts_.incarnation_ != id) {
         context_.endpoints_.MarkReplaced(id, attempt_.facts_.incarnation_);
@@ -535,7 +535,7 @@
 
 void DirectRequest::RespondAnswer() {
   const auto headers =
-      context_.adapter_.requests_.caller_headers_(attempt_.headers_);
+      context_.adapter_.requests_.forwarded_headers_(attempt_.headers_);
   if (!attempt_.unframed_) {
     exchange_->Respond(attempt_.status_, headers, std::move(attempt_.body_));
     return;
@@ -550,7 +550,7 @@
   const auto& codec = context_.adapter_.requests_;
   if (finish.outcome_ == routing::Outcome::kFailedRan && failure_) {
     exchange_->Respond(failure_->status_,
-                       codec.caller_headers_(failure_->headers_),
+                       codec.forwarded_headers_(failure_->headers_),
                        std::move(failure_->body_));
     return;
   }
--- a/packages/daemon/src/daemon/direct/direct_request.hpp
+++ b/packages/daemon/src/daemon/direct/direct_request.hpp
@@ -82,7 +82,7 @@
     std::shared_ptr<HttpCall> call_;
     int status_ = 0;
     HttpHeaders headers_;
-    AnswerFacts facts_;
+    ResponseHead facts_;
     std::string body_;
     bool answering_ = false;
     /// The endpoint's system has the whole request.
--- a/packages/daemon/src/daemon/direct/direct_settings.cpp
+++ b/packages/daemon/src/daemon/direct/direct_settings.cpp
@@ -36,9 +36,9 @@
 
 EndpointListSettings EndpointListSettingsOf(const Settings& settings) {
   EndpointListSettings list;
-  list.often_ = settings.Milliseconds("platform", "poll_ms");
-  list.leave_bound_ = settings.Milliseconds("platform", "leave_bound_ms");
-  list.renewal_ = settings.Milliseconds("platform", "renewal_ms");
+  list.read_interval_ = settings.Milliseconds("platform", "poll_ms");
+  list.drain_bound_ = settings.Milliseconds("platform", "leave_bound_ms");
+  list.renewal_interval_ = settings.Milliseconds("platform", "renewal_ms");
   return list;
 }
 
--- a/packages/daemon/src/daemon/direct/endpoint_list.cpp
+++ b/packages/daemon/src/daemon/direct/endpoint_list.cpp
@@ -21,11 +21,11 @@
 constexpr std::string_view kReadOrder = "read-list";
 
 membership::ReaderRoleSettings DutySettings(const EndpointListSettings& list) {
-  const auto often = list.often_;
+  const auto often = list.read_interval_;
   membership::ReaderRoleSettings settings;
   settings.reader_interval_ = often;
   settings.max_age_ =
-      core::FromMs(core::ToMs(list.leave_bound_) * kOldestShare);
+      core::FromMs(core::ToMs(list.drain_bound_) * kOldestShare);
   settings.takeover_timeout_ = often + often / 2;
   settings.rank_delay_ = often / 4;
   settings.standby_interval_ = std::max(settings.standby_interval_, often);
@@ -45,7 +45,7 @@
       hooks_(std::move(hooks)),
       settings_(settings),
       duty_(mesh.self().id_, DutySettings(settings)),
-      outage_({.renewal_interval_ = settings.renewal_}) {}
+      outage_({.renewal_interval_ = settings.renewal_interval_}) {}
 
 void EndpointList::LeaveOutUnnamed(std::vector<routing::EndpointRow>& rows) {
   std::set<core::InstanceId> unnamed;
@@ -63,7 +63,7 @@
   unnamed_ = std::move(unnamed);
 }
 
-void EndpointList::TakeRead(StoreSnapshot published, bool from_store) {
+void EndpointList::ApplyRead(StoreSnapshot published, bool from_store) {
   LeaveOutUnnamed(published.endpoints_);
   const auto now = loop_.Now();
   const auto before = endpoints_.Rows();
@@ -118,7 +118,7 @@
                                 complete, loop_.Now());
   change.as_of_ = published.as_of_;
   if (duty_.IsReader(loop_.Now()) && change.rows_.size() <= kMaxRows) {
-    mesh_.TellList(ToMessage(change, loop_.Now()));
+    mesh_.PublishList(ToMessage(change, loop_.Now()));
   }
 }
 
@@ -126,15 +126,15 @@
   const auto now = loop_.Now();
   duty_.OnReadFailed(now);
   outage_.OnReadFailed();
-  if (now - tried_told_at_ >= settings_.often_) {
+  if (now - tried_told_at_ >= settings_.read_interval_) {
     tried_told_at_ = now;
-    mesh_.TellReadFailed();
+    mesh_.PublishReadFailure();
   }
   RunWaiting();
 }
 
 void EndpointList::OnListMessage(const membership::Member& teller,
-                                 const ListMessage& message,
+                                 const EndpointListMessage& message,
                                  core::TimePoint sent_at) {
   if (message.read_failed_) {
     duty_.OnPeerReadFailed(loop_.Now());
@@ -194,11 +194,11 @@
 
 void EndpointList::OnDeparted(const DepartedMessage& departed) {
   for (const auto& life : departed.leaving_) {
-    endpoints_.MarkLeaving(ToLife(life));
+    endpoints_.MarkLeaving(ToIncarnation(life));
   }
   // One that came back is in the next list that is read.
   for (const auto& life : departed.removed_) {
-    endpoints_.MarkTerminated(ToLife(life));
+    endpoints_.MarkTerminated(ToIncarnation(life));
   }
 }
 
@@ -218,7 +218,7 @@
 
 core::Duration EndpointList::Interval() {
   std::vector<core::InstanceId> readers{mesh_.self().id_};
-  for (const auto& neighbour : mesh_.Neighbours()) {
+  for (const auto& neighbour : mesh_.LocalEntries()) {
     readers.push_back(neighbour.id_);
   }
   duty_.SetMembers(readers);
--- a/packages/daemon/src/daemon/direct/endpoint_list.hpp
+++ b/packages/daemon/src/daemon/direct/endpoint_list.hpp
@@ -21,12 +21,12 @@
 /// @brief Settings of a list.
 struct EndpointListSettings {
   /// Between two reads of the one who reads for others.
-  core::Duration often_ = std::chrono::milliseconds(600);
+  core::Duration read_interval_ = std::chrono::milliseconds(600);
   /// From the store's word that an endpoint leaves to the last request that may
   /// reach it.
-  core::Duration leave_bound_ = std::chrono::milliseconds(2000);
+  core::Duration drain_bound_ = std::chrono::milliseconds(2000);
   /// Between two renewals of an endpoint's row.
-  core::Duration renewal_ = std::chrono::milliseconds(1200);
+  core::Duration renewal_interval_ = std::chrono::milliseconds(1200);
 };
 
 /// @brief Hooks of a list.
@@ -48,11 +48,12 @@
   /// @param from_store whether this process read it itself.
   /// Rows of services that nobody named are left out: they may have another
   /// writer, and one that bears a good endpoint's address would hide it.
-  void TakeRead(StoreSnapshot published, bool from_store);
+  void ApplyRead(StoreSnapshot published, bool from_store);
   /// @brief A member told what it, or another one, read.
   /// @param sent_at when it did, by the own clock.
   void OnListMessage(const membership::Member& teller,
-                     const ListMessage& message, core::TimePoint sent_at);
+                     const EndpointListMessage& message,
+                     core::TimePoint sent_at);
   /// @brief The store did not answer a read.
   void OnReadFailed();
   /// @brief Any entry told which endpoints leave.
--- a/packages/daemon/src/daemon/direct/engine_facts.cpp
+++ b/packages/daemon/src/daemon/direct/engine_facts.cpp
@@ -54,7 +54,7 @@
   AgentAddresses agents;
   for (const auto& row : rows) {
     if (row.service_ == service && !row.leaving_) {
-      agents[row.domain_.value()].push_back(mesh.AddressBeside(row.address_));
+      agents[row.domain_.value()].push_back(mesh.MeshAddressOf(row.address_));
     }
   }
   for (auto& [domain, addresses] : agents) {
@@ -65,7 +65,7 @@
   return agents;
 }
 
-bool AnswerFactsCall(const PeerCallPtr& call, const config::TrafficRules& rules,
+bool HandleFactsCall(const PeerCallPtr& call, const config::TrafficRules& rules,
                      const std::vector<routing::EndpointRow>& rows,
                      const MeshNode& mesh) {
   if (call->path() != kFactsPath) {
--- a/packages/daemon/src/daemon/direct/engine_facts.hpp
+++ b/packages/daemon/src/daemon/direct/engine_facts.hpp
@@ -53,7 +53,7 @@
 /// @brief Answers an agent's call.
 /// @param rows endpoints of all services.
 /// @return false when the call is not for facts.
-bool AnswerFactsCall(const PeerCallPtr& call, const config::TrafficRules& rules,
+bool HandleFactsCall(const PeerCallPtr& call, const config::TrafficRules& rules,
                      const std::vector<routing::EndpointRow>& rows,
                      const MeshNode& mesh);
 
--- a/packages/daemon/src/daemon/direct/hooks.hpp
+++ b/packages/daemon/src/daemon/direct/hooks.hpp
@@ -47,11 +47,11 @@
 };
 
 /// @brief What the head of an endpoint's answer says.
-struct AnswerFacts {
+struct ResponseHead {
   /// The endpoint states that it did not run the request.
   bool not_run_ = false;
   /// Another incarnation or other weights than demanded.
-  bool other_endpoint_ = false;
+  bool mismatched_ = false;
   /// The incarnation that answered, where it is told.
   core::InstanceId incarnation_;
   /// Signed by the endpoint: only then the answer is its own.
@@ -65,13 +65,13 @@
                             const CallerRequest& caller,
                             const AttemptTerms& terms)>
       write_attempt_;
-  std::function<AnswerFacts(int status, const HttpHeaders& headers)>
-      read_answer_;
+  std::function<ResponseHead(int status, const HttpHeaders& headers)>
+      read_response_;
   /// Whether an answer belongs to the request with this id.
   std::function<bool(const HttpHeaders& headers, const std::string& id)>
       matches_request_;
   /// Headers of an answer that go on to the caller.
-  std::function<HttpHeaders(const HttpHeaders& headers)> caller_headers_;
+  std::function<HttpHeaders(const HttpHeaders& headers)> forwarded_headers_;
   /// Headers of an answer of our own.
   std::function<HttpHeaders(const std::string& id,
                             std::optional<core::Duration> retry_after)>
@@ -82,26 +82,26 @@
 enum class Section : std::uint8_t { kRules, kWeights, kEndpoints };
 
 /// @brief Newest version of a model's weights.
-struct NamedWeights {
+struct TargetVersion {
   std::string model_;
   std::uint64_t version_ = 0;
 
-  friend bool operator==(const NamedWeights&, const NamedWeights&) = default;
+  friend bool operator==(const TargetVersion&, const TargetVersion&) = default;
 };
 
 /// @brief How a read of the store ended.
-enum class ReadEnd : std::uint8_t {
+enum class ReadOutcome : std::uint8_t {
   kRead,
   /// A watch saw nothing in its time.
   kUnchanged,
   /// The store forgot what came after the revision; read anew.
-  kHistoryGone,
+  kCompacted,
   kUnreachable,
 };
 
 /// @brief What a read brought.
 struct StoreSnapshot {
-  ReadEnd outcome_ = ReadEnd::kUnreachable;
+  ReadOutcome outcome_ = ReadOutcome::kUnreachable;
   /// When the store was asked: what it said was so at this time, or later.
   core::TimePoint as_of_;
   /// Of the store, at the time of the answer.
@@ -109,7 +109,7 @@
   std::optional<config::TrafficRules> rules_;
   /// The rules as published, undecoded; for peers.
   std::string encoded_rules_;
-  std::vector<NamedWeights> weights_;
+  std::vector<TargetVersion> weights_;
   std::vector<routing::EndpointRow> endpoints_;
   /// What the store said of endpoints or weights, undecoded, page by page, when
   /// it is the whole section; for peers.
@@ -118,7 +118,7 @@
   std::vector<std::string> decode_errors_;
 };
 
-using PublishedHandler = std::function<void(StoreSnapshot)>;
+using SnapshotHandler = std::function<void(StoreSnapshot)>;
 
 /// @brief Ends a call under way; its handler is not called any more.
 using CancelCall = std::function<void()>;
@@ -126,11 +126,11 @@
 /// @brief Reads of the published store.
 struct StoreClient {
   /// Reads one section whole.
-  std::function<CancelCall(Section section, PublishedHandler done)> read_;
+  std::function<CancelCall(Section section, SnapshotHandler done)> read_;
   /// Waits for a change of a section after a revision. A change is told as the
   /// changed values alone.
   std::function<CancelCall(Section section, std::uint64_t after,
-                           core::Duration wait, PublishedHandler done)>
+                           core::Duration wait, SnapshotHandler done)>
       watch_;
   /// Decodes rules that another process has.
   std::function<StoreSnapshot(const std::string& text)> decode_rules_;
@@ -154,7 +154,7 @@
 };
 
 /// @brief Answer to an order.
-enum class OrderEnd : std::uint8_t { kStarted, kDone, kRefused, kLost };
+enum class OrderOutcome : std::uint8_t { kStarted, kDone, kRefused, kLost };
 
 /// @brief List of a version's pieces.
 struct WeightsManifest {
@@ -172,7 +172,7 @@
                      std::function<void(core::InstanceId)>)>
       incarnation_;
   std::function<void(const std::string& model, std::uint64_t version,
-                     std::function<void(OrderEnd)>)>
+                     std::function<void(OrderOutcome)>)>
       activate_;
   std::function<void(const std::string& model, std::size_t piece,
                      std::string bytes, std::function<void(bool)>)>
--- a/packages/daemon/src/daemon/direct/mesh_messages.cpp
+++ b/packages/daemon/src/daemon/direct/mesh_messages.cpp
@@ -29,7 +29,7 @@
           .kind_ = static_cast<std::uint8_t>(member.kind_),
           .domain_ = member.domain_.value(),
           .address_ = member.address_,
-          .beat_ = member.heartbeat_,
+          .heartbeat_ = member.heartbeat_,
           .leaving_ = member.leaving_,
           .local_members_ = member.local_members_};
 }
@@ -42,7 +42,7 @@
                                     : membership::MemberKind::kAgent;
   member.domain_ = core::FailureDomainId(message.domain_);
   member.address_ = message.address_;
-  member.heartbeat_ = message.beat_;
+  member.heartbeat_ = message.heartbeat_;
   member.leaving_ = message.leaving_;
   member.local_members_ = message.local_members_;
   return member;
@@ -52,23 +52,23 @@
   return started ? started->time_since_epoch().count() : 0;
 }
 
-std::optional<core::StartTime> ToStart(std::int64_t ms) {
+std::optional<core::StartTime> ToStartTime(std::int64_t ms) {
   return ms == 0
              ? std::nullopt
              : std::optional(core::StartTime(std::chrono::milliseconds(ms)));
 }
 
-LifeMessage ToMessage(const routing::EndpointIncarnation& life) {
+IncarnationMessage ToMessage(const routing::EndpointIncarnation& life) {
   return {life.id_.value(), ToMs(life.started_)};
 }
 
-routing::EndpointIncarnation ToLife(const LifeMessage& message) {
-  return {core::InstanceId(message.id_), ToStart(message.started_ms_)};
+routing::EndpointIncarnation ToIncarnation(const IncarnationMessage& message) {
+  return {core::InstanceId(message.id_), ToStartTime(message.started_ms_)};
 }
 
-ListMessage ToMessage(const routing::EndpointListChange& change,
-                      core::TimePoint now) {
-  ListMessage message;
+EndpointListMessage ToMessage(const routing::EndpointListChange& change,
+                              core::TimePoint now) {
+  EndpointListMessage message;
   message.age_ms_ = ToAgeMs(now - change.as_of_);
   message.from_ = change.from_;
   message.to_ = change.to_;
@@ -91,7 +91,7 @@
   return message;
 }
 
-routing::EndpointListChange ToChange(const ListMessage& message,
+routing::EndpointListChange ToChange(const EndpointListMessage& message,
                                      core::TimePoint sent_at) {
   routing::EndpointListChange change;
   change.as_of_ = sent_at - ToAge(message.age_ms_);
@@ -108,7 +108,7 @@
     row.slots_ = told.slots_;
     row.leaving_ = told.leaving_;
     row.created_ = told.created_;
-    row.started_ = ToStart(told.started_ms_);
+    row.started_ = ToStartTime(told.started_ms_);
     if (told.version_ > 0) {
       row.weights_version_ = told.version_;
     }
@@ -129,7 +129,7 @@
                                 .reporter_ = crash.reporter_.value(),
                                 .age_ms_ = ToAgeMs(now - crash.crashed_at_),
                                 .cleared_ = crash.cleared_,
-                                .under_way_ms_ = ToAgeMs(crash.elapsed_)});
+                                .elapsed_ms_ = ToAgeMs(crash.elapsed_)});
   }
   return message;
 }
@@ -142,10 +142,10 @@
   }
   routing::CrashRecord record{.request_ = *request, .crashes_ = {}};
   for (const auto& crash : message.crashes_) {
-    record.crashes_.push_back({.endpoint_ = ToLife(crash.endpoint_),
+    record.crashes_.push_back({.endpoint_ = ToIncarnation(crash.endpoint_),
                                .reporter_ = core::InstanceId(crash.reporter_),
                                .crashed_at_ = sent_at - ToAge(crash.age_ms_),
-                               .elapsed_ = ToAge(crash.under_way_ms_),
+                               .elapsed_ = ToAge(crash.elapsed_ms_),
                                .cleared_ = crash.cleared_});
   }
   return record;
@@ -157,12 +157,12 @@
   report.active_ = message.active_;
   report.queued_ = message.queued_;
   report.accepting_ = message.accepting_;
-  report.slowdown_ = message.pace_ / kPaceUnit;
+  report.slowdown_ = message.slowdown_ / kSlowdownUnit;
   if (message.version_ > 0) {
     report.weights_version_ = message.version_;
   }
   report.incarnation_ = core::InstanceId(message.incarnation_);
-  report.started_ = ToStart(message.started_ms_);
+  report.started_ = ToStartTime(message.started_ms_);
   report.path_delay_ =
       outbound + std::chrono::milliseconds(message.inbound_ms_);
   return report;
--- a/packages/daemon/src/daemon/direct/mesh_messages.hpp
+++ b/packages/daemon/src/daemon/direct/mesh_messages.hpp
@@ -30,11 +30,11 @@
   std::uint8_t kind_ = 0;
   std::string domain_;
   std::string address_;
-  std::uint64_t beat_ = 0;
+  std::uint64_t heartbeat_ = 0;
   bool leaving_ = false;
   std::uint32_t local_members_ = 0;
-  MSGPACK_DEFINE(id_, incarnation_, kind_, domain_, address_, beat_, leaving_,
-                 local_members_)
+  MSGPACK_DEFINE(id_, incarnation_, kind_, domain_, address_, heartbeat_,
+                 leaving_, local_members_)
 };
 
 /// @brief What an agent's engine reported.
@@ -47,7 +47,7 @@
   /// 0 while the engine holds no whole weights.
   std::uint64_t version_ = 0;
   /// Thousandths.
-  std::uint32_t pace_ = 1000;
+  std::uint32_t slowdown_ = 1000;
   /// By the agent's steady clock.
   std::uint64_t sent_ms_ = 0;
   /// How long the agent's link holds back what comes in, requests included.
@@ -56,12 +56,12 @@
   std::string incarnation_;
   /// Start of the engine's life; 0 when it is not told.
   std::int64_t started_ms_ = 0;
-  MSGPACK_DEFINE(endpoint_, active_, queued_, accepting_, version_, pace_,
+  MSGPACK_DEFINE(endpoint_, active_, queued_, accepting_, version_, slowdown_,
                  sent_ms_, inbound_ms_, incarnation_, started_ms_)
 };
 
 /// @brief Which pieces of a version an agent can give.
-struct HeldMessage {
+struct HeldChunksMessage {
   std::string model_;
   std::uint64_t version_ = 0;
   std::uint32_t chunks_ = 0;
@@ -72,13 +72,13 @@
   bool has_manifest_ = false;
   /// Others come first in drawing pieces: its machine's link carries far less
   /// than it is set to, or it fetches an older version first.
-  bool narrowed_ = false;
+  bool degraded_ = false;
   /// Another version of which it can give pieces; 0 for none.
   std::uint64_t older_version_ = 0;
   std::string older_bits_;
   bool has_older_manifest_ = false;
   MSGPACK_DEFINE(model_, version_, chunks_, bits_, serving_, has_manifest_,
-                 narrowed_, older_version_, older_bits_, has_older_manifest_)
+                 degraded_, older_version_, older_bits_, has_older_manifest_)
 };
 
 /// @brief Row of the published list of endpoints.
@@ -99,7 +99,7 @@
 };
 
 /// @brief What a reader of the list saw change between two of its reads.
-struct ListMessage {
+struct EndpointListMessage {
   /// Revisions of the list; `to_` 0 means that nothing is told.
   std::uint64_t from_ = 0;
   std::uint64_t to_ = 0;
@@ -118,7 +118,7 @@
 };
 
 /// @brief Wire form of one life of an endpoint.
-struct LifeMessage {
+struct IncarnationMessage {
   std::string id_;
   /// 0 when it is not told.
   std::int64_t started_ms_ = 0;
@@ -127,22 +127,22 @@
 
 /// @brief Endpoints that are seen to leave or to be gone.
 struct DepartedMessage {
-  std::vector<LifeMessage> leaving_;
-  std::vector<LifeMessage> removed_;
+  std::vector<IncarnationMessage> leaving_;
+  std::vector<IncarnationMessage> removed_;
   MSGPACK_DEFINE(leaving_, removed_)
 };
 
 /// @brief Wire form of one crash of an endpoint.
 struct CrashMessage {
-  LifeMessage endpoint_;
+  IncarnationMessage endpoint_;
   /// Entry that saw it.
   std::string reporter_;
   /// Since the crash, as the message is sent.
   std::uint64_t age_ms_ = 0;
   bool cleared_ = false;
   /// How long the request had been under way there.
-  std::uint64_t under_way_ms_ = 0;
-  MSGPACK_DEFINE(endpoint_, reporter_, age_ms_, cleared_, under_way_ms_)
+  std::uint64_t elapsed_ms_ = 0;
+  MSGPACK_DEFINE(endpoint_, reporter_, age_ms_, cleared_, elapsed_ms_)
 };
 
 /// @brief Values of CrashRecordMessage::trial_ms_ below 1.
@@ -163,47 +163,49 @@
 struct MeshMessage {
   MemberMessage sender_;
   std::vector<MemberMessage> rows_;
-  std::vector<HeldMessage> held_chunks_;
+  std::vector<HeldChunksMessage> held_chunks_;
   /// Newest weights the sender has heard of, by model.
   std::map<std::string, std::uint64_t> weights_;
   /// Whether the sender wants an answer, to know that the other lives.
-  bool asks_ = false;
+  bool requests_reply_ = false;
   /// The sender wants the reports of the endpoint beside this agent for some
   /// seconds.
   bool subscribes_ = false;
   DepartedMessage departed_;
   /// By the sender's steady clock.
   std::uint64_t sent_ms_ = 0;
-  ListMessage list_;
+  EndpointListMessage list_;
   /// Version of the rules that the sender has in force; 0 for none.
   std::uint64_t rules_version_ = 0;
   /// The sender takes the rules from the store: its neighbours need not.
   bool watches_rules_ = false;
   std::vector<CrashRecordMessage> crashes_;
-  MSGPACK_DEFINE(sender_, rows_, held_chunks_, weights_, asks_, subscribes_,
-                 departed_, sent_ms_, list_, rules_version_, watches_rules_,
-                 crashes_)
+  MSGPACK_DEFINE(sender_, rows_, held_chunks_, weights_, requests_reply_,
+                 subscribes_, departed_, sent_ms_, list_, rules_version_,
+                 watches_rules_, crashes_)
 };
 
 /// A pace travels in thousandths.
-constexpr double kPaceUnit = 1000;
+constexpr double kSlowdownUnit = 1000;
 
 [[nodiscard]] MemberMessage ToMessage(const membership::Member& member);
 [[nodiscard]] membership::Member ToMember(const MemberMessage& message);
-[[nodiscard]] LifeMessage ToMessage(const routing::EndpointIncarnation& life);
-[[nodiscard]] routing::EndpointIncarnation ToLife(const LifeMessage& message);
+[[nodiscard]] IncarnationMessage ToMessage(
+    const routing::EndpointIncarnation& life);
+[[nodiscard]] routing::EndpointIncarnation ToIncarnation(
+    const IncarnationMessage& message);
 /// @brief An age as it travels; any number may be told.
 [[nodiscard]] core::Duration ToAge(std::uint64_t ms);
 /// @return whole milliseconds, rounded up.
 [[nodiscard]] std::uint64_t ToAgeMs(core::Duration age);
 /// @brief A start time on the wire; 0 for none.
 [[nodiscard]] std::int64_t ToMs(const std::optional<core::StartTime>& started);
-[[nodiscard]] std::optional<core::StartTime> ToStart(std::int64_t ms);
-[[nodiscard]] ListMessage ToMessage(const routing::EndpointListChange& change,
-                                    core::TimePoint now);
+[[nodiscard]] std::optional<core::StartTime> ToStartTime(std::int64_t ms);
+[[nodiscard]] EndpointListMessage ToMessage(
+    const routing::EndpointListChange& change, core::TimePoint now);
 /// @param sent_at when the message was sent, by the own clock.
-[[nodiscard]] routing::EndpointListChange ToChange(const ListMessage& message,
-                                                   core::TimePoint sent_at);
+[[nodiscard]] routing::EndpointListChange ToChange(
+    const EndpointListMessage& message, core::TimePoint sent_at);
 /// @brief The record as it is sent; it says nothing of a trial.
 [[nodiscard]] CrashRecordMessage ToMessage(const routing::CrashRecord& record,
                                            core::TimePoint now);
--- a/packages/daemon/src/daemon/direct/mesh_node.cpp
+++ b/packages/daemon/src/daemon/direct/mesh_node.cpp
@@ -59,18 +59,18 @@
   settings_.seeds_ = std::move(seeds);
 }
 
-std::string MeshNode::AddressBeside(const std::string& endpoint) const {
+std::string MeshNode::MeshAddressOf(const std::string& endpoint) const {
   return Address{ParseAddress(endpoint).ip_, settings_.listen_.port_}
       .ToString();
 }
 
-void MeshNode::GreetSeed() {
+void MeshNode::QuerySeed() {
   if (settings_.seeds_.empty()) {
     return;
   }
   const auto& seed = settings_.seeds_[seed_++ % settings_.seeds_.size()];
   auto message = Envelope();
-  message.asks_ = true;
+  message.requests_reply_ = true;
   Send(TrafficKind::kGossip,
        Address{seed.ip_, settings_.listen_.port_}.ToString(), self().domain_,
        message);
@@ -78,7 +78,7 @@
 
 void MeshNode::Greet() {
   table_.RaiseHeartbeat();
-  GreetSeed();
+  QuerySeed();
   Tick();
 }
 
@@ -93,7 +93,7 @@
   if (IsEntry()) {
     for (const auto& silent : table_.Unresponsive(kAsked, loop_.Now())) {
       auto message = Envelope();
-      message.asks_ = true;
+      message.requests_reply_ = true;
       SendTo(TrafficKind::kGossip, {silent}, message);
     }
     for (const auto& target : table_.GossipTargets(kTargets)) {
@@ -104,7 +104,7 @@
       SendTo(TrafficKind::kGossip, {target}, message);
     }
     if (++rounds_ % kSeedRounds == 0 && table_.IsDelegate()) {
-      GreetSeed();
+      QuerySeed();
     }
   }
   metrics_.Set("members", {}, static_cast<double>(table_.Live().size()));
@@ -115,7 +115,7 @@
               [this, greets] { greets ? Greet() : Tick(); });
 }
 
-std::vector<membership::Member> MeshNode::Neighbours() const {
+std::vector<membership::Member> MeshNode::LocalEntries() const {
   return Plan().local_members();
 }
 
@@ -255,17 +255,17 @@
                            const membership::Member& sender) {
   const bool agent = sender.kind_ == membership::MemberKind::kAgent;
   if (agent) {
-    if (message.asks_ && IsEntry()) {
+    if (message.requests_reply_ && IsEntry()) {
       Answer(sender);
-      if (hooks_.on_agent_) {
-        hooks_.on_agent_(sender.address_);
+      if (hooks_.on_agent_started_) {
+        hooks_.on_agent_started_(sender.address_);
       }
     }
     return;
   }
   // Newcomers ask some times: each time the one asked knows more.
   const bool joined = Merge(sender) == membership::MergeOutcome::kJoined;
-  if (IsEntry() && (joined || message.asks_)) {
+  if (IsEntry() && (joined || message.requests_reply_)) {
     Answer(sender);
   }
   for (const auto& row : message.rows_) {
@@ -350,7 +350,7 @@
          message);
 }
 
-void MeshNode::TellList(const ListMessage& list) {
+void MeshNode::PublishList(const EndpointListMessage& list) {
   auto message = Envelope();
   message.list_ = list;
   told_domain_at_ = loop_.Now();
@@ -374,25 +374,27 @@
   SendTo(TrafficKind::kCrashes, Plan().ForwardTargets(from), message);
 }
 
-void MeshNode::TellReadFailed() {
+void MeshNode::PublishReadFailure() {
   auto message = Envelope();
   message.list_.read_failed_ = true;
   told_domain_at_ = loop_.Now();
-  SendTo(TrafficKind::kList, Neighbours(), message);
+  SendTo(TrafficKind::kList, LocalEntries(), message);
 }
 
-void MeshNode::TellNews(const std::vector<membership::Member>& members) {
+void MeshNode::AnnounceVersions(
+    const std::vector<membership::Member>& members) {
   SendTo(TrafficKind::kNotification, members, Envelope());
 }
 
-void MeshNode::TellNews() {
+void MeshNode::AnnounceVersions() {
   told_domain_at_ = loop_.Now();
-  TellNews(Plan().AnnounceTargets(membership::DelegateFanout::kTwoDelegates));
+  AnnounceVersions(
+      Plan().AnnounceTargets(membership::DelegateFanout::kTwoDelegates));
 }
 
-void MeshNode::SendHeld(const std::string& agent,
-                        const core::FailureDomainId& domain,
-                        const HeldMessage& held) {
+void MeshNode::SendHeldChunks(const std::string& agent,
+                              const core::FailureDomainId& domain,
+                              const HeldChunksMessage& held) {
   auto message = Envelope();
   message.held_chunks_.push_back(held);
   Send(TrafficKind::kHeldChunks, agent, domain, message);
--- a/packages/daemon/src/daemon/direct/mesh_node.hpp
+++ b/packages/daemon/src/daemon/direct/mesh_node.hpp
@@ -36,20 +36,21 @@
 /// @brief Hooks of a node.
 struct MeshHooks {
   std::function<void(const LoadMessage& load)> on_load_;
-  std::function<void(const membership::Member& sender, const HeldMessage& held)>
+  std::function<void(const membership::Member& sender,
+                     const HeldChunksMessage& held)>
       on_held_chunks_;
   /// An entry wants this agent's reports.
   std::function<void(const membership::Member& entry)> on_subscribe_;
   /// An agent that has just started, or that no entry uses, greets.
-  std::function<void(const std::string& address)> on_agent_;
+  std::function<void(const std::string& address)> on_agent_started_;
   std::function<void(const std::string& model, std::uint64_t version)>
       on_weights_;
   std::function<void(const membership::Member& member)> on_lost_;
   std::function<void(const DepartedMessage& departed)> on_departed_;
   /// @param sent_at when the list was told, by the own clock: datagrams may
   /// wait on their way and before this process, which may stand still.
-  std::function<void(const membership::Member& teller, const ListMessage& list,
-                     core::TimePoint sent_at)>
+  std::function<void(const membership::Member& teller,
+                     const EndpointListMessage& list, core::TimePoint sent_at)>
       on_list_;
   /// A member told which rules it has in force, 0 for none, and whether it
   /// takes them from the store.
@@ -87,7 +88,7 @@
     return table_.Live();
   }
   /// @brief Live entries of the own failure domain that do not leave.
-  [[nodiscard]] std::vector<membership::Member> Neighbours() const;
+  [[nodiscard]] std::vector<membership::Member> LocalEntries() const;
   /// @brief Live entries of the whole deployment, this one included.
   [[nodiscard]] std::size_t EntryCount() const {
     return table_.DeploymentSize();
@@ -97,7 +98,7 @@
   }
   /// @brief Where another process of the deployment hears datagrams.
   /// @param endpoint address of the endpoint beside it, "ip:port".
-  [[nodiscard]] std::string AddressBeside(const std::string& endpoint) const;
+  [[nodiscard]] std::string MeshAddressOf(const std::string& endpoint) const;
 
   /// @brief Asks the agent at an address for reports, for some seconds.
   /// @param domain failure domain of the agent.
@@ -109,9 +110,9 @@
   /// the list first spares the others the wait for their own reading.
   void PublishDeparted(const DepartedMessage& departed);
   /// @brief Tells whoever must know what was read of the list of endpoints.
-  void TellList(const ListMessage& list);
+  void PublishList(const EndpointListMessage& list);
   /// @brief Tells the own failure domain that the list could not be read.
-  void TellReadFailed();
+  void PublishReadFailure();
   /// @brief Publishes records of crashes to the own failure domain and to the
   /// delegates of the others.
   void PublishCrashes(const std::vector<CrashRecordMessage>& records);
@@ -120,24 +121,25 @@
   void ForwardCrashes(const core::FailureDomainId& from,
                       const std::vector<CrashRecordMessage>& records);
   /// @brief Tells members which rules and weights are known here.
-  void TellNews(const std::vector<membership::Member>& members);
+  void AnnounceVersions(const std::vector<membership::Member>& members);
   /// @brief Tells whoever must know which rules and weights are known here.
-  void TellNews();
+  void AnnounceVersions();
   /// @brief When the whole failure domain was told anything: each datagram says
   /// which rules and weights are known here.
-  [[nodiscard]] core::TimePoint told_domain_at() const noexcept {
+  [[nodiscard]] core::TimePoint last_domain_announcement() const noexcept {
     return told_domain_at_;
   }
   /// @brief Tells one agent what this one holds.
-  void SendHeld(const std::string& agent, const core::FailureDomainId& domain,
-                const HeldMessage& held);
+  void SendHeldChunks(const std::string& agent,
+                      const core::FailureDomainId& domain,
+                      const HeldChunksMessage& held);
   void SetSeeds(std::vector<Address> seeds);
   /// @brief How long this machine's link holds back what comes in.
   [[nodiscard]] core::Duration InboundDelay() const {
     return inbound_.At(loop_.Now());
   }
   /// @brief Asks a seed who is there, as at the start.
-  void GreetSeed();
+  void QuerySeed();
 
  private:
   void Tick();
@@ -175,7 +177,7 @@
   EventLog& log_;
   Metrics& metrics_;
   MeshHooks hooks_;
-  TrafficCount traffic_;
+  TrafficCounter traffic_;
   /// By address and incarnation of the sender.
   std::map<std::pair<std::string, std::uint64_t>, membership::PathDelay> paths_;
   membership::LinkDelay inbound_;
--- a/packages/daemon/src/daemon/direct/older_weights.cpp
+++ b/packages/daemon/src/daemon/direct/older_weights.cpp
@@ -52,7 +52,7 @@
   pieces_.SaveCopy(piece, std::move(*bytes));
 }
 
-void OlderWeights::AddTo(HeldMessage& held) const {
+void OlderWeights::AddTo(HeldChunksMessage& held) const {
   if (version() == 0) {
     return;
   }
@@ -61,13 +61,13 @@
   held.has_older_manifest_ = manifest_.has_value();
 }
 
-bool OffersManifest(const HeldMessage& held, std::uint64_t version) {
+bool OffersManifest(const HeldChunksMessage& held, std::uint64_t version) {
   return (held.has_manifest_ && held.version_ == version) ||
          (held.has_older_manifest_ && held.older_version_ == version);
 }
 
-swarm::ChunkSet OfferedPieces(const HeldMessage& held, std::uint64_t version,
-                              std::size_t size) {
+swarm::ChunkSet OfferedPieces(const HeldChunksMessage& held,
+                              std::uint64_t version, std::size_t size) {
   if (held.version_ == version) {
     return swarm::ChunkSet::FromBytes(held.bits_, size);
   }
--- a/packages/daemon/src/daemon/direct/older_weights.hpp
+++ b/packages/daemon/src/daemon/direct/older_weights.hpp
@@ -41,7 +41,7 @@
   void OnOverwritten(std::size_t piece, std::optional<std::string> bytes);
   void Lose(std::size_t piece) { pieces_.Remove(piece); }
   /// @brief Adds what can be given to what this agent announces.
-  void AddTo(HeldMessage& held) const;
+  void AddTo(HeldChunksMessage& held) const;
 
  private:
   std::optional<WeightsManifest> manifest_;
@@ -49,11 +49,11 @@
 };
 
 /// @brief Whether a peer announced that it can give a manifest.
-[[nodiscard]] bool OffersManifest(const HeldMessage& held,
+[[nodiscard]] bool OffersManifest(const HeldChunksMessage& held,
                                   std::uint64_t version);
 /// @brief Pieces of a version that a peer announced.
 /// @param size pieces of the version.
-[[nodiscard]] swarm::ChunkSet OfferedPieces(const HeldMessage& held,
+[[nodiscard]] swarm::ChunkSet OfferedPieces(const HeldChunksMessage& held,
                                             std::uint64_t version,
                                             std::size_t size);
 /// @brief Pieces of a version that some peer announced.
--- a/packages/daemon/src/daemon/direct/piece_exchange.cpp
+++ b/packages/daemon/src/daemon/direct/piece_exchange.cpp
@@ -81,7 +81,7 @@
 }
 
 core::InstanceId PieceExchange::OnHeld(const membership::Member& sender,
-                                       const HeldMessage& held,
+                                       const HeldChunksMessage& held,
                                        core::TimePoint now) {
   core::InstanceId id(sender.address_);
   peers_[id] = {sender, held, now};
@@ -108,13 +108,13 @@
 }
 
 void PieceExchange::Tell(const core::InstanceId& agent,
-                         const HeldMessage& held) {
+                         const HeldChunksMessage& held) {
   const auto known =
       std::ranges::find(agents_, agent, &swarm::SwarmMember::id_);
   const auto domain =
       known == agents_.end() ? process_.domain() : known->domain_;
   told_at_[agent] = process_.loop().Now();
-  mesh_.SendHeld(agent.value(), domain, held);
+  mesh_.SendHeldChunks(agent.value(), domain, held);
 }
 
 std::vector<swarm::SwarmMember> PieceExchange::Lacking(
@@ -129,7 +129,7 @@
     const auto peer = peers_.find(agent.id_);
     const bool heard = peer != peers_.end();
     if (!heard || peer->second.held_.serving_ < least) {
-      const bool narrowed = heard && peer->second.held_.narrowed_;
+      const bool narrowed = heard && peer->second.held_.degraded_;
       members.push_back({agent.id_, agent.domain_, narrowed});
     }
   }
--- a/packages/daemon/src/daemon/direct/piece_exchange.hpp
+++ b/packages/daemon/src/daemon/direct/piece_exchange.hpp
@@ -68,7 +68,7 @@
 /// @brief Another agent of the same service as it announced itself.
 struct PiecePeer {
   membership::Member member_;
-  HeldMessage held_;
+  HeldChunksMessage held_;
   core::TimePoint heard_at_;
 };
 
@@ -96,7 +96,7 @@
 
   /// @return name of the sender among the agents.
   core::InstanceId OnHeld(const membership::Member& sender,
-                          const HeldMessage& held, core::TimePoint now);
+                          const HeldChunksMessage& held, core::TimePoint now);
   /// @brief Peers that announced nothing for long; they are forgotten.
   std::vector<core::InstanceId> TakeSilent(core::TimePoint now);
   /// @brief Whether a peer that announced itself may be answered: not each time
@@ -104,7 +104,7 @@
   [[nodiscard]] bool MayTell(const core::InstanceId& agent,
                              core::TimePoint now) const;
   /// @brief Tells an agent what is held here.
-  void Tell(const core::InstanceId& agent, const HeldMessage& held);
+  void Tell(const core::InstanceId& agent, const HeldChunksMessage& held);
   [[nodiscard]] const std::map<core::InstanceId, PiecePeer>& peers()
       const noexcept {
     return peers_;
--- a/packages/daemon/src/daemon/direct/published_reader.cpp
+++ b/packages/daemon/src/daemon/direct/published_reader.cpp
@@ -18,15 +18,15 @@
 /// A poll that may become due earlier is looked at this often.
 constexpr auto kPollCheck = std::chrono::milliseconds(200);
 
-std::string_view ToString(ReadEnd end) {
+std::string_view ToString(ReadOutcome end) {
   switch (end) {
-    case ReadEnd::kRead:
+    case ReadOutcome::kRead:
       return "read";
-    case ReadEnd::kUnchanged:
+    case ReadOutcome::kUnchanged:
       return "nothing-new";
-    case ReadEnd::kHistoryGone:
+    case ReadOutcome::kCompacted:
       return "history-gone";
-    case ReadEnd::kUnreachable:
+    case ReadOutcome::kUnreachable:
       return "unreachable";
   }
   return "";
@@ -70,7 +70,7 @@
   }
 }
 
-void PublishedReader::SetWait(Section section, core::Duration wait) {
+void PublishedReader::SetWatchWait(Section section, core::Duration wait) {
   Start(section, true).wait_ = wait;
 }
 
@@ -81,7 +81,7 @@
   EndCall(task);
 }
 
-void PublishedReader::Skip(Section section, std::uint64_t revision) {
+void PublishedReader::AdvanceTo(Section section, std::uint64_t revision) {
   const auto found = tasks_.find(section);
   if (found == tasks_.end() || found->second.revision_ >= revision) {
     return;
@@ -135,7 +135,7 @@
       [this, section, asked_at = loop_.Now()](StoreSnapshot published) {
         reading_.erase(section);
         CountAnswer(section, published);
-        if (published.outcome_ == ReadEnd::kRead) {
+        if (published.outcome_ == ReadOutcome::kRead) {
           published.as_of_ = asked_at;
           handler_(section, published);
         }
@@ -189,7 +189,7 @@
   return task.revision_ > 0 ? StoreCallCause::kWatch : StoreCallCause::kRead;
 }
 
-CancelCall PublishedReader::Call(Task& task, PublishedHandler done) {
+CancelCall PublishedReader::Call(Task& task, SnapshotHandler done) {
   if (task.watched_ && task.revision_ > 0) {
     return store_.watch_(task.section_, task.revision_, task.wait_,
                          std::move(done));
@@ -208,7 +208,7 @@
       Section::kWeights, [this, &task](const StoreSnapshot& published) {
         task.asking_ = false;
         CountAnswer(Section::kWeights, published);
-        task.failed_ = published.outcome_ == ReadEnd::kUnreachable;
+        task.failed_ = published.outcome_ == ReadOutcome::kUnreachable;
         SetReachable(!task.failed_);
         Schedule(task, !task.failed_, false);
       });
@@ -219,22 +219,22 @@
   LogFaults(task.section_, published.decode_errors_);
   const bool first = task.revision_ == 0;
   switch (published.outcome_) {
-    case ReadEnd::kRead:
+    case ReadOutcome::kRead:
       SetReachable(true);
       last_read_ = loop_.Now();
       task.revision_ = std::max(task.revision_, published.revision_);
       handler_(task.section_, published);
       break;
-    case ReadEnd::kUnchanged:
+    case ReadOutcome::kUnchanged:
       SetReachable(true);
       last_read_ = loop_.Now();
       task.revision_ = std::max(task.revision_, published.revision_);
       break;
-    case ReadEnd::kHistoryGone:
+    case ReadOutcome::kCompacted:
       SetReachable(true);
       task.revision_ = 0;
       break;
-    case ReadEnd::kUnreachable:
+    case ReadOutcome::kUnreachable:
       SetReachable(false);
       if (task.section_ != Section::kRules) {
         // Read anew: these are small, and the read shows when the store is
@@ -243,7 +243,7 @@
       }
       break;
   }
-  task.failed_ = published.outcome_ == ReadEnd::kUnreachable;
+  task.failed_ = published.outcome_ == ReadOutcome::kUnreachable;
   if (task.failed_ && task.on_failed_) {
     task.on_failed_();
   }
@@ -268,7 +268,7 @@
 }
 
 void PublishedReader::Schedule(Task& task, bool succeeded, bool first) {
-  core::Duration wait = first ? settings_.settle_ : core::Duration{};
+  core::Duration wait = first ? settings_.first_watch_delay_ : core::Duration{};
   if (!succeeded) {
     wait = task.backoff_.OnFailure(loop_.Now());
   } else {
--- a/packages/daemon/src/daemon/direct/published_reader.hpp
+++ b/packages/daemon/src/daemon/direct/published_reader.hpp
@@ -23,7 +23,7 @@
   core::Duration poll_interval_ = std::chrono::milliseconds(600);
   /// Between the first read of a section and its watch: after a start of all
   /// processes they find each other in it, and most need not watch.
-  core::Duration settle_ = std::chrono::milliseconds(300);
+  core::Duration first_watch_delay_ = std::chrono::milliseconds(300);
 };
 
 /// @brief Reader of the sections that a process needs.
@@ -39,8 +39,8 @@
   /// then on.
   void Watch(Section section);
   /// @brief How long the store may hold the next watches of a section open.
-  void SetWait(Section section, core::Duration wait);
-  [[nodiscard]] core::Duration usual_wait() const noexcept {
+  void SetWatchWait(Section section, core::Duration wait);
+  [[nodiscard]] core::Duration default_watch_wait() const noexcept {
     return settings_.watch_wait_;
   }
   /// @brief Ends a watch and the call that is under way for it.
@@ -48,7 +48,7 @@
   /// @brief A section was heard elsewhere as it was at a revision: what the
   /// store is asked for begins after it. A call under way that began before it
   /// is ended, since it may fill the link with what is known.
-  void Skip(Section section, std::uint64_t revision);
+  void AdvanceTo(Section section, std::uint64_t revision);
   /// @brief Reads a section again and again.
   /// @param interval between two reads, asked for anew all the time, also
   /// while reads fail.
@@ -98,7 +98,7 @@
 
   Task& Start(Section section, bool watched);
   void Ask(Task& task);
-  [[nodiscard]] CancelCall Call(Task& task, PublishedHandler done);
+  [[nodiscard]] CancelCall Call(Task& task, SnapshotHandler done);
   void Probe(Task& task);
   void EndCall(Task& task);
   void PollWhenDue(Task& task);
@@ -116,7 +116,7 @@
   PublishedReaderSettings settings_;
   EventLog& log_;
   Metrics& metrics_;
-  StoreCallCount calls_;
+  StoreCallCounter calls_;
   Handler handler_;
   std::map<Section, Task> tasks_;
   /// Reads under way, by section, with their numbers.
--- a/packages/daemon/src/daemon/direct/published_relay.cpp
+++ b/packages/daemon/src/daemon/direct/published_relay.cpp
@@ -39,8 +39,8 @@
   if (call->path() != kPublishedPath) {
     return false;
   }
-  const auto ask = Unpack<PublishedAsk>(call->body(), "peer");
-  PublishedAnswer answer;
+  const auto ask = Unpack<PublishedRequest>(call->body(), "peer");
+  PublishedResponse answer;
   for (const auto& [section, kept] : kept_) {
     const auto number = static_cast<std::uint8_t>(section);
     const auto known = ask.known_.find(number);
@@ -51,7 +51,7 @@
     }
   }
   const auto packed = Pack(answer);
-  call->Respond(kOk, Pack(DeflatedAnswer{packed.size(), Deflate(packed)}));
+  call->Respond(kOk, Pack(DeflatedResponse{packed.size(), Deflate(packed)}));
   return true;
 }
 
@@ -71,7 +71,7 @@
     connection =
         std::make_unique<PeerConnection>(loop_, ParseAddress(member.address_));
   }
-  PublishedAsk ask;
+  PublishedRequest ask;
   for (const auto& [section, kept] : kept_) {
     ask.known_[static_cast<std::uint8_t>(section)] = kept.revision_;
   }
@@ -88,7 +88,7 @@
 
 void PublishedRelay::OnAnswer(const std::string& body, const std::string& peer,
                               core::TimePoint asked_at) {
-  const auto deflated = Unpack<DeflatedAnswer>(body, peer);
+  const auto deflated = Unpack<DeflatedResponse>(body, peer);
   const auto packed = deflated.size_ <= kLongest
                           ? Inflate(deflated.bytes_, deflated.size_)
                           : std::nullopt;
@@ -96,11 +96,11 @@
     throw core::Error(core::Step::kParse, peer,
                       "published sections do not inflate to their size");
   }
-  const auto answer = Unpack<PublishedAnswer>(*packed, peer);
+  const auto answer = Unpack<PublishedResponse>(*packed, peer);
   for (const auto& [number, pages] : answer.pages_) {
     const auto section = static_cast<Section>(number);
     auto published = store_.decode_(section, pages);
-    if (published.outcome_ != ReadEnd::kRead) {
+    if (published.outcome_ != ReadOutcome::kRead) {
       continue;
     }
     const auto age = answer.ages_ms_.find(number);
--- a/packages/daemon/src/daemon/direct/published_relay.hpp
+++ b/packages/daemon/src/daemon/direct/published_relay.hpp
@@ -17,14 +17,14 @@
 namespace chalkwell::daemon::direct {
 
 /// @brief Request for sections newer than those the asker has.
-struct PublishedAsk {
+struct PublishedRequest {
   /// Store's revision of each section known; 0 for none.
   std::map<std::uint8_t, std::uint64_t> known_;
   MSGPACK_DEFINE(known_)
 };
 
 /// @brief Sections as the store gave them, undecoded, with their revisions.
-struct PublishedAnswer {
+struct PublishedResponse {
   std::map<std::uint8_t, std::uint64_t> revisions_;
   std::map<std::uint8_t, std::vector<std::string>> pages_;
   /// Since the store was asked for them.
@@ -34,7 +34,7 @@
 
 /// @brief An answer on the wire. Lists deflate to a fifth, and all entries of a
 /// region that lost the store ask for them over one link.
-struct DeflatedAnswer {
+struct DeflatedResponse {
   std::uint64_t size_ = 0;
   std::string bytes_;
   MSGPACK_DEFINE(size_, bytes_)
--- a/packages/daemon/src/daemon/direct/rules_exchange.cpp
+++ b/packages/daemon/src/daemon/direct/rules_exchange.cpp
@@ -85,13 +85,13 @@
       base == nullptr
           ? document.text_
           : PackDelta(config::MakeDelta(base->document_.text_, document.text_));
-  const RulesAnswer answer{document.version_,
-                           document.revision_,
-                           ToBytes(newest),
-                           document.text_.size(),
-                           key,
-                           packed.size(),
-                           Deflate(packed)};
+  const RulesResponse answer{document.version_,
+                             document.revision_,
+                             ToBytes(newest),
+                             document.text_.size(),
+                             key,
+                             packed.size(),
+                             Deflate(packed)};
   return answers_[key] = Pack(answer);
 }
 
@@ -99,7 +99,7 @@
   if (call->path() != kRulesPath) {
     return false;
   }
-  const auto ask = Unpack<RulesAsk>(call->body(), "peer");
+  const auto ask = Unpack<RulesRequest>(call->body(), "peer");
   if (kept_.empty() || kept_.front().document_.version_ <= ask.version_) {
     call->Respond(kNotFound, "");
     return true;
@@ -116,7 +116,7 @@
   if (connection == nullptr) {
     connection = std::make_unique<PeerConnection>(loop_, ParseAddress(address));
   }
-  RulesAsk ask;
+  RulesRequest ask;
   if (!kept_.empty()) {
     ask.version_ = kept_.front().document_.version_;
     ask.digest_ = ToBytes(kept_.front().digest_);
@@ -130,12 +130,12 @@
                     }
                     metrics_.Count("rules_peer_bytes_total", {{"way", "in"}},
                                    static_cast<double>(body.size()));
-                    done(Apply(Unpack<RulesAnswer>(body, "peer")));
+                    done(Apply(Unpack<RulesResponse>(body, "peer")));
                   });
 }
 
 std::optional<RulesDocument> RulesExchange::Apply(
-    const RulesAnswer& answer) const {
+    const RulesResponse& answer) const {
   if (answer.size_ > kLongest || answer.packed_size_ > kLongest) {
     return std::nullopt;
   }
--- a/packages/daemon/src/daemon/direct/rules_exchange.hpp
+++ b/packages/daemon/src/daemon/direct/rules_exchange.hpp
@@ -27,7 +27,7 @@
 };
 
 /// @brief Asks for newer rules.
-struct RulesAsk {
+struct RulesRequest {
   /// What the asker holds; 0 and empty for nothing.
   std::uint64_t version_ = 0;
   std::string digest_;
@@ -35,7 +35,7 @@
 };
 
 /// @brief Newer rules.
-struct RulesAnswer {
+struct RulesResponse {
   std::uint64_t version_ = 0;
   std::uint64_t revision_ = 0;
   /// Of the whole text.
@@ -77,7 +77,7 @@
   [[nodiscard]] const Kept* Find(const std::string& digest) const;
   [[nodiscard]] const std::string& AnswerFor(const std::string& digest);
   [[nodiscard]] std::optional<RulesDocument> Apply(
-      const RulesAnswer& answer) const;
+      const RulesResponse& answer) const;
 
   Loop& loop_;
   Metrics& metrics_;
--- a/packages/daemon/src/daemon/direct/rules_keeper.cpp
+++ b/packages/daemon/src/daemon/direct/rules_keeper.cpp
@@ -24,9 +24,9 @@
 
 }  // namespace
 
-RulesKeeper::RulesKeeper(Loop& loop, const StoreClient& store,
-                         PublishedReader& reader, MeshNode& mesh, EventLog& log,
-                         Metrics& metrics, Handler handler)
+RulesManager::RulesManager(Loop& loop, const StoreClient& store,
+                           PublishedReader& reader, MeshNode& mesh,
+                           EventLog& log, Metrics& metrics, Handler handler)
     : loop_(loop),
       store_(store),
       reader_(reader),
@@ -38,7 +38,7 @@
       exchange_(loop, metrics),
       tick_(loop) {}
 
-void RulesKeeper::Start() {
+void RulesManager::Start() {
   duty_.OnFirstReadStarted(loop_.Now());
   for (const auto section : kWatched) {
     reader_.Watch(section);
@@ -46,7 +46,7 @@
   tick_.Every(kTick, [this] { Tick(); });
 }
 
-void RulesKeeper::OnPublished(const StoreSnapshot& published) {
+void RulesManager::OnPublished(const StoreSnapshot& published) {
   if (published.rules_) {
     Take(*published.rules_,
          {published.rules_->version_, published.revision_,
@@ -55,8 +55,8 @@
   }
 }
 
-void RulesKeeper::Take(const config::TrafficRules& rules,
-                       RulesDocument document, const std::string& source) {
+void RulesManager::Take(const config::TrafficRules& rules,
+                        RulesDocument document, const std::string& source) {
   if (rules.version_ <= version_) {
     return;
   }
@@ -64,17 +64,17 @@
   duty_.OnDocumentReceived(document.text_.size());
   catch_up_.OnApplied(version_, loop_.Now());
   if (source != kStoreSource) {
-    reader_.Skip(Section::kRules, document.revision_);
+    reader_.AdvanceTo(Section::kRules, document.revision_);
   }
   exchange_.Add(std::move(document));
   handler_(rules, source);
   if (watches_ || source == kStoreSource) {
-    mesh_.TellNews();
+    mesh_.AnnounceVersions();
   }
 }
 
-void RulesKeeper::OnVersionAnnounced(const membership::Member& member,
-                                     std::uint64_t version, bool watches) {
+void RulesManager::OnVersionAnnounced(const membership::Member& member,
+                                      std::uint64_t version, bool watches) {
   const auto now = loop_.Now();
   const bool near = member.domain_ == mesh_.self().domain_;
   if (watches && near) {
@@ -86,15 +86,15 @@
   }
 }
 
-void RulesKeeper::Tick() {
+void RulesManager::Tick() {
   const auto now = loop_.Now();
   FollowDuty(now);
   CatchUp(now);
 }
 
-void RulesKeeper::FollowDuty(core::TimePoint now) {
+void RulesManager::FollowDuty(core::TimePoint now) {
   std::vector<core::InstanceId> members{mesh_.self().id_};
-  const auto neighbours = mesh_.Neighbours();
+  const auto neighbours = mesh_.LocalEntries();
   for (const auto& neighbour : neighbours) {
     members.push_back(neighbour.id_);
   }
@@ -114,17 +114,18 @@
   const core::Duration longest =
       duty_.WatcherCount(now) == 1 ? kSoleWait : kSharedWait;
   for (const auto section : kWatched) {
-    reader_.SetWait(section, tells ? std::min(longest, reader_.usual_wait())
-                                   : reader_.usual_wait());
+    reader_.SetWatchWait(section,
+                         tells ? std::min(longest, reader_.default_watch_wait())
+                               : reader_.default_watch_wait());
   }
-  const auto told = std::max(told_at_, mesh_.told_domain_at());
+  const auto told = std::max(told_at_, mesh_.last_domain_announcement());
   if (tells && now - told >= duty_.announce_interval()) {
     told_at_ = now;
-    mesh_.TellNews(neighbours);
+    mesh_.AnnounceVersions(neighbours);
   }
 }
 
-void RulesKeeper::CatchUp(core::TimePoint now) {
+void RulesManager::CatchUp(core::TimePoint now) {
   if (const auto peer = catch_up_.Next(watches_, now)) {
     const auto live = mesh_.LiveMembers();
     const auto found = std::ranges::find(live, *peer, &membership::Member::id_);
@@ -140,15 +141,15 @@
   }
 }
 
-void RulesKeeper::AskPeer(const membership::Member& peer) {
+void RulesManager::AskPeer(const membership::Member& peer) {
   exchange_.Fetch(peer.address_,
                   [this, id = peer.id_](std::optional<RulesDocument> document) {
                     OnAnswer(id, std::move(document));
                   });
 }
 
-void RulesKeeper::OnAnswer(const core::InstanceId& peer,
-                           std::optional<RulesDocument> document) {
+void RulesManager::OnAnswer(const core::InstanceId& peer,
+                            std::optional<RulesDocument> document) {
   const auto now = loop_.Now();
   if (!document) {
     catch_up_.OnFetchEnded(peer, false, now);
--- a/packages/daemon/src/daemon/direct/rules_keeper.hpp
+++ b/packages/daemon/src/daemon/direct/rules_keeper.hpp
@@ -19,15 +19,16 @@
 namespace chalkwell::daemon::direct {
 
 /// @brief The rules of one entry.
-class RulesKeeper {
+class RulesManager {
  public:
   /// @brief Newer rules are to be in force.
   /// @param source where they were heard, for the log.
   using Handler = std::function<void(const config::TrafficRules& rules,
                                      const std::string& source)>;
 
-  RulesKeeper(Loop& loop, const StoreClient& store, PublishedReader& reader,
-              MeshNode& mesh, EventLog& log, Metrics& metrics, Handler handler);
+  RulesManager(Loop& loop, const StoreClient& store, PublishedReader& reader,
+               MeshNode& mesh, EventLog& log, Metrics& metrics,
+               Handler handler);
 
   void Start();
   /// @brief The reader brought the section of rules.
--- a/packages/daemon/src/daemon/direct/store_call_count.cpp
+++ b/packages/daemon/src/daemon/direct/store_call_count.cpp
@@ -34,10 +34,10 @@
   return "";
 }
 
-StoreCallCount::StoreCallCount(EventLog& log, Metrics& metrics)
+StoreCallCounter::StoreCallCounter(EventLog& log, Metrics& metrics)
     : log_(log), metrics_(metrics) {}
 
-void StoreCallCount::OnCall(Section section, StoreCallCause cause) {
+void StoreCallCounter::OnCall(Section section, StoreCallCause cause) {
   metrics_.Count("store_calls_total",
                  {{"section", std::string(ToString(section))},
                   {"cause", std::string(ToString(cause))}});
@@ -45,7 +45,7 @@
   ++by_cause_.at(static_cast<std::size_t>(cause));
 }
 
-void StoreCallCount::LogSummary() {
+void StoreCallCounter::LogSummary() {
   const auto count = [](std::uint64_t calls) { return std::to_string(calls); };
   const auto of = [&](Section section) {
     return count(by_section_.at(static_cast<std::size_t>(section)));
--- a/packages/daemon/src/daemon/direct/store_call_count.hpp
+++ b/packages/daemon/src/daemon/direct/store_call_count.hpp
@@ -31,9 +31,9 @@
 
 /// @brief Counts one process's calls, for metrics and for a line of the log now
 /// and then.
-class StoreCallCount {
+class StoreCallCounter {
  public:
-  StoreCallCount(EventLog& log, Metrics& metrics);
+  StoreCallCounter(EventLog& log, Metrics& metrics);
 
   void OnCall(Section section, StoreCallCause cause);
   /// @brief Writes a line when calls were made since the last one.
--- a/packages/daemon/src/daemon/direct/traffic_count.cpp
+++ b/packages/daemon/src/daemon/direct/traffic_count.cpp
@@ -37,17 +37,18 @@
   return "";
 }
 
-TrafficCount::TrafficCount(EventLog& log, Metrics& metrics)
+TrafficCounter::TrafficCounter(EventLog& log, Metrics& metrics)
     : log_(log), metrics_(metrics) {}
 
-void TrafficCount::OnSent(TrafficKind kind, bool far, std::size_t bytes) {
+void TrafficCounter::OnSent(TrafficKind kind, bool far, std::size_t bytes) {
   const auto index = static_cast<std::size_t>(kind);
   auto& sum = (far ? fresh_.far_ : fresh_.near_).at(index);
   ++sum.datagrams_;
   sum.bytes_ += bytes + kHeaderBytes;
 }
 
-void TrafficCount::Flush(const std::array<Sum, kKinds>& sums, const char* to) {
+void TrafficCounter::Flush(const std::array<Sum, kKinds>& sums,
+                           const char* to) {
   for (std::size_t i = 0; i < kKinds; ++i) {
     const auto& sum = sums.at(i);
     if (sum.datagrams_ == 0) {
@@ -64,7 +65,7 @@
   }
 }
 
-void TrafficCount::Tell(core::TimePoint now) {
+void TrafficCounter::Tell(core::TimePoint now) {
   for (const auto& sum : fresh_.far_) {
     far_bytes_ += sum.bytes_;
   }
@@ -80,7 +81,7 @@
   }
 }
 
-void TrafficCount::WriteLine() {
+void TrafficCounter::WriteLine() {
   const auto bytes = [this](TrafficKind kind) {
     return std::to_string(sent_bytes_.at(static_cast<std::size_t>(kind)));
   };
--- a/packages/daemon/src/daemon/direct/traffic_count.hpp
+++ b/packages/daemon/src/daemon/direct/traffic_count.hpp
@@ -29,9 +29,9 @@
 
 /// @brief Counts one process's datagrams, for metrics and for a line of the log
 /// now and then.
-class TrafficCount {
+class TrafficCounter {
  public:
-  TrafficCount(EventLog& log, Metrics& metrics);
+  TrafficCounter(EventLog& log, Metrics& metrics);
 
   /// @param far whether it goes to another failure domain.
   void OnSent(TrafficKind kind, bool far, std::size_t bytes);
--- a/packages/daemon/src/daemon/direct/weights_keeper.cpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper.cpp
@@ -81,7 +81,7 @@
   usual_pieces_ = pieces;
 }
 
-void WeightsKeeper::OnNamed(const NamedWeights& weights) {
+void WeightsKeeper::OnNamed(const TargetVersion& weights) {
   if (weights.version_ <= wanted_.version_ ||
       (!model_.empty() && weights.model_ != model_)) {
     return;
@@ -199,7 +199,7 @@
   BeginWith(wanted_);
 }
 
-void WeightsKeeper::BeginWith(const NamedWeights& goal) {
+void WeightsKeeper::BeginWith(const TargetVersion& goal) {
   ++job_;
   KeepServed();
   goal_ = goal;
@@ -221,15 +221,15 @@
   peers_.SetAgents(agents);
 }
 
-HeldMessage WeightsKeeper::Held(core::TimePoint now) const {
-  HeldMessage held;
+HeldChunksMessage WeightsKeeper::Held(core::TimePoint now) const {
+  HeldChunksMessage held;
   held.model_ = model_;
   held.version_ = HeldVersion();
   held.chunks_ = static_cast<std::uint32_t>(held_.size());
   held.bits_ = held_.ToBytes();
   held.serving_ = serving_;
   held.has_manifest_ = manifest_.has_value();
-  held.narrowed_ = window_.LinkDegraded(now) || older_first();
+  held.degraded_ = window_.LinkDegraded(now) || older_first();
   older_.AddTo(held);
   return held;
 }
--- a/packages/daemon/src/daemon/direct/weights_keeper.hpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper.hpp
@@ -34,18 +34,18 @@
   void SetModel(const std::string& model, std::size_t pieces);
   void SetOrigin(const Address& origin) { origin_ = origin; }
   /// @brief A version was published or heard of.
-  void OnNamed(const NamedWeights& weights);
+  void OnNamed(const TargetVersion& weights);
   /// @brief The agents of the service, this one included.
   void SetAgents(const AgentAddresses& agents);
   [[nodiscard]] bool KnowsAgents() const noexcept {
     return peers_.knows_agents();
   }
-  void OnHeld(const membership::Member& sender, const HeldMessage& held);
+  void OnHeld(const membership::Member& sender, const HeldChunksMessage& held);
   void OnReport(const EngineReport& report);
   void OnEngineLost();
 
   [[nodiscard]] bool NeedsOrigin() const noexcept { return !origin_; }
-  [[nodiscard]] const NamedWeights& wanted() const noexcept { return wanted_; }
+  [[nodiscard]] const TargetVersion& wanted() const noexcept { return wanted_; }
   [[nodiscard]] std::uint64_t serving() const noexcept { return serving_; }
   /// @brief Whether the engine serves what is wanted.
   [[nodiscard]] bool settled() const noexcept {
@@ -78,7 +78,7 @@
   /// @brief Begins with the newest version.
   void Begin();
   /// @brief Begins to fetch a version.
-  void BeginWith(const NamedWeights& goal);
+  void BeginWith(const TargetVersion& goal);
   /// @brief Keeps what is served for others, before it is overwritten.
   void KeepServed();
   /// @brief Turns to older weights where they serve sooner.
@@ -129,7 +129,7 @@
   void SetPhase(Phase phase);
   /// @brief Tells whoever may want pieces what is held here.
   void Announce(bool repeat);
-  [[nodiscard]] HeldMessage Held(core::TimePoint now) const;
+  [[nodiscard]] HeldChunksMessage Held(core::TimePoint now) const;
   /// @brief Agents to tell: neighbours, and the importers of pieces that were
   /// drawn here.
   [[nodiscard]] std::set<core::InstanceId> Audience() const;
@@ -148,9 +148,9 @@
   std::size_t usual_pieces_ = 0;
   std::optional<Address> origin_;
   /// The newest version.
-  NamedWeights wanted_;
+  TargetVersion wanted_;
   /// What is fetched, or was last: `wanted_`, or older weights first.
-  NamedWeights goal_;
+  TargetVersion goal_;
   OlderWeights older_;
   swarm::OriginProgress progress_;
   core::TimePoint considered_at_;
--- a/packages/daemon/src/daemon/direct/weights_keeper_fetch.cpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper_fetch.cpp
@@ -91,7 +91,7 @@
 }
 
 void WeightsKeeper::OnHeld(const membership::Member& sender,
-                           const HeldMessage& held) {
+                           const HeldChunksMessage& held) {
   const auto id = peers_.OnHeld(sender, held, process_.loop().Now());
   // It lacks what is held here, and may be no neighbour.
   const bool lacks =
--- a/packages/daemon/src/daemon/direct/weights_keeper_switch.cpp
+++ b/packages/daemon/src/daemon/direct/weights_keeper_switch.cpp
@@ -193,19 +193,20 @@
   process_.log().Write(
       core::EventNumber::kOrderSent,
       {{"model", model_}, {"version", std::to_string(goal_.version_)}});
-  client_.activate_(model_, goal_.version_, [this, job = job_](OrderEnd end) {
-    if (!Current(job)) {
-      return;
-    }
-    if (end == OrderEnd::kRefused) {
-      process_.log().Write(core::EventNumber::kOrderRefused,
-                           {{"version", std::to_string(goal_.version_)}});
-      switching_ = false;
-      const bool older = older_first();
-      older_refused_ = older_refused_ || older;
-      SetPhase(older ? Phase::kSettled : Phase::kStaged);
-    }
-  });
+  client_.activate_(
+      model_, goal_.version_, [this, job = job_](OrderOutcome end) {
+        if (!Current(job)) {
+          return;
+        }
+        if (end == OrderOutcome::kRefused) {
+          process_.log().Write(core::EventNumber::kOrderRefused,
+                               {{"version", std::to_string(goal_.version_)}});
+          switching_ = false;
+          const bool older = older_first();
+          older_refused_ = older_refused_ || older;
+          SetPhase(older ? Phase::kSettled : Phase::kStaged);
+        }
+      });
 }
 
 }  // namespace chalkwell::daemon::direct
--- a/tests/daemon/mesh_messages_test.cpp
+++ b/tests/daemon/mesh_messages_test.cpp
@@ -34,7 +34,7 @@
   sent.queued_ = 2;
   sent.accepting_ = false;
   sent.version_ = 7;
-  sent.pace_ = 1500;
+  sent.slowdown_ = 1500;
   const auto got = Unpack<LoadMessage>(Pack(sent), "peer");
   CHECK(got.endpoint_ == sent.endpoint_);
   const auto report = ToReport(got, 0ms);
@@ -55,7 +55,7 @@
   const auto row = GENERATE(Row{0, 0ms}, Row{700, 700ms}, Row{3'600'001, 1h},
                             Row{~std::uint64_t{0}, 1h});
   const core::TimePoint sent_at(5h);
-  ListMessage message;
+  EndpointListMessage message;
   message.age_ms_ = row.age_ms_;
   const auto change = ToChange(message, sent_at);
   CHECK(change.as_of_ == sent_at - row.age_);
--- a/tests/daemon/mesh_node_test.cpp
+++ b/tests/daemon/mesh_node_test.cpp
@@ -92,7 +92,7 @@
   settings.listen_ = {"127.0.0.3", reserved.port()};
   settings.interval_ = 1h;
   MeshHooks hooks;
-  hooks.on_agent_ = [&](const std::string& from) { greeted = from; };
+  hooks.on_agent_started_ = [&](const std::string& from) { greeted = from; };
   hooks.weights_ = [] {
     return std::map<std::string, std::uint64_t>{{"m", 7}};
   };
@@ -104,7 +104,7 @@
     MeshMessage greeting;
     greeting.sender_ =
         ToMessage(Member("agent", membership::MemberKind::kAgent, address));
-    greeting.asks_ = true;
+    greeting.requests_reply_ = true;
     agent.Send(settings.listen_,
                static_cast<char>(DatagramKind::kMesh) + Pack(greeting));
   });
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -108,9 +108,10 @@
                Row{503, {}, false, false, false},
                Row{421, {{"instance-id", "i-2"}}, true, true, false},
                Row{500, {{"response-seal", "s"}}, false, false, true});
-  const auto facts = MakeRequestCodec().read_answer_(row.status_, row.headers_);
+  const auto facts =
+      MakeRequestCodec().read_response_(row.status_, row.headers_);
   CHECK(facts.not_run_ == row.not_run_);
-  CHECK(facts.other_endpoint_ == row.other_);
+  CHECK(facts.mismatched_ == row.other_);
   CHECK(facts.signed_ == row.signed_);
 }
 
--- a/tests/platform/foreign_rows_test.cpp
+++ b/tests/platform/foreign_rows_test.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 using daemon::direct::Published;
-using daemon::direct::ReadEnd;
+using daemon::direct::ReadOutcome;
 using daemon::direct::Section;
 using nlohmann::json;
 using namespace std::chrono_literals;
@@ -99,7 +99,7 @@
       Decode({Item("servers/i-1", Base64(GoodRow().dump())),
               Item("servers/i-2", Base64(spoilt.dump())),
               Item("servers/i-3", Base64(GoodRow().dump()))});
-  CHECK(published.outcome_ == ReadEnd::kRead);
+  CHECK(published.outcome_ == ReadOutcome::kRead);
   CHECK(published.revision_ == 42);
   CHECK(published.endpoints_.size() == 2);
   REQUIRE(published.decode_errors_.size() == 1);
@@ -113,7 +113,7 @@
   const auto published =
       Decode({Item("servers/i-1", value),
               Item("servers/i-2", Base64(GoodRow().dump()))});
-  CHECK(published.outcome_ == ReadEnd::kRead);
+  CHECK(published.outcome_ == ReadOutcome::kRead);
   CHECK(published.endpoints_.size() == 1);
   CHECK(published.decode_errors_.size() == 1);
 }
@@ -167,7 +167,7 @@
         Decode({Item("servers/i-1", Base64(GoodRow().dump())),
                 Item("servers/i-2", Base64(text)),
                 Item("servers/i-3", Base64(GoodRow().dump()))});
-    REQUIRE(published.outcome_ == ReadEnd::kRead);
+    REQUIRE(published.outcome_ == ReadOutcome::kRead);
     REQUIRE(published.revision_ == 42);
     REQUIRE(published.endpoints_.size() + published.decode_errors_.size() == 3);
     REQUIRE(published.endpoints_.size() >= 2);
--- a/tests/swarm/neighbours_test.cpp
+++ b/tests/swarm/neighbours_test.cpp
@@ -1,4 +1,4 @@
-// Neighbours and importers: the recipients of announcements of held chunks.
+// LocalEntries and importers: the recipients of announcements of held chunks.
 #include "chalkwell/swarm/neighbours.hpp"
 
 #include <algorithm>
--- a/tests/swarm/swarm_test.cpp
+++ b/tests/swarm/swarm_test.cpp
@@ -121,7 +121,7 @@
     /// When the last other chunk became available in the local failure domain.
     core::Duration progress_;
     core::Duration after_;
-    bool asks_;
+    bool requests_reply_;
   };
   const auto row = GENERATE(
       Row{"too early", 0ms, 300ms, false},
@@ -154,7 +154,7 @@
   const bool asks = std::ranges::any_of(
       requests,
       [](const FetchRequest& request) { return request.chunk_ == 0; });
-  CHECK(asks == row.asks_);
+  CHECK(asks == row.requests_reply_);
 }
 
 TEST_CASE("chunks that no local member holds are requested first", "[swarm]") {
