--- a/packages/daemon/src/daemon/direct/piece_exchange.cpp
+++ b/packages/daemon/src/daemon/direct/chunk_exchange.cpp
@@ -1,6 +1,6 @@
 // The engine's staging is the store: pieces are read from it when asked for,
 // and both sides compare them with their digests.
-#include "daemon/direct/piece_exchange.hpp"
+#include "daemon/direct/chunk_exchange.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/packages/daemon/src/daemon/direct/piece_exchange.hpp
+++ b/packages/daemon/src/daemon/direct/chunk_exchange.hpp
@@ -13,8 +13,8 @@
 
 #include "chalkwell/swarm/pacer.hpp"
 #include "chalkwell/swarm/planner.hpp"
+#include "daemon/direct/adapter.hpp"
 #include "daemon/direct/engine_facts.hpp"
-#include "daemon/direct/hooks.hpp"
 #include "daemon/direct/mesh_node.hpp"
 #include "daemon/peer_connection.hpp"
 #include "daemon/peer_server.hpp"
--- a/packages/daemon/src/daemon/direct/direct_agent.hpp
+++ b/packages/daemon/src/daemon/direct/direct_agent.hpp
@@ -8,11 +8,11 @@
 
 #include "chalkwell/core/backoff.hpp"
 #include "chalkwell/membership/report_subscribers.hpp"
+#include "daemon/direct/adapter.hpp"
 #include "daemon/direct/engine_facts.hpp"
-#include "daemon/direct/hooks.hpp"
 #include "daemon/direct/mesh_node.hpp"
 #include "daemon/direct/published_reader.hpp"
-#include "daemon/direct/weights_keeper.hpp"
+#include "daemon/direct/weights_manager.hpp"
 #include "daemon/process_base.hpp"
 
 namespace chalkwell::daemon::direct {
--- a/packages/daemon/src/daemon/direct/endpoint_list.hpp
+++ b/packages/daemon/src/daemon/direct/endpoint_list.hpp
@@ -12,7 +12,7 @@
 #include "chalkwell/membership/store_outage.hpp"
 #include "chalkwell/routing/endpoint_table.hpp"
 #include "chalkwell/routing/list_history.hpp"
-#include "daemon/direct/hooks.hpp"
+#include "daemon/direct/adapter.hpp"
 #include "daemon/direct/mesh_node.hpp"
 #include "daemon/event_log.hpp"
 
--- a/packages/daemon/src/daemon/direct/mesh_node.hpp
+++ b/packages/daemon/src/daemon/direct/mesh_node.hpp
@@ -17,7 +17,7 @@
 #include "chalkwell/membership/propagation_plan.hpp"
 #include "chalkwell/membership/report_subscribers.hpp"
 #include "daemon/direct/mesh_messages.hpp"
-#include "daemon/direct/traffic_count.hpp"
+#include "daemon/direct/traffic_counter.hpp"
 #include "daemon/event_log.hpp"
 #include "daemon/metrics.hpp"
 #include "daemon/udp_socket.hpp"
--- a/packages/daemon/src/daemon/direct/older_weights.hpp
+++ b/packages/daemon/src/daemon/direct/older_weights.hpp
@@ -9,9 +9,9 @@
 
 #include "chalkwell/swarm/chunk_set.hpp"
 #include "chalkwell/swarm/older_version_chunks.hpp"
-#include "daemon/direct/hooks.hpp"
+#include "daemon/direct/adapter.hpp"
+#include "daemon/direct/chunk_exchange.hpp"
 #include "daemon/direct/mesh_messages.hpp"
-#include "daemon/direct/piece_exchange.hpp"
 
 namespace chalkwell::daemon::direct {
 
--- a/packages/daemon/src/daemon/direct/published_reader.hpp
+++ b/packages/daemon/src/daemon/direct/published_reader.hpp
@@ -8,8 +8,8 @@
 #include <set>
 
 #include "chalkwell/core/backoff.hpp"
-#include "daemon/direct/hooks.hpp"
-#include "daemon/direct/store_call_count.hpp"
+#include "daemon/direct/adapter.hpp"
+#include "daemon/direct/store_call_counter.hpp"
 #include "daemon/event_log.hpp"
 #include "daemon/metrics.hpp"
 
--- a/packages/daemon/src/daemon/direct/published_relay.hpp
+++ b/packages/daemon/src/daemon/direct/published_relay.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "daemon/direct/hooks.hpp"
+#include "daemon/direct/adapter.hpp"
 #include "daemon/direct/mesh_node.hpp"
 #include "daemon/event_log.hpp"
 #include "daemon/peer_connection.hpp"
--- a/packages/daemon/src/daemon/direct/quarantine_keeper.cpp
+++ b/packages/daemon/src/daemon/direct/quarantine_manager.cpp
@@ -1,5 +1,5 @@
 // Evidence is gathered here, counted in the library, and published as state.
-#include "daemon/direct/quarantine_keeper.hpp"
+#include "daemon/direct/quarantine_manager.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/packages/daemon/src/daemon/direct/rules_keeper.cpp
+++ b/packages/daemon/src/daemon/direct/rules_manager.cpp
@@ -1,5 +1,5 @@
 // Duty and catch-up decide; this carries them out.
-#include "daemon/direct/rules_keeper.hpp"
+#include "daemon/direct/rules_manager.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/packages/daemon/src/daemon/direct/rules_keeper.hpp
+++ b/packages/daemon/src/daemon/direct/rules_manager.hpp
@@ -10,7 +10,7 @@
 
 #include "chalkwell/config/rules_peer_selector.hpp"
 #include "chalkwell/membership/watcher_role.hpp"
-#include "daemon/direct/hooks.hpp"
+#include "daemon/direct/adapter.hpp"
 #include "daemon/direct/mesh_node.hpp"
 #include "daemon/direct/published_reader.hpp"
 #include "daemon/direct/rules_exchange.hpp"
--- a/packages/daemon/src/daemon/direct/store_call_count.cpp
+++ b/packages/daemon/src/daemon/direct/store_call_counter.cpp
@@ -1,5 +1,5 @@
 // Names of sections and causes, and the line of the log.
-#include "daemon/direct/store_call_count.hpp"
+#include "daemon/direct/store_call_counter.hpp"
 
 #include <numeric>
 #include <string>
--- a/packages/daemon/src/daemon/direct/store_call_count.hpp
+++ b/packages/daemon/src/daemon/direct/store_call_counter.hpp
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <string_view>
 
-#include "daemon/direct/hooks.hpp"
+#include "daemon/direct/adapter.hpp"
 #include "daemon/event_log.hpp"
 #include "daemon/metrics.hpp"
 
--- a/packages/daemon/src/daemon/direct/traffic_count.cpp
+++ b/packages/daemon/src/daemon/direct/traffic_counter.cpp
@@ -1,5 +1,5 @@
 // Counted in plain numbers: reports are too many to look up a metric for each.
-#include "daemon/direct/traffic_count.hpp"
+#include "daemon/direct/traffic_counter.hpp"
 
 #include <numeric>
 #include <string>
--- a/packages/daemon/src/daemon/direct/weights_keeper.cpp
+++ b/packages/daemon/src/daemon/direct/weights_manager.cpp
@@ -1,6 +1,6 @@
 // One version at a time; a newer one ends whatever is under way. Fetching,
 // switching, and older weights have files of their own.
-#include "daemon/direct/weights_keeper.hpp"
+#include "daemon/direct/weights_manager.hpp"
 
 #include <random>
 #include <utility>
--- a/packages/daemon/src/daemon/direct/weights_keeper.hpp
+++ b/packages/daemon/src/daemon/direct/weights_manager.hpp
@@ -16,10 +16,10 @@
 #include "chalkwell/swarm/manifest_search.hpp"
 #include "chalkwell/swarm/origin_progress.hpp"
 #include "chalkwell/swarm/planner.hpp"
-#include "daemon/direct/hooks.hpp"
+#include "daemon/direct/adapter.hpp"
+#include "daemon/direct/chunk_exchange.hpp"
 #include "daemon/direct/mesh_node.hpp"
 #include "daemon/direct/older_weights.hpp"
-#include "daemon/direct/piece_exchange.hpp"
 #include "daemon/process_base.hpp"
 
 namespace chalkwell::daemon::direct {
--- a/packages/daemon/src/daemon/direct/weights_keeper_older.cpp
+++ b/packages/daemon/src/daemon/direct/weights_manager_older.cpp
@@ -2,7 +2,7 @@
 // an engine without any while the newest can't be had.
 #include "chalkwell/rollout/first_fetch.hpp"
 #include "daemon/direct/direct_settings.hpp"
-#include "daemon/direct/weights_keeper.hpp"
+#include "daemon/direct/weights_manager.hpp"
 
 namespace chalkwell::daemon::direct {
 namespace {
--- a/packages/daemon/src/daemon/direct/weights_keeper_switch.cpp
+++ b/packages/daemon/src/daemon/direct/weights_manager_switch.cpp
@@ -2,7 +2,7 @@
 #include <utility>
 
 #include "daemon/direct/direct_settings.hpp"
-#include "daemon/direct/weights_keeper.hpp"
+#include "daemon/direct/weights_manager.hpp"
 
 namespace chalkwell::daemon::direct {
 namespace {
