--- a/packages/daemon/src/daemon/direct/adapter.hpp
+++ b/packages/daemon/src/daemon/direct/adapter.hpp
@@ -1,5 +1,5 @@
-// What a deployment's adapter supplies: it translates between the deployment's
-// wire and these types, and decides nothing.
+// Interface that a deployment's adapter implements: it translates between the
+// deployment's wire formats and these types, and makes no decisions.
 #pragma once
 
 #include <cstdint>
@@ -18,47 +18,50 @@
 
 namespace chalkwell::daemon::direct {
 
-/// @brief What a caller's request says, beyond method, path and body.
+/// @brief Fields of a caller's request beyond method, path and body.
 struct CallerRequest {
-  /// Id of this try; each try of a caller has its own.
+  /// Id of this attempt of the caller; each of its attempts has its own.
   std::string id_;
   std::string host_;
-  /// Bearer key; empty when none was given.
+  /// Bearer token; empty if none was given.
   std::string key_;
-  /// How long the caller will wait.
+  /// Time that is left until the caller's deadline.
   std::optional<core::Duration> time_left_;
-  /// Tokens of the prompt, and the most that may come out; 0 when not given.
+  /// Tokens of the prompt, and limit of the output tokens; 0 if not given.
   double prompt_tokens_ = 0;
   double max_output_tokens_ = 0;
 };
 
-/// @brief What an attempt demands of its endpoint.
+/// @brief What an attempt requires of its endpoint.
 struct AttemptTerms {
-  /// Any other incarnation refuses.
+  /// The only incarnation that may run the request; any other refuses it.
   core::InstanceId incarnation_;
-  /// Any other version of the weights refuses.
+  /// The only weights version that may run the request; endpoints with another
+  /// version refuse it.
   std::optional<std::uint64_t> weights_version_;
   core::ClientAccountId account_;
   core::Duration time_left_{};
   /// 0 is the most urgent.
   std::optional<std::uint32_t> priority_;
-  /// Events after this one are wanted; the caller has the others.
+  /// Number of the last event that the caller has; the stream resumes after it.
   std::optional<std::uint64_t> resume_after_;
 };
 
-/// @brief What the head of an endpoint's answer says.
+/// @brief What the head of an endpoint's response states.
 struct ResponseHead {
   /// The endpoint states that it did not run the request.
   bool not_run_ = false;
-  /// Another incarnation or other weights than demanded.
+  /// Refused because the endpoint has another incarnation or weights version
+  /// than the attempt requires.
   bool mismatched_ = false;
-  /// The incarnation that answered, where it is told.
+  /// The incarnation that responded, if stated.
   core::InstanceId incarnation_;
-  /// Signed by the endpoint: only then the answer is its own.
+  /// Signed by the endpoint. Without it, something else on the path may have
+  /// sent the response.
   bool signed_ = false;
 };
 
-/// @brief Translation of requests and answers.
+/// @brief Translates requests and responses.
 struct RequestCodec {
   std::function<CallerRequest(const HttpRequest& request)> read_request_;
   std::function<HttpRequest(const HttpRequest& request,
@@ -67,21 +70,21 @@
       write_attempt_;
   std::function<ResponseHead(int status, const HttpHeaders& headers)>
       read_response_;
-  /// Whether an answer belongs to the request with this id.
+  /// Whether a response belongs to the request with this id.
   std::function<bool(const HttpHeaders& headers, const std::string& id)>
       matches_request_;
-  /// Headers of an answer that go on to the caller.
+  /// Headers of an endpoint's response that are forwarded to the caller.
   std::function<HttpHeaders(const HttpHeaders& headers)> forwarded_headers_;
-  /// Headers of an answer of our own.
+  /// Headers of a response that the entry itself generates.
   std::function<HttpHeaders(const std::string& id,
                             std::optional<core::Duration> retry_after)>
       own_headers_;
 };
 
-/// @brief Parts of what is published.
+/// @brief Sections of the configuration store.
 enum class Section : std::uint8_t { kRules, kWeights, kEndpoints };
 
-/// @brief Newest version of a model's weights.
+/// @brief Target version of a model's weights.
 struct TargetVersion {
   std::string model_;
   std::uint64_t version_ = 0;
@@ -89,118 +92,124 @@
   friend bool operator==(const TargetVersion&, const TargetVersion&) = default;
 };
 
-/// @brief How a read of the store ended.
+/// @brief Outcome of a read or watch of the store.
 enum class ReadOutcome : std::uint8_t {
   kRead,
-  /// A watch saw nothing in its time.
+  /// A watch timed out without a change.
   kUnchanged,
-  /// The store forgot what came after the revision; read anew.
+  /// The store no longer has the history after the revision; a full read is
+  /// needed.
   kCompacted,
   kUnreachable,
 };
 
-/// @brief What a read brought.
+/// @brief Result of a read or watch of the store.
 struct StoreSnapshot {
   ReadOutcome outcome_ = ReadOutcome::kUnreachable;
-  /// When the store was asked: what it said was so at this time, or later.
+  /// When the store was queried: the result was current at this time or later.
   core::TimePoint as_of_;
-  /// Of the store, at the time of the answer.
+  /// Revision of the store when it replied.
   std::uint64_t revision_ = 0;
   std::optional<config::TrafficRules> rules_;
-  /// The rules as published, undecoded; for peers.
+  /// The rules as published, undecoded, to be passed on to peers.
   std::string encoded_rules_;
   std::vector<TargetVersion> weights_;
   std::vector<routing::EndpointRow> endpoints_;
-  /// What the store said of endpoints or weights, undecoded, page by page, when
-  /// it is the whole section; for peers.
+  /// Undecoded pages of the endpoints or weights section, to be passed on to
+  /// peers; set only if the whole section was read.
   std::vector<std::string> encoded_pages_;
-  /// Rows that could not be decoded, for the log.
+  /// Descriptions of rows that could not be decoded, for the log.
   std::vector<std::string> decode_errors_;
 };
 
 using SnapshotHandler = std::function<void(StoreSnapshot)>;
 
-/// @brief Ends a call under way; its handler is not called any more.
+/// @brief Cancels a call in flight; its handler is not called afterwards.
 using CancelCall = std::function<void()>;
 
-/// @brief Reads of the published store.
+/// @brief Reads from the configuration store.
 struct StoreClient {
-  /// Reads one section whole.
+  /// Reads a whole section.
   std::function<CancelCall(Section section, SnapshotHandler done)> read_;
-  /// Waits for a change of a section after a revision. A change is told as the
-  /// changed values alone.
+  /// Waits for a change of a section after a revision. The result holds only
+  /// the changed values.
   std::function<CancelCall(Section section, std::uint64_t after,
                            core::Duration wait, SnapshotHandler done)>
       watch_;
-  /// Decodes rules that another process has.
+  /// Decodes rules received from another process.
   std::function<StoreSnapshot(const std::string& text)> decode_rules_;
-  /// Decodes what another process heard from the store.
+  /// Decodes pages that another process read from the store.
   std::function<StoreSnapshot(Section section,
                               const std::vector<std::string>& pages)>
       decode_;
 };
 
-/// @brief What an engine says of itself.
+/// @brief State that an engine reports.
 struct EngineReport {
   routing::LoadReport load_;
-  /// Models that it holds whole, with their versions.
+  /// Version of each model whose weights are complete at the engine.
   std::map<std::string, std::uint64_t> model_versions_;
-  /// Orders taken in this life.
+  /// Activation orders accepted in this incarnation.
   std::uint64_t activation_count_ = 0;
-  /// An order is under way.
+  /// An activation is in progress.
   bool activating_ = false;
-  /// Start of its life; none when it does not say.
+  /// Start of its incarnation; none if not reported.
   std::optional<core::StartTime> started_;
 };
 
-/// @brief Answer to an order.
+/// @brief Outcome of an activation order.
 enum class OrderOutcome : std::uint8_t { kStarted, kDone, kRefused, kLost };
 
-/// @brief List of a version's pieces.
+/// @brief Lists the chunks of a version.
 struct WeightsManifest {
   std::string model_;
   std::uint64_t version_ = 0;
-  /// SHA-256 of each piece.
+  /// SHA-256 of each chunk.
   std::vector<core::Digest> chunk_digests_;
 };
 
-/// @brief Calls to the engine beside an agent, and to the source of weights.
+/// @brief Calls to the engine that an agent manages, and to the weight store.
 struct WeightsClient {
   std::function<void(std::function<void(std::optional<EngineReport>)>)> report_;
-  /// Asks the engine which incarnation it is; empty when it does not say.
+  /// Asks the engine for its incarnation id; empty if not reported.
   std::function<void(const std::string& health_path,
                      std::function<void(core::InstanceId)>)>
       incarnation_;
+  /// Sends an activation order to the engine.
   std::function<void(const std::string& model, std::uint64_t version,
                      std::function<void(OrderOutcome)>)>
       activate_;
-  std::function<void(const std::string& model, std::size_t piece,
+  /// Writes a chunk to the engine's staging area.
+  std::function<void(const std::string& model, std::size_t chunk,
                      std::string bytes, std::function<void(bool)>)>
       stage_chunk_;
-  std::function<void(const std::string& model, std::size_t piece,
+  /// Reads a staged chunk back from the engine.
+  std::function<void(const std::string& model, std::size_t chunk,
                      std::function<void(std::optional<std::string>)>)>
       read_staged_chunk_;
-  /// Manifest from the source; version 0 asks for the newest.
+  /// Fetches a manifest from the weight store; version 0 asks for the newest.
   std::function<void(const Address& origin, const std::string& model,
                      std::uint64_t version,
                      std::function<void(std::optional<WeightsManifest>)>)>
       fetch_manifest_;
+  /// Fetches a chunk from the weight store.
   std::function<void(const Address& origin, const std::string& model,
-                     std::uint64_t version, std::size_t piece,
+                     std::uint64_t version, std::size_t chunk,
                      std::function<void(std::optional<std::string>)>)>
       fetch_chunk_;
 };
 
-/// @brief A deployment's adapter.
+/// @brief Functions of a deployment's adapter.
 struct Adapter {
   RequestCodec requests_;
   StoreClient store_;
   WeightsClient weights_;
 };
 
-/// @brief Makes the adapter of a process.
-/// @param store address of the published store.
-/// @param engine address of the engine beside an agent; none for an entry.
+/// @brief Creates the adapter of a process.
+/// @param store address of the configuration store.
+/// @param engine address of the engine that an agent manages; none for an
+/// entry.
 using AdapterFactory = std::function<Adapter(
     HttpClient& http, const Address& store, std::optional<Address> engine)>;
 
--- a/packages/daemon/src/daemon/direct/direct_entry.cpp
+++ b/packages/daemon/src/daemon/direct/direct_entry.cpp
@@ -1,4 +1,5 @@
-// Admission by what is in force and by what endpoints can do in time.
+// Admits requests by the active rules and by the response times that the
+// endpoints are expected to reach.
 #include "daemon/direct/direct_entry.hpp"
 
 #include <algorithm>
@@ -19,34 +20,40 @@
 constexpr int kNotFound = 404;
 constexpr int kBadRequest = 400;
 constexpr int kUnavailable = 503;
-/// Wait told to a caller when nothing better is known.
+/// Retry-After sent to a caller when no better estimate is available.
 constexpr auto kRetryAfter = milliseconds(500);
-/// What is left of a deadline when it is too late to begin.
-constexpr auto kLeastTime = milliseconds(30);
-/// Part of the fleet's reserve of retries that is used: not every entry knows
-/// of every other.
-constexpr double kReserveUsed = 0.5;
-/// Old weights are not used for this last part of the time they may be: a
-/// request may be long on a narrowed link, and wait at its endpoint before it
-/// begins, since all entries choose the last engines with old weights at once.
-/// Engines that are known to be behind a full link are passed over earlier.
+/// A request with less time left than this is refused.
+constexpr auto kMinTimeLeft = milliseconds(30);
+/// Fraction of the fleet-wide retry reserve that the entries share. It is below
+/// 1 because an entry may not know all others, and then overestimates its
+/// share.
+constexpr double kRetryReserveFraction = 0.5;
+/// Requests stop being sent to older weights this long before the version
+/// bound: a request may take long to cross a degraded link, and then wait at
+/// its endpoint before it starts, since all entries choose the last engines
+/// with older weights at the same time. Engines known to be behind a saturated
+/// link are skipped earlier.
 constexpr auto kVersionMargin = milliseconds(1400);
-/// An entry that the store does not answer asks another entry this often.
+/// Interval at which an entry that can't reach the store queries another entry.
 constexpr auto kRelayInterval = milliseconds(700);
-/// An agent is asked for its reports this often; it gives them for some seconds
-/// and has forgotten the ask when it starts anew. What an entry has heard of
-/// new weights goes with it. Those of other failure domains are asked less
-/// often: each crosses the link of a region.
+/// Interval at which a subscription to an agent's load reports is renewed. A
+/// subscription lasts for some seconds and is lost when the agent restarts. The
+/// message also carries the target versions that the entry knows. Agents in
+/// remote failure domains get it less often, since each message crosses a
+/// region's link.
 constexpr auto kSubscribeInterval = milliseconds(1000);
-constexpr auto kFarSubscribeInterval = milliseconds(2500);
-/// How soon an endpoint that came to be used is asked.
+constexpr auto kRemoteSubscribeInterval = milliseconds(2500);
+/// Interval of the check for due subscriptions; bounds the delay until a newly
+/// used endpoint's agent is subscribed to.
 constexpr auto kSubscribeTick = milliseconds(100);
-/// What is believed came from the store itself, as the log names it.
+/// Source of values that were read from the store itself, as logged.
 constexpr std::string_view kStoreSource = "store";
-/// Peers ask with a few revisions; answers are not bounded by this.
+/// Limit of a peer's request body, which holds only a few revisions. Responses
+/// are not limited by this.
 constexpr std::size_t kMaxPeerBody = std::size_t{1} << 16;
-/// The platform stops sending new connections after two probes, one a second.
-constexpr auto kStopListening = milliseconds(2600);
+/// The platform stops routing new connections here after two failed readiness
+/// probes, which it makes once a second.
+constexpr auto kStopListeningDelay = milliseconds(2600);
 
 std::string Millis(core::Duration span) {
   return std::to_string(std::chrono::duration_cast<milliseconds>(span).count());
@@ -69,18 +76,20 @@
       endpoints_({.domain_ = process.domain(), .entry_ = process.id()},
                  std::random_device{}()),
       budget_(RetryBudgetOf(process.settings())),
-      retry_spread_(std::random_device{}()),
+      retry_jitter_(std::random_device{}()),
       context_{process.loop(),
                process.http(),
                adapter_,
                endpoints_,
                budget_,
-               retry_spread_,
+               retry_jitter_,
                quarantine_,
                process.log(),
                process.metrics(),
                process.tracer(),
-               [this](const std::string& model) { return RuleFor(model); },
+               [this](const std::string& model) {
+                 return VersionConstraintFor(model);
+               },
                [this](const std::string& service) {
                  return ConnectionShare(service);
                }},
@@ -90,80 +99,83 @@
               [this](Section section, const StoreSnapshot& published) {
                 OnPublished(section, published);
               }),
-      mesh_(process.loop(), SelfOf(process), MeshSettingsOf(process.settings()),
-            process.log(), process.metrics(),
-            {.on_load_ = [this](const LoadMessage& load) { OnLoad(load); },
-             .on_held_chunks_ = nullptr,
-             .on_subscribe_ = nullptr,
-             .on_agent_started_ =
-                 [this](const std::string& agent) {
-                   // It has no subscribers yet.
-                   subscribed_.erase(agent);
-                   Subscribe();
-                 },
-             .on_weights_ =
-                 [this](const std::string& model, std::uint64_t version) {
-                   TakeWeights({model, version}, false);
-                 },
-             .on_lost_ =
-                 [this](const membership::Member& member) {
-                   keeper_.OnMemberLost(member);
-                 },
-             .on_departed_ =
-                 [this](const DepartedMessage& departed) {
-                   list_.OnDeparted(departed);
-                 },
-             .on_list_ =
-                 [this](const membership::Member& teller,
-                        const EndpointListMessage& list,
-                        core::TimePoint sent_at) {
-                   list_.OnListMessage(teller, list, sent_at);
-                 },
-             .on_rules_ =
-                 [this](const membership::Member& member, std::uint64_t version,
-                        bool watches) {
-                   keeper_.OnVersionAnnounced(member, version, watches);
-                 },
-             .on_crashes_ =
-                 [this](const membership::Member& sender,
-                        const std::vector<CrashRecordMessage>& records,
-                        core::TimePoint sent_at) {
-                   quarantine_.OnRecords(sender, records, sent_at);
-                 },
-             .crashes_ =
-                 [this](std::size_t most) { return quarantine_.Sample(most); },
-             .rules_version_ = [this] { return keeper_.version(); },
-             .watches_rules_ = [this] { return keeper_.is_watcher(); },
-             .weights_ =
-                 [this] {
-                   std::map<std::string, std::uint64_t> known;
-                   for (const auto& [model, named] : weights_) {
-                     known[model] = named.newest();
-                   }
-                   return known;
-                 }}),
+      mesh_(
+          process.loop(), SelfOf(process), MeshSettingsOf(process.settings()),
+          process.log(), process.metrics(),
+          {.on_load_ = [this](const LoadMessage& load) { OnLoadReport(load); },
+           .on_held_chunks_ = nullptr,
+           .on_subscribe_ = nullptr,
+           .on_agent_started_ =
+               [this](const std::string& agent) {
+                 // A new incarnation of an agent has no subscribers yet.
+                 last_subscribed_.erase(agent);
+                 Subscribe();
+               },
+           .on_weights_ =
+               [this](const std::string& model, std::uint64_t version) {
+                 ApplyTargetVersion({model, version}, false);
+               },
+           .on_lost_ =
+               [this](const membership::Member& member) {
+                 rules_manager_.OnMemberLost(member);
+               },
+           .on_departed_ =
+               [this](const DepartedMessage& departed) {
+                 endpoint_list_.OnDeparted(departed);
+               },
+           .on_list_ =
+               [this](const membership::Member& sender,
+                      const EndpointListMessage& list,
+                      core::TimePoint sent_at) {
+                 endpoint_list_.OnListMessage(sender, list, sent_at);
+               },
+           .on_rules_ =
+               [this](const membership::Member& member, std::uint64_t version,
+                      bool watches) {
+                 rules_manager_.OnVersionAnnounced(member, version, watches);
+               },
+           .on_crashes_ =
+               [this](const membership::Member& sender,
+                      const std::vector<CrashRecordMessage>& records,
+                      core::TimePoint sent_at) {
+                 quarantine_.OnRecords(sender, records, sent_at);
+               },
+           .crashes_ =
+               [this](std::size_t most) { return quarantine_.Sample(most); },
+           .rules_version_ = [this] { return rules_manager_.version(); },
+           .watches_rules_ = [this] { return rules_manager_.is_watcher(); },
+           .weights_ =
+               [this] {
+                 std::map<std::string, std::uint64_t> known;
+                 for (const auto& [model, target] : target_versions_) {
+                   known[model] = target.newest();
+                 }
+                 return known;
+               }}),
       quarantine_(process.loop(), endpoints_, mesh_, process.log(),
                   process.metrics()),
-      list_(process.loop(), endpoints_, mesh_, process.log(),
-            EndpointListSettingsOf(process.settings()),
-            {.read_ = [this] { reader_.ReadNow(Section::kEndpoints); },
-             .is_known_service_ =
-                 [this](const std::string& service) {
-                   return rules_.empty() || rules_.HasService(service);
-                 }}),
-      keeper_(process.loop(), adapter_.store_, reader_, mesh_, process.log(),
-              process.metrics(),
-              [this](const config::TrafficRules& rules,
-                     const std::string& source) { TakeRules(rules, source); }),
+      endpoint_list_(process.loop(), endpoints_, mesh_, process.log(),
+                     EndpointListSettingsOf(process.settings()),
+                     {.read_ = [this] { reader_.ReadNow(Section::kEndpoints); },
+                      .is_known_service_ =
+                          [this](const std::string& service) {
+                            return rules_.empty() || rules_.HasService(service);
+                          }}),
+      rules_manager_(
+          process.loop(), adapter_.store_, reader_, mesh_, process.log(),
+          process.metrics(),
+          [this](const config::TrafficRules& rules, const std::string& source) {
+            ApplyRules(rules, source);
+          }),
       relay_(process.loop(), adapter_.store_, mesh_, process.log(),
              [this](Section section, const StoreSnapshot& published) {
-               TakePublished(section, published, "peer");
+               ApplyPublished(section, published, "peer");
              }),
       stop_timer_(process.loop()),
       relay_timer_(process.loop()),
       subscribe_timer_(process.loop()) {}
 
-void DirectEntry::TakeSettings() {
+void DirectEntry::ApplySettings() {
   const auto& settings = process_.settings();
   version_bound_ = VersionBoundOf(settings);
   retry_reserve_ = settings.Real("requests", "retry_reserve");
@@ -171,10 +183,10 @@
 }
 
 void DirectEntry::Run() {
-  TakeSettings();
+  ApplySettings();
   auto& loop = process_.loop();
   const auto& settings = process_.settings();
-  admin_ = OpenAdmin(
+  admin_server_ = OpenAdmin(
       loop, ParseAddress(settings.Text("listen", "admin")), process_.metrics(),
       {.not_ready_ = [this] { return NotReady(); },
        .status_ = [this] { return Status(); },
@@ -184,12 +196,12 @@
              const auto request = routing::RequestDigest::FromHex(content);
              return request && quarantine_.Lift(*request);
            }});
-  ready_ = std::make_unique<Http1Server>(
+  readiness_server_ = std::make_unique<Http1Server>(
       loop, ParseAddress(settings.Text("listen", "ready")),
       Http1ServerHooks{.limits_ = [] { return HttpLimits{}; },
                        .on_refused_ = nullptr},
-      [this](const HttpExchangePtr& exchange) { OnReady(exchange); });
-  callers_ = std::make_unique<Http1Server>(
+      [this](const HttpExchangePtr& exchange) { OnReadinessCheck(exchange); });
+  caller_server_ = std::make_unique<Http1Server>(
       loop, ParseAddress(settings.Text("listen", "caller")),
       Http1ServerHooks{.limits_ = [this] { return Limits(); },
                        .on_refused_ =
@@ -201,41 +213,41 @@
                            }},
       [this](const HttpExchangePtr& exchange) {
         const auto now = process_.loop().Now();
-        list_.WhenFresh([this, exchange, now] {
+        endpoint_list_.WhenFresh([this, exchange, now] {
           if (exchange->open()) {
-            OnCaller(exchange, now);
+            OnCallerRequest(exchange, now);
           }
         });
       });
   process_.log().Write(core::EventNumber::kListening,
                        {{"caller", settings.Text("listen", "caller")}});
-  peers_ = std::make_unique<PeerServer>(
+  peer_server_ = std::make_unique<PeerServer>(
       loop, ParseAddress(settings.Text("listen", "peer")), kMaxPeerBody,
-      [this](const PeerCallPtr& call) { OnPeer(call); });
-  relay_timer_.Every(kRelayInterval, [this] { AskPeersIfCutOff(); });
-  process_.OnReload([this] { TakeSettings(); });
+      [this](const PeerCallPtr& call) { OnPeerCall(call); });
+  relay_timer_.Every(kRelayInterval, [this] { ReadFromPeersIfCutOff(); });
+  process_.OnReload([this] { ApplySettings(); });
   process_.OnResume([this] { mesh_.QuerySeed(); });
   mesh_.Start();
-  keeper_.Start();
+  rules_manager_.Start();
   subscribe_timer_.Every(kSubscribeTick, [this] { Subscribe(); });
   reader_.Poll(
-      Section::kEndpoints, [this] { return list_.Interval(); },
-      [this] { list_.OnReadFailed(); });
+      Section::kEndpoints, [this] { return endpoint_list_.Interval(); },
+      [this] { endpoint_list_.OnReadFailed(); });
   process_.Run([this] { BeginStop(); });
 }
 
 void DirectEntry::BeginStop() {
   mesh_.AnnounceLeaving();
-  callers_->CloseAfterAnswers();
+  caller_server_->CloseAfterAnswers();
   process_.stop().OnWorkAccepted();
-  stop_timer_.Once(kStopListening, [this] {
-    callers_->StopAccepting();
-    callers_->CloseIdle();
+  stop_timer_.Once(kStopListeningDelay, [this] {
+    caller_server_->StopAccepting();
+    caller_server_->CloseIdle();
     process_.stop().OnWorkFinished();
   });
 }
 
-void DirectEntry::OnReady(const HttpExchangePtr& exchange) {
+void DirectEntry::OnReadinessCheck(const HttpExchangePtr& exchange) {
   const auto reason = NotReady();
   exchange->Respond(reason.empty() ? 200 : kUnavailable, {}, reason);
 }
@@ -255,51 +267,53 @@
   if (rules_.empty()) {
     return limits;
   }
-  const auto& in_force = rules_.rules().limits_;
-  limits.header_bytes_ = in_force.header_bytes_;
-  limits.body_bytes_ = in_force.body_bytes_;
-  limits.request_time_ = in_force.header_time_;
-  limits.idle_time_ = in_force.idle_time_;
+  const auto& active = rules_.rules().limits_;
+  limits.header_bytes_ = active.header_bytes_;
+  limits.body_bytes_ = active.body_bytes_;
+  limits.request_time_ = active.header_time_;
+  limits.idle_time_ = active.idle_time_;
   return limits;
 }
 
 void DirectEntry::OnPublished(Section section, const StoreSnapshot& published) {
   if (section == Section::kRules) {
-    keeper_.OnPublished(published);
+    rules_manager_.OnPublished(published);
     return;
   }
   relay_.Store(section, published);
-  TakePublished(section, published, std::string(kStoreSource));
+  ApplyPublished(section, published, std::string(kStoreSource));
 }
 
-void DirectEntry::AskPeersIfCutOff() {
-  const auto away = process_.loop().Now() - reader_.reachable_since();
-  if (!reader_.reachable() && away >= kRelayInterval) {
+void DirectEntry::ReadFromPeersIfCutOff() {
+  const auto unreachable_for =
+      process_.loop().Now() - reader_.reachable_since();
+  if (!reader_.reachable() && unreachable_for >= kRelayInterval) {
     relay_.Fetch();
   }
 }
 
-void DirectEntry::TakePublished(Section section, const StoreSnapshot& published,
-                                const std::string& source) {
+void DirectEntry::ApplyPublished(Section section,
+                                 const StoreSnapshot& published,
+                                 const std::string& source) {
   for (const auto& weights : published.weights_) {
-    TakeWeights(weights, source == kStoreSource);
+    ApplyTargetVersion(weights, source == kStoreSource);
   }
   if (section == Section::kEndpoints) {
-    list_.ApplyRead(published, source == kStoreSource);
+    endpoint_list_.ApplyRead(published, source == kStoreSource);
   }
 }
 
-void DirectEntry::OnPeer(const PeerCallPtr& call) {
+void DirectEntry::OnPeerCall(const PeerCallPtr& call) {
   const bool answered =
-      keeper_.Answer(call) || relay_.Answer(call) ||
+      rules_manager_.Answer(call) || relay_.Answer(call) ||
       HandleFactsCall(call, rules_.rules(), endpoints_.Rows(), mesh_);
   if (!answered) {
     call->Respond(kNotFound, "");
   }
 }
 
-void DirectEntry::TakeRules(const config::TrafficRules& rules,
-                            const std::string& source) {
+void DirectEntry::ApplyRules(const config::TrafficRules& rules,
+                             const std::string& source) {
   if (!rules_.Accept(rules)) {
     return;
   }
@@ -311,19 +325,21 @@
                          static_cast<double>(rules.version_));
 }
 
-void DirectEntry::TakeWeights(const TargetVersion& weights, bool from_store) {
-  if (!weights_[weights.model_].OnVersionPublished(weights.version_,
-                                                   process_.loop().Now())) {
+void DirectEntry::ApplyTargetVersion(const TargetVersion& weights,
+                                     bool from_store) {
+  if (!target_versions_[weights.model_].OnVersionPublished(
+          weights.version_, process_.loop().Now())) {
     return;
   }
   process_.log().Write(core::EventNumber::kWeightsNamed,
                        {{"model", weights.model_},
                         {"version", std::to_string(weights.version_)}});
-  // The time of a bound runs from the naming, not from its being heard.
-  if (from_store || keeper_.is_watcher()) {
+  // The version bound runs from the publication of the version, not from its
+  // arrival here, so the version is propagated without waiting for gossip.
+  if (from_store || rules_manager_.is_watcher()) {
     mesh_.AnnounceVersions();
   }
-  subscribed_.clear();
+  last_subscribed_.clear();
   Subscribe();
 }
 
@@ -336,37 +352,38 @@
       continue;
     }
     const auto agent = mesh_.MeshAddressOf(row.address_);
-    const auto known = subscribed_.find(agent);
-    const bool near = row.domain_ == process_.domain();
-    const auto interval = near ? kSubscribeInterval : kFarSubscribeInterval;
+    const auto known = last_subscribed_.find(agent);
+    const bool local = row.domain_ == process_.domain();
+    const auto interval = local ? kSubscribeInterval : kRemoteSubscribeInterval;
     const bool due =
-        known == subscribed_.end() || now - known->second >= interval;
+        known == last_subscribed_.end() || now - known->second >= interval;
     if (due) {
       mesh_.Subscribe(agent, row.domain_);
     }
     subscribed[agent] = due ? now : known->second;
   }
-  subscribed_ = std::move(subscribed);
+  last_subscribed_ = std::move(subscribed);
 }
 
-routing::VersionConstraint DirectEntry::RuleFor(
+routing::VersionConstraint DirectEntry::VersionConstraintFor(
     const std::string& model) const {
-  const auto found = weights_.find(model);
-  if (found == weights_.end()) {
+  const auto found = target_versions_.find(model);
+  if (found == target_versions_.end()) {
     return {};
   }
   return found->second.ConstraintAt(version_bound_, kVersionMargin,
                                     process_.loop().Now());
 }
 
-void DirectEntry::OnLoad(const LoadMessage& message) {
+void DirectEntry::OnLoadReport(const LoadMessage& message) {
   const auto now = process_.loop().Now();
-  if (reports_[message.endpoint_].CheckLate(milliseconds(message.sent_ms_))) {
+  if (report_orders_[message.endpoint_].CheckLate(
+          milliseconds(message.sent_ms_))) {
     process_.metrics().Count("reports_late_total", {});
     return;
   }
-  const auto outbound =
-      paths_[message.endpoint_].OnMessage(milliseconds(message.sent_ms_), now);
+  const auto outbound = path_delays_[message.endpoint_].OnMessage(
+      milliseconds(message.sent_ms_), now);
   const auto report = ToReport(message, outbound);
   if (!report.incarnation_.empty()) {
     endpoints_.ApplyIncarnation(message.endpoint_,
@@ -375,13 +392,13 @@
   endpoints_.ApplyReport(message.endpoint_, report, now);
 }
 
-void DirectEntry::OnCaller(const HttpExchangePtr& exchange,
-                           core::TimePoint received_at) {
+void DirectEntry::OnCallerRequest(const HttpExchangePtr& exchange,
+                                  core::TimePoint received_at) {
   const auto& http = exchange->request();
   auto caller = adapter_.requests_.read_request_(http);
   if (rules_.empty()) {
     Refuse(*exchange, caller, kUnavailable, core::EventNumber::kRequestRefused,
-           "no rules were heard yet", retry_spread_.Draw(kRetryAfter));
+           "no rules were heard yet", retry_jitter_.Draw(kRetryAfter));
     return;
   }
   const auto* route = rules_.FindRoute(caller.host_, http.path_);
@@ -390,13 +407,13 @@
            "no route for this host and path", std::nullopt);
     return;
   }
-  AdmittedDirect request;
+  AdmittedDirectRequest request;
   request.priority_ = route->priority_;
   if (rules_.rules().accounts_ && !route->public_) {
     const auto* account = rules_.FindAccount(caller.key_);
     if (account == nullptr) {
       Refuse(*exchange, caller, kUnauthorized,
-             core::EventNumber::kAccountRefused, "the key is not known",
+             core::EventNumber::kAccountRefused, "unknown API key",
              std::nullopt);
       return;
     }
@@ -405,7 +422,7 @@
   }
   if (caller.id_.empty()) {
     Refuse(*exchange, caller, kBadRequest, core::EventNumber::kBadRequest,
-           "the request carries no id", std::nullopt);
+           "the request id is missing", std::nullopt);
     return;
   }
   request.service_ = config::TrafficTable::SelectService(*route, caller.id_);
@@ -417,7 +434,8 @@
       received_at +
       std::min(route->timeout_, caller.time_left_.value_or(route->timeout_));
   if (caller.time_left_) {
-    request.age_ = ages_.AddAndEstimate(route->name_, *caller.time_left_);
+    request.age_ =
+        request_ages_.AddAndEstimate(route->name_, *caller.time_left_);
   }
   request.rules_version_ = rules_.rules().version_;
   request.digest_ = routing::RequestDigest::Of({.account_ = request.account_,
@@ -430,23 +448,23 @@
   Admit(exchange, std::move(request));
 }
 
-std::optional<core::Duration> DirectEntry::RefusalOf(AdmittedDirect& request,
-                                                     core::TimePoint now,
-                                                     std::string& reason) {
-  if (request.deadline_ - now < kLeastTime) {
+std::optional<core::Duration> DirectEntry::CheckAdmission(
+    AdmittedDirectRequest& request, core::TimePoint now, std::string& reason) {
+  if (request.deadline_ - now < kMinTimeLeft) {
     reason = "too little time is left";
     return kRetryAfter;
   }
-  routing::ChoiceRequest wanted;
-  wanted.service_ = request.service_;
-  wanted.prompt_tokens_ = request.caller_.prompt_tokens_;
-  wanted.max_in_flight_ = ConnectionShare(request.service_);
+  routing::ChoiceRequest choice_request;
+  choice_request.service_ = request.service_;
+  choice_request.prompt_tokens_ = request.caller_.prompt_tokens_;
+  choice_request.max_in_flight_ = ConnectionShare(request.service_);
   if (request.engine_) {
-    wanted.engine_ = &*request.engine_;
-    wanted.version_constraint_ = RuleFor(request.engine_->model_);
+    choice_request.engine_ = &*request.engine_;
+    choice_request.version_constraint_ =
+        VersionConstraintFor(request.engine_->model_);
   }
   if (!request.engine_) {
-    if (endpoints_.Choose(wanted, now)) {
+    if (endpoints_.Choose(choice_request, now)) {
       return std::nullopt;
     }
     reason = "no endpoint of service " + request.service_ + " can take work";
@@ -454,7 +472,8 @@
   }
   const routing::StreamRequest stream{request.route_.target_latency_,
                                       request.age_};
-  const auto decision = routing::DecideStream(endpoints_, wanted, stream, now);
+  const auto decision =
+      routing::DecideStream(endpoints_, choice_request, stream, now);
   request.on_time_ = decision.on_time_;
   if (!decision.choice_) {
     reason = "no endpoint of service " + request.service_ + " can take work";
@@ -463,13 +482,13 @@
              Millis(decision.choice_->time_to_first_byte_) + " ms, target " +
              Millis(stream.target_) + " ms, age " + Millis(stream.age_) +
              " ms, " + std::to_string(decision.choice_->requests_ahead_) +
-             " places occupied";
+             " requests ahead";
   }
   return decision.retry_after_;
 }
 
 void DirectEntry::Admit(const HttpExchangePtr& exchange,
-                        AdmittedDirect request) {
+                        AdmittedDirectRequest request) {
   const auto now = process_.loop().Now();
   if (const auto refusal = quarantine_.RefusalOf(request.digest_)) {
     Refuse(*exchange, request.caller_, kUnavailable,
@@ -479,15 +498,15 @@
     return;
   }
   std::string reason;
-  if (const auto wait = RefusalOf(request, now, reason)) {
+  if (const auto wait = CheckAdmission(request, now, reason)) {
     Refuse(*exchange, request.caller_, kUnavailable,
            core::EventNumber::kRequestRefused, reason,
-           retry_spread_.Draw(*wait));
+           retry_jitter_.Draw(*wait));
     return;
   }
   ++in_flight_;
   process_.stop().OnWorkAccepted();
-  budget_.SetReserve(ReserveShare());
+  budget_.SetReserve(RetryReserveShare());
   std::make_shared<DirectRequest>(context_, exchange, std::move(request),
                                   [this] {
                                     --in_flight_;
@@ -496,8 +515,8 @@
       ->Start();
 }
 
-double DirectEntry::ReserveShare() {
-  return kReserveUsed * retry_reserve_ /
+double DirectEntry::RetryReserveShare() {
+  return kRetryReserveFraction * retry_reserve_ /
          static_cast<double>(mesh_.EntryCount());
 }
 
--- a/packages/daemon/src/daemon/direct/direct_entry.hpp
+++ b/packages/daemon/src/daemon/direct/direct_entry.hpp
@@ -1,5 +1,6 @@
-// The entry of a deployment whose endpoints are called directly: it reads what
-// is published, admits requests by it, and sends each straight to an endpoint.
+// The entry of a deployment whose endpoints are called directly. It reads
+// rules, target versions and the endpoint list from the configuration store,
+// admits requests by them, and sends each request straight to an endpoint.
 #pragma once
 
 #include <map>
@@ -33,42 +34,44 @@
  public:
   DirectEntry(ProcessBase& process, Adapter adapter);
 
-  /// @brief Serves until a planned stop is finished.
+  /// @brief Serves until a graceful shutdown has finished.
   void Run();
 
  private:
-  /// @brief Takes what may change while the process runs.
-  void TakeSettings();
+  /// @brief Applies the settings that may change while the process runs.
+  void ApplySettings();
   void OnPublished(Section section, const StoreSnapshot& published);
-  void TakeRules(const config::TrafficRules& rules, const std::string& source);
-  /// @brief Answers a call of another process of the system.
-  void OnPeer(const PeerCallPtr& call);
-  /// @param from_store whether this process heard it from the store itself.
-  void TakeWeights(const TargetVersion& weights, bool from_store);
-  /// @brief Asks the agents of the endpoints in use for their reports, those
-  /// that are due.
+  void ApplyRules(const config::TrafficRules& rules, const std::string& source);
+  /// @brief Handles a call from another process of the system.
+  void OnPeerCall(const PeerCallPtr& call);
+  /// @param from_store whether this process read it from the store itself.
+  void ApplyTargetVersion(const TargetVersion& weights, bool from_store);
+  /// @brief Renews the due subscriptions to the load reports of the agents
+  /// whose endpoints are in use.
   void Subscribe();
-  void TakePublished(Section section, const StoreSnapshot& published,
-                     const std::string& source);
-  void AskPeersIfCutOff();
-  void OnLoad(const LoadMessage& message);
-  /// @param received_at when it arrived.
-  void OnCaller(const HttpExchangePtr& exchange, core::TimePoint received_at);
-  void OnReady(const HttpExchangePtr& exchange);
+  void ApplyPublished(Section section, const StoreSnapshot& published,
+                      const std::string& source);
+  /// @brief Queries a peer if the store has been unreachable for some time.
+  void ReadFromPeersIfCutOff();
+  void OnLoadReport(const LoadMessage& message);
+  /// @param received_at when the request arrived; it may have waited for a
+  /// newer endpoint list since.
+  void OnCallerRequest(const HttpExchangePtr& exchange,
+                       core::TimePoint received_at);
+  void OnReadinessCheck(const HttpExchangePtr& exchange);
   void Refuse(HttpExchange& exchange, const CallerRequest& caller, int status,
               core::EventNumber event, const std::string& reason,
               std::optional<core::Duration> retry_after);
-  void Admit(const HttpExchangePtr& exchange, AdmittedDirect request);
-  /// @brief Decides whether a request is taken, and whether before late ones.
-  /// @return when to come back, if it is not.
-  [[nodiscard]] std::optional<core::Duration> RefusalOf(AdmittedDirect& request,
-                                                        core::TimePoint now,
-                                                        std::string& reason);
+  void Admit(const HttpExchangePtr& exchange, AdmittedDirectRequest request);
+  /// @brief Decides whether to admit a request, and whether it is on time.
+  /// @return the delay to retry after, if the request is refused.
+  [[nodiscard]] std::optional<core::Duration> CheckAdmission(
+      AdmittedDirectRequest& request, core::TimePoint now, std::string& reason);
   [[nodiscard]] HttpLimits Limits() const;
   [[nodiscard]] std::string NotReady() const;
-  [[nodiscard]] routing::VersionConstraint RuleFor(
+  [[nodiscard]] routing::VersionConstraint VersionConstraintFor(
       const std::string& model) const;
-  [[nodiscard]] double ReserveShare();
+  [[nodiscard]] double RetryReserveShare();
   [[nodiscard]] std::uint32_t ConnectionShare(const std::string& service);
   void BeginStop();
   [[nodiscard]] std::string Status() const;
@@ -78,33 +81,34 @@
   config::TrafficTable rules_;
   routing::EndpointTable endpoints_;
   routing::RetryBudget budget_;
-  routing::RetryJitter retry_spread_;
-  routing::RequestAgeEstimator ages_;
+  routing::RetryJitter retry_jitter_;
+  routing::RequestAgeEstimator request_ages_;
   /// By model.
-  std::map<std::string, rollout::VersionBound> weights_;
-  /// By address of the endpoint whose agent reports.
-  std::map<std::string, membership::PathDelay> paths_;
-  std::map<std::string, membership::MessageOrder> reports_;
+  std::map<std::string, rollout::VersionBound> target_versions_;
+  /// Delay and order of load reports, by address of the endpoint.
+  std::map<std::string, membership::PathDelay> path_delays_;
+  std::map<std::string, membership::MessageOrder> report_orders_;
   RequestContext context_;
   PublishedReader reader_;
   MeshNode mesh_;
-  QuarantineKeeper quarantine_;
-  EndpointList list_;
-  RulesManager keeper_;
+  QuarantineManager quarantine_;
+  EndpointList endpoint_list_;
+  RulesManager rules_manager_;
   PublishedRelay relay_;
-  std::unique_ptr<PeerServer> peers_;
-  std::unique_ptr<Http1Server> callers_;
-  std::unique_ptr<Http1Server> ready_;
-  std::unique_ptr<HttpServer> admin_;
+  std::unique_ptr<PeerServer> peer_server_;
+  std::unique_ptr<Http1Server> caller_server_;
+  std::unique_ptr<Http1Server> readiness_server_;
+  std::unique_ptr<HttpServer> admin_server_;
   Timer stop_timer_;
   Timer relay_timer_;
   Timer subscribe_timer_;
-  /// When agents were last asked for reports, by address.
-  std::map<std::string, core::TimePoint> subscribed_;
+  /// When the subscription to an agent was last sent, by the agent's address.
+  std::map<std::string, core::TimePoint> last_subscribed_;
   std::size_t in_flight_ = 0;
-  /// From the naming of weights until nothing may begin on older ones.
+  /// Time from the publication of a target version until no request may start
+  /// on an older one.
   core::Duration version_bound_{};
-  /// Retries that all entries together may make beyond their share.
+  /// Retries that all entries together may make beyond the retry share.
   double retry_reserve_ = 0;
 };
 
--- a/packages/daemon/src/daemon/direct/direct_request.cpp
+++ b/packages/daemon/src/daemon/direct/direct_request.cpp
@@ -1,4 +1,4 @@
-// The tracker decides attempts and outcome; here they are carried out.
+// Carries out the attempts and the outcome that the request tracker decides on.
 #include "daemon/direct/direct_request.hpp"
 
 #include <algorithm>
@@ -16,31 +16,36 @@
 constexpr int kBadGateway = 502;
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
-/// An answer that is not a stream is passed on once it is whole, so that one
-/// that breaks can be asked for again; larger ones go on as they arrive.
-constexpr std::size_t kHoldBytes = std::size_t{64} << 10;
-/// Bytes that a slow caller may have waiting before the endpoint is held back.
-constexpr std::size_t kMaxPending = std::size_t{64} << 10;
-/// Time to connect: some round trips between regions and a lost packet.
+/// A response that is not a stream is buffered up to this size and forwarded
+/// once it is complete, so that the request can be retried if the connection
+/// breaks. Larger responses are forwarded as they arrive.
+constexpr std::size_t kMaxBufferedBytes = std::size_t{64} << 10;
+/// Bytes that may wait for a slow caller before reading from the endpoint
+/// stops.
+constexpr std::size_t kMaxPendingBytes = std::size_t{64} << 10;
+/// Covers a few round trips between regions and one lost packet.
 constexpr auto kConnectTimeout = milliseconds(400);
-/// Rest after which a kept connection is not used: repeatable requests can
-/// survive a connection that has just been closed, the others can't.
-constexpr auto kMaxRest = milliseconds(2500);
-constexpr auto kMaxRestOnce = milliseconds(400);
-/// An endpoint that is awaited is looked at this often.
-constexpr auto kSilenceCheck = milliseconds(100);
-/// A pause between the events of a stream is too long after this many times the
-/// pause that is in time, and not before the time below.
-constexpr int kGapFactor = 2;
-constexpr auto kLeastGap = milliseconds(800);
-/// Left for the answer to travel back when the endpoint uses all its time.
-constexpr auto kTravel = milliseconds(5);
+/// A pooled connection that was idle for longer is not reused. Repeatable
+/// requests can be retried when the endpoint has just closed the connection;
+/// the others can't and get the shorter limit.
+constexpr auto kMaxIdleTime = milliseconds(2500);
+constexpr auto kMaxIdleTimeNotRepeatable = milliseconds(400);
+/// Interval at which an attempt without a response is checked: its endpoint may
+/// have become unresponsive, or have been removed from the list.
+constexpr auto kTimeoutCheckInterval = milliseconds(100);
+/// A stream times out when no event arrives for this many times the target gap
+/// between events, but not before kMinEventGapTimeout.
+constexpr int kEventGapFactor = 2;
+constexpr auto kMinEventGapTimeout = milliseconds(800);
+/// Subtracted from the time that the endpoint gets, so that the response can
+/// still reach this process if the endpoint uses all of it.
+constexpr auto kReturnTransitTime = milliseconds(5);
 
 std::string Millis(core::Duration span) {
   return std::to_string(std::chrono::duration_cast<milliseconds>(span).count());
 }
 
-/// What became of an attempt's connection, for logs.
+/// How the connection of an attempt ended, for the log.
 std::string ConnectionEnd(const std::optional<HttpEnd>& end) {
   return end ? std::string(ToString(*end)) : "closed by this process";
 }
@@ -48,7 +53,8 @@
 }  // namespace
 
 DirectRequest::DirectRequest(RequestContext& context, HttpExchangePtr exchange,
-                             AdmittedDirect request, std::function<void()> done)
+                             AdmittedDirectRequest request,
+                             std::function<void()> done)
     : context_(context),
       exchange_(std::move(exchange)),
       request_(std::move(request)),
@@ -60,25 +66,26 @@
                 .max_attempts_ = std::max(1U, request_.route_.max_attempts_),
                 .may_retry_ =
                     [this](routing::RetryKind kind, core::TimePoint now) {
-                      return MayRepeat(kind, now);
+                      return MayRetry(kind, now);
                     }}),
-      deadline_(context.loop_),
-      silence_(context.loop_) {}
+      deadline_timer_(context.loop_),
+      response_timer_(context.loop_) {}
 
 void DirectRequest::Start() {
   const auto now = context_.loop_.Now();
   span_ = context_.tracer_.Begin(
       "entry.request", FindHeader(exchange_->request().headers_, kTraceparent));
   context_.budget_.OnRequest(now);
-  quarantine_token_ = context_.quarantine_.OnBegun(
+  quarantine_token_ = context_.quarantine_.OnAdmitted(
       request_.digest_, request_.deadline_, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
           self->OnQuarantined();
         }
       });
-  exchange_->OnAbort([self = shared_from_this()] { self->OnCallerGone(); });
-  deadline_.Once(request_.deadline_ - now,
-                 [self = shared_from_this()] { self->OnDeadline(); });
+  exchange_->OnAbort(
+      [self = shared_from_this()] { self->OnCallerDisconnected(); });
+  deadline_timer_.Once(request_.deadline_ - now,
+                       [self = shared_from_this()] { self->OnDeadline(); });
   Perform(tracker_.Start(now));
 }
 
@@ -91,7 +98,7 @@
     } else if (std::holds_alternative<routing::CancelAttempt>(action)) {
       if (attempt_.call_ != nullptr) {
         std::exchange(attempt_.call_, nullptr)->Cancel();
-        CountEnded(routing::EndpointOutcome::kCancelled);
+        CountAttemptEnded(routing::EndpointOutcome::kCancelled);
       }
     } else {
       Finish(std::get<routing::FinishRequest>(action));
@@ -101,21 +108,22 @@
 
 void DirectRequest::Choose(const routing::ChooseEndpoint& choose) {
   const auto now = context_.loop_.Now();
-  routing::ChoiceRequest wanted;
-  wanted.service_ = request_.service_;
-  wanted.prompt_tokens_ = request_.caller_.prompt_tokens_;
-  wanted.on_time_ = request_.on_time_;
-  wanted.tried_ = tried_;
-  wanted.max_in_flight_ = context_.max_in_flight_(request_.service_);
+  routing::ChoiceRequest choice_request;
+  choice_request.service_ = request_.service_;
+  choice_request.prompt_tokens_ = request_.caller_.prompt_tokens_;
+  choice_request.on_time_ = request_.on_time_;
+  choice_request.tried_ = tried_endpoints_;
+  choice_request.max_in_flight_ = context_.max_in_flight_(request_.service_);
   if (request_.engine_) {
-    wanted.engine_ = &*request_.engine_;
-    versions_ = context_.versions_(request_.engine_->model_);
-    wanted.version_constraint_ = versions_;
+    choice_request.engine_ = &*request_.engine_;
+    version_constraint_ =
+        context_.version_constraint_(request_.engine_->model_);
+    choice_request.version_constraint_ = version_constraint_;
     if (choose.same_weights_) {
-      wanted.weights_version_ = stream_version_;
+      choice_request.weights_version_ = stream_version_;
     }
   }
-  chosen_ = context_.endpoints_.Choose(wanted, now);
+  chosen_ = context_.endpoints_.Choose(choice_request, now);
   Perform(tracker_.OnChosen(
       chosen_ ? std::optional(chosen_->row_.id_) : std::nullopt, now));
 }
@@ -126,36 +134,38 @@
   attempt_.number_ = send.attempt_;
   attempt_.choice_ = *chosen_;
   attempt_.sent_at_ = now;
-  attempt_.versions_ = versions_;
+  attempt_.version_constraint_ = version_constraint_;
   attempt_.span_ =
       context_.tracer_.Begin("entry.attempt", span_.context_.ToHeader());
   const auto& row = attempt_.choice_.row_;
-  tried_.push_back(row.id_);
+  tried_endpoints_.push_back(row.id_);
   AttemptTerms terms;
   terms.incarnation_ = row.id_;
   terms.weights_version_ =
       request_.engine_ ? row.weights_version_ : std::nullopt;
   terms.account_ = request_.account_;
   terms.time_left_ = std::max<core::Duration>(
-      request_.deadline_ - now - kTravel, milliseconds(1));
+      request_.deadline_ - now - kReturnTransitTime, milliseconds(1));
   terms.priority_ =
       routing::EnginePriority(request_.priority_, request_.on_time_);
   if (tracker_.forwarded()) {
-    // Its caller has a part of the answer, and waits for the next event.
+    // The caller already has a part of the stream and waits for the next event.
     terms.priority_ = 0;
     terms.resume_after_ = events_.last_id();
   }
   HttpSendOptions options;
   options.keep_ = true;
-  options.max_rest_ = request_.route_.repeatable() ? kMaxRest : kMaxRestOnce;
+  options.max_rest_ =
+      request_.route_.repeatable() ? kMaxIdleTime : kMaxIdleTimeNotRepeatable;
   options.connect_timeout_ = kConnectTimeout;
   options.silence_ = request_.deadline_ - now + milliseconds(1000);
-  // While the connection opens the endpoint may leave, and the request may be
-  // quarantined.
+  // While the connection is being opened, the endpoint may be removed from the
+  // list and the request may be quarantined.
   options.may_send_ = [this, self = shared_from_this(),
-                       life = row.incarnation()] {
-    return context_.endpoints_.AcceptsRequests(life, context_.loop_.Now()) &&
-           context_.quarantine_.MayRepeat(request_.digest_, std::nullopt);
+                       incarnation = row.incarnation()] {
+    return context_.endpoints_.AcceptsRequests(incarnation,
+                                               context_.loop_.Now()) &&
+           context_.quarantine_.MayRetry(request_.digest_, std::nullopt);
   };
   options.is_ours_ = [this,
                       self = shared_from_this()](const HttpHeaders& headers) {
@@ -166,7 +176,7 @@
   auto http = context_.adapter_.requests_.write_attempt_(
       exchange_->request(), request_.caller_, terms);
   if (context_.tracer_.exports()) {
-    // The endpoint's span is a child of the attempt's.
+    // Makes the endpoint's span a child of the attempt's span.
     std::erase_if(http.headers_, [](const HttpHeader& header) {
       return header.first == kTraceparent;
     });
@@ -204,18 +214,20 @@
                             now - context_.endpoints_.as_of());
   context_.endpoints_.OnSent(row.id_, request_.caller_.prompt_tokens_, now,
                              request_.on_time_);
-  attempt_.counted_ = true;
+  attempt_.counted_in_flight_ = true;
   attempt_.call_ =
       context_.http_.Send(ParseAddress(row.address_), http,
                           std::move(callbacks), std::move(options));
-  ExpectFirstByte();
+  ArmFirstByteTimeout();
 }
 
-// A path that is silent as the endpoint leaves may deliver the request long
-// after; it is looked at until the endpoint has it.
-bool DirectRequest::LeftUndelivered() {
+// If the network path to an endpoint stalls while the endpoint is removed from
+// the list, the request could still be delivered long afterwards. The attempt
+// is therefore checked until the endpoint's system has acknowledged the
+// request.
+bool DirectRequest::RemovedBeforeDelivery() {
   const auto now = context_.loop_.Now();
-  if (attempt_.delivered_ || now - attempt_.sent_at_ < kSilenceCheck) {
+  if (attempt_.delivered_ || now - attempt_.sent_at_ < kTimeoutCheckInterval) {
     return false;
   }
   attempt_.delivered_ = !attempt_.call_->undelivered();
@@ -223,51 +235,54 @@
                                      attempt_.choice_.row_.incarnation(), now);
 }
 
-void DirectRequest::ExpectFirstByte() {
+void DirectRequest::ArmFirstByteTimeout() {
   if (ended_ || attempt_.call_ == nullptr) {
     return;
   }
-  if (LeftUndelivered()) {
-    attempt_.given_up_ = "endpoint-left";
-    OnSilence();
+  if (RemovedBeforeDelivery()) {
+    attempt_.abandon_reason_ = "endpoint-left";
+    OnResponseTimeout();
     return;
   }
   if (!request_.route_.repeatable()) {
     if (!attempt_.delivered_) {
-      silence_.Once(kSilenceCheck,
-                    [self = shared_from_this()] { self->ExpectFirstByte(); });
+      response_timer_.Once(kTimeoutCheckInterval, [self = shared_from_this()] {
+        self->ArmFirstByteTimeout();
+      });
     }
     return;
   }
-  routing::PendingAttempt awaited;
-  awaited.target_latency_ = request_.route_.target_latency_;
-  awaited.predicted_first_byte_ = attempt_.choice_.time_to_first_byte_;
-  awaited.on_time_ = request_.on_time_;
-  awaited.sent_at_ = attempt_.sent_at_;
-  awaited.unresponsive_ =
+  routing::PendingAttempt pending;
+  pending.target_latency_ = request_.route_.target_latency_;
+  pending.predicted_first_byte_ = attempt_.choice_.time_to_first_byte_;
+  pending.on_time_ = request_.on_time_;
+  pending.sent_at_ = attempt_.sent_at_;
+  pending.unresponsive_ =
       context_.endpoints_.IsUnresponsive(attempt_.choice_.row_.id_);
   if (request_.engine_) {
-    awaited.weights_version_ = attempt_.choice_.row_.weights_version_;
-    awaited.version_constraint_ = attempt_.versions_;
+    pending.weights_version_ = attempt_.choice_.row_.weights_version_;
+    pending.version_constraint_ = attempt_.version_constraint_;
   }
   const auto now = context_.loop_.Now();
-  const auto left = routing::FirstByteDeadline(awaited) - now;
+  const auto left = routing::FirstByteDeadline(pending) - now;
   if (left <= core::Duration{}) {
-    OnSilence();
+    OnResponseTimeout();
     return;
   }
-  silence_.Once(std::min<core::Duration>(left, kSilenceCheck),
-                [self = shared_from_this()] { self->ExpectFirstByte(); });
+  response_timer_.Once(
+      std::min<core::Duration>(left, kTimeoutCheckInterval),
+      [self = shared_from_this()] { self->ArmFirstByteTimeout(); });
 }
 
-void DirectRequest::ExpectEvent() {
+void DirectRequest::ArmEventTimeout() {
   if (!request_.route_.repeatable() || !request_.route_.streaming_) {
-    silence_.Cancel();
+    response_timer_.Cancel();
     return;
   }
   const core::Duration wait = std::max<core::Duration>(
-      request_.route_.target_gap_ * kGapFactor, kLeastGap);
-  silence_.Once(wait, [self = shared_from_this()] { self->OnSilence(); });
+      request_.route_.target_gap_ * kEventGapFactor, kMinEventGapTimeout);
+  response_timer_.Once(
+      wait, [self = shared_from_this()] { self->OnResponseTimeout(); });
 }
 
 void DirectRequest::OnHead(routing::AttemptNumber number, int status,
@@ -278,20 +293,21 @@
   const auto now = context_.loop_.Now();
   attempt_.status_ = status;
   attempt_.headers_ = headers;
-  attempt_.facts_ = context_.adapter_.requests_.read_response_(status, headers);
-  attempt_.answering_ = true;
+  attempt_.response_head_ =
+      context_.adapter_.requests_.read_response_(status, headers);
+  attempt_.response_started_ = true;
   context_.endpoints_.OnFirstByte(
       attempt_.choice_.row_.id_, request_.caller_.prompt_tokens_,
       attempt_.sent_at_, attempt_.choice_.time_to_first_byte_, now);
   const bool success = status >= 200 && status < 300;
-  attempt_.streams_ =
-      success && attempt_.facts_.signed_ && request_.route_.streaming_;
-  if (!attempt_.streams_) {
-    silence_.Cancel();
+  attempt_.streaming_ =
+      success && attempt_.response_head_.signed_ && request_.route_.streaming_;
+  if (!attempt_.streaming_) {
+    response_timer_.Cancel();
     return;
   }
   stream_version_ = attempt_.choice_.row_.weights_version_;
-  ExpectEvent();
+  ArmEventTimeout();
 }
 
 void DirectRequest::OnData(routing::AttemptNumber number,
@@ -301,21 +317,22 @@
   }
   context_.endpoints_.OnProgress(attempt_.choice_.row_.id_,
                                  context_.loop_.Now());
-  if (!attempt_.streams_) {
-    OnPlainData(bytes);
+  if (!attempt_.streaming_) {
+    OnBufferedData(bytes);
     return;
   }
-  const auto whole = events_.Append(bytes);
-  if (whole.count_ > 0 && tracker_.AcceptResponseBytes(number, whole.count_)) {
-    Forward(whole.bytes_);
+  const auto complete = events_.Append(bytes);
+  if (complete.count_ > 0 &&
+      tracker_.AcceptResponseBytes(number, complete.count_)) {
+    Forward(complete.bytes_);
   }
-  ExpectEvent();
+  ArmEventTimeout();
 }
 
-void DirectRequest::OnPlainData(std::string_view bytes) {
+void DirectRequest::OnBufferedData(std::string_view bytes) {
   attempt_.body_.append(bytes);
-  if (attempt_.body_.size() <= kHoldBytes ||
-      EndOfAnswer() != routing::AttemptEnd::kComplete) {
+  if (attempt_.body_.size() <= kMaxBufferedBytes ||
+      ClassifyResponse() != routing::AttemptEnd::kComplete) {
     return;
   }
   const auto body = std::exchange(attempt_.body_, {});
@@ -325,8 +342,8 @@
 }
 
 void DirectRequest::Forward(std::string_view bytes) {
-  if (!started_) {
-    started_ = true;
+  if (!response_started_) {
+    response_started_ = true;
     context_.metrics_.Observe("first_byte_seconds",
                               {{"service", request_.service_}},
                               context_.loop_.Now() - request_.received_at_);
@@ -335,13 +352,13 @@
         context_.adapter_.requests_.forwarded_headers_(attempt_.headers_));
   }
   exchange_->Write(bytes);
-  if (exchange_->pending() > kMaxPending && attempt_.call_ != nullptr) {
+  if (exchange_->pending() > kMaxPendingBytes && attempt_.call_ != nullptr) {
     attempt_.call_->SetReading(false);
-    silence_.Cancel();
+    response_timer_.Cancel();
     exchange_->OnDrained([self = shared_from_this()] {
       if (self->attempt_.call_ != nullptr) {
         self->attempt_.call_->SetReading(true);
-        self->ExpectEvent();
+        self->ArmEventTimeout();
       }
     });
   }
@@ -353,7 +370,7 @@
   }
   attempt_.call_ = nullptr;
   attempt_.call_end_ = end;
-  silence_.Cancel();
+  response_timer_.Cancel();
   if (end == HttpEnd::kNotSent) {
     EndAttempt(routing::AttemptEnd::kNeverSent,
                routing::EndpointOutcome::kFailed);
@@ -361,43 +378,44 @@
     EndAttempt(routing::AttemptEnd::kLost, routing::EndpointOutcome::kFailed);
   } else {
     attempt_.unframed_ = end == HttpEnd::kUnframed;
-    EndAnswered();
+    EndResponse();
   }
 }
 
-routing::AttemptEnd DirectRequest::EndOfAnswer() const {
+routing::AttemptEnd DirectRequest::ClassifyResponse() const {
   const auto status = attempt_.status_;
-  if (attempt_.facts_.not_run_ || attempt_.facts_.mismatched_) {
+  if (attempt_.response_head_.not_run_ || attempt_.response_head_.mismatched_) {
     return routing::AttemptEnd::kRefusedNotRun;
   }
-  if (!attempt_.facts_.signed_ && status < 300) {
-    // A success that the endpoint did not sign is not its answer.
+  if (!attempt_.response_head_.signed_ && status < 300) {
+    // An unsigned success was not sent by the endpoint itself.
     return routing::AttemptEnd::kLost;
   }
   return status >= 500 ? routing::AttemptEnd::kFailedRan
                        : routing::AttemptEnd::kComplete;
 }
 
-void DirectRequest::EndAnswered() {
-  const auto end = EndOfAnswer();
+void DirectRequest::EndResponse() {
+  const auto end = ClassifyResponse();
   const auto& id = attempt_.choice_.row_.id_;
   switch (end) {
     case routing::AttemptEnd::kComplete:
       EndAttempt(end, routing::EndpointOutcome::kAnswered);
       return;
     case routing::AttemptEnd::kRefusedNotRun:
-      if (attempt_.facts_.mismatched_ &&
-          !attempt_.facts_.incarnation_.empty() &&
-          attempt_.facts_.incarnation_ != id) {
-        context_.endpoints_.MarkReplaced(id, attempt_.facts_.incarnation_);
+      if (attempt_.response_head_.mismatched_ &&
+          !attempt_.response_head_.incarnation_.empty() &&
+          attempt_.response_head_.incarnation_ != id) {
+        context_.endpoints_.MarkReplaced(id,
+                                         attempt_.response_head_.incarnation_);
       }
       EndAttempt(end, routing::EndpointOutcome::kRefused);
       return;
     case routing::AttemptEnd::kFailedRan:
-      failure_ = HttpResponse{.end_ = HttpEnd::kWhole,
-                              .status_ = attempt_.status_,
-                              .headers_ = attempt_.headers_,
-                              .body_ = attempt_.body_};
+      last_failure_ = HttpResponse{.end_ = HttpEnd::kWhole,
+                                   .status_ = attempt_.status_,
+                                   .headers_ = attempt_.headers_,
+                                   .body_ = attempt_.body_};
       EndAttempt(end, routing::EndpointOutcome::kFailed);
       return;
     default:
@@ -405,11 +423,12 @@
   }
 }
 
-void DirectRequest::CountEnded(routing::EndpointOutcome outcome) {
-  if (std::exchange(attempt_.counted_, false)) {
-    context_.endpoints_.OnEnded(
-        attempt_.choice_.row_.id_, request_.caller_.prompt_tokens_,
-        attempt_.sent_at_, attempt_.answering_, outcome, context_.loop_.Now());
+void DirectRequest::CountAttemptEnded(routing::EndpointOutcome outcome) {
+  if (std::exchange(attempt_.counted_in_flight_, false)) {
+    context_.endpoints_.OnEnded(attempt_.choice_.row_.id_,
+                                request_.caller_.prompt_tokens_,
+                                attempt_.sent_at_, attempt_.response_started_,
+                                outcome, context_.loop_.Now());
     context_.tracer_.End(attempt_.span_,
                          outcome == routing::EndpointOutcome::kAnswered);
   }
@@ -418,7 +437,7 @@
 void DirectRequest::EndAttempt(routing::AttemptEnd end,
                                routing::EndpointOutcome outcome) {
   const auto now = context_.loop_.Now();
-  CountEnded(outcome);
+  CountAttemptEnded(outcome);
   if (end != routing::AttemptEnd::kComplete) {
     context_.log_.Write(core::EventNumber::kAttemptEnded,
                         {{"request", request_.caller_.id_},
@@ -428,66 +447,66 @@
                          {"end", std::string(routing::ToString(end))},
                          {"connection", ConnectionEnd(attempt_.call_end_)},
                          {"status", std::to_string(attempt_.status_)},
-                         {"given_up", std::string(attempt_.given_up_)},
+                         {"given_up", std::string(attempt_.abandon_reason_)},
                          {"after_ms", Millis(now - attempt_.sent_at_)}});
     context_.metrics_.Count("attempts_ended_total",
                             {{"end", std::string(routing::ToString(end))}});
     events_.DiscardPartialEvent();
   }
-  ReportEnd(end);
+  ReportToQuarantine(end);
   Perform(tracker_.OnEnded(attempt_.number_, end, now));
 }
 
-void DirectRequest::ReportEnd(routing::AttemptEnd end) {
+void DirectRequest::ReportToQuarantine(routing::AttemptEnd end) {
   const routing::LostAttempt attempt{request_.digest_,
                                      context_.loop_.Now() - attempt_.sent_at_};
   const bool may_have_run = end == routing::AttemptEnd::kLost ||
                             end == routing::AttemptEnd::kFailedRan;
-  last_lost_ = may_have_run ? std::optional(attempt) : std::nullopt;
+  last_lost_attempt_ = may_have_run ? std::optional(attempt) : std::nullopt;
   if (attempt_.call_end_ == HttpEnd::kBroken) {
-    context_.quarantine_.OnLost(attempt, attempt_.choice_.row_);
+    context_.quarantine_.OnAttemptLost(attempt, attempt_.choice_.row_);
   }
-  // An endpoint that crashes in the middle of an answer without length seems to
-  // have completed it.
+  // A response without a length looks complete even if the endpoint crashed in
+  // the middle of it, so it does not count as a completed run.
   if (end == routing::AttemptEnd::kComplete && !attempt_.unframed_) {
-    context_.quarantine_.OnAnswered(request_.digest_);
+    context_.quarantine_.OnCompleted(request_.digest_);
   }
 }
 
-bool DirectRequest::MayRepeat(routing::RetryKind kind, core::TimePoint now) {
-  return context_.quarantine_.MayRepeat(request_.digest_, last_lost_) &&
+bool DirectRequest::MayRetry(routing::RetryKind kind, core::TimePoint now) {
+  return context_.quarantine_.MayRetry(request_.digest_, last_lost_attempt_) &&
          context_.budget_.TryConsume(kind, now);
 }
 
-void DirectRequest::OnSilence() {
+void DirectRequest::OnResponseTimeout() {
   if (ended_ || attempt_.call_ == nullptr) {
     return;
   }
-  if (attempt_.given_up_.empty()) {
-    attempt_.given_up_ = "silent";
+  if (attempt_.abandon_reason_.empty()) {
+    attempt_.abandon_reason_ = "silent";
   }
   std::exchange(attempt_.call_, nullptr)->Cancel();
   EndAttempt(routing::AttemptEnd::kLost, routing::EndpointOutcome::kFailed);
 }
 
 void DirectRequest::OnQuarantined() {
-  if (ended_ || attempt_.call_ == nullptr || attempt_.answering_) {
+  if (ended_ || attempt_.call_ == nullptr || attempt_.response_started_) {
     return;
   }
-  attempt_.given_up_ = "quarantined";
+  attempt_.abandon_reason_ = "quarantined";
   std::exchange(attempt_.call_, nullptr)->Cancel();
   EndAttempt(routing::AttemptEnd::kLost, routing::EndpointOutcome::kCancelled);
 }
 
 void DirectRequest::OnDeadline() {
   past_deadline_ = true;
-  if (attempt_.call_ != nullptr && !attempt_.answering_) {
-    CountEnded(routing::EndpointOutcome::kFailed);
+  if (attempt_.call_ != nullptr && !attempt_.response_started_) {
+    CountAttemptEnded(routing::EndpointOutcome::kFailed);
   }
   Perform(tracker_.Abort());
 }
 
-void DirectRequest::OnCallerGone() {
+void DirectRequest::OnCallerDisconnected() {
   if (ended_) {
     return;
   }
@@ -502,56 +521,57 @@
     return;
   }
   const auto now = context_.loop_.Now();
-  deadline_.Cancel();
-  silence_.Cancel();
+  deadline_timer_.Cancel();
+  response_timer_.Cancel();
   context_.quarantine_.OnEnded(quarantine_token_);
   const bool answered = finish.outcome_ == routing::Outcome::kAnswered;
-  if (started_) {
+  if (response_started_) {
     if (answered) {
-      exchange_->Write(attempt_.streams_ ? events_.partial_event()
-                                         : attempt_.body_);
+      exchange_->Write(attempt_.streaming_ ? events_.partial_event()
+                                           : attempt_.body_);
     }
     exchange_->End(answered);
   } else if (answered) {
-    RespondAnswer();
+    ForwardBufferedResponse();
   } else {
-    RespondOwn(finish);
+    RespondFailure(finish);
   }
-  const auto took = now - request_.received_at_;
+  const auto elapsed = now - request_.received_at_;
   const std::string outcome(routing::ToString(finish.outcome_));
-  context_.metrics_.Observe("request_seconds", {{"outcome", outcome}}, took);
+  context_.metrics_.Observe("request_seconds", {{"outcome", outcome}}, elapsed);
   context_.log_.Write(core::EventNumber::kRequestEnded,
                       {{"request", request_.caller_.id_},
                        {"outcome", outcome},
                        {"status", std::to_string(attempt_.status_)},
                        {"attempts", std::to_string(tracker_.attempt())},
                        {"past_deadline", past_deadline_ ? "yes" : "no"},
-                       {"took_ms", Millis(took)}});
+                       {"took_ms", Millis(elapsed)}});
   context_.tracer_.End(span_, answered);
   exchange_.reset();
   const auto done = std::move(done_);
   done();
 }
 
-void DirectRequest::RespondAnswer() {
+void DirectRequest::ForwardBufferedResponse() {
   const auto headers =
       context_.adapter_.requests_.forwarded_headers_(attempt_.headers_);
   if (!attempt_.unframed_) {
     exchange_->Respond(attempt_.status_, headers, std::move(attempt_.body_));
     return;
   }
-  // No more is claimed for it than the endpoint did.
+  // The endpoint gave no length, so its response may be cut off; the caller
+  // gets it without a length, too.
   exchange_->StartUnframed(attempt_.status_, headers);
   exchange_->Write(attempt_.body_);
   exchange_->End(true);
 }
 
-void DirectRequest::RespondOwn(const routing::FinishRequest& finish) {
+void DirectRequest::RespondFailure(const routing::FinishRequest& finish) {
   const auto& codec = context_.adapter_.requests_;
-  if (finish.outcome_ == routing::Outcome::kFailedRan && failure_) {
-    exchange_->Respond(failure_->status_,
-                       codec.forwarded_headers_(failure_->headers_),
-                       std::move(failure_->body_));
+  if (finish.outcome_ == routing::Outcome::kFailedRan && last_failure_) {
+    exchange_->Respond(last_failure_->status_,
+                       codec.forwarded_headers_(last_failure_->headers_),
+                       std::move(last_failure_->body_));
     return;
   }
   if (finish.outcome_ == routing::Outcome::kRefusedNotRun) {
@@ -559,7 +579,7 @@
     auto wait =
         refusal ? std::optional(refusal->retry_after_) : finish.retry_after_;
     if (!refusal && wait) {
-      wait = context_.retry_spread_.Draw(*wait);
+      wait = context_.retry_jitter_.Draw(*wait);
     }
     exchange_->Respond(kUnavailable,
                        codec.own_headers_(request_.caller_.id_, wait),
--- a/packages/daemon/src/daemon/direct/direct_request.hpp
+++ b/packages/daemon/src/daemon/direct/direct_request.hpp
@@ -1,5 +1,8 @@
-// One caller's request, sent straight to endpoints: it performs what the
-// request tracker decides.
+// A caller's request on the direct path: the entry sends it straight to an
+// endpoint and carries out what the request tracker decides.
+//
+// A request is on time if it can still meet its route's target latency, counted
+// from the caller's first attempt, and late otherwise.
 #pragma once
 
 #include <functional>
@@ -21,49 +24,51 @@
 
 namespace chalkwell::daemon::direct {
 
-/// @brief What all requests of an entry share.
+/// @brief State shared by all requests of an entry.
 struct RequestContext {
   Loop& loop_;
   HttpClient& http_;
   const Adapter& adapter_;
   routing::EndpointTable& endpoints_;
   routing::RetryBudget& budget_;
-  routing::RetryJitter& retry_spread_;
-  QuarantineKeeper& quarantine_;
+  routing::RetryJitter& retry_jitter_;
+  QuarantineManager& quarantine_;
   EventLog& log_;
   Metrics& metrics_;
   Tracer& tracer_;
-  /// Weights that a request of a model may begin on.
-  std::function<routing::VersionConstraint(const std::string& model)> versions_;
-  /// Own requests that one endpoint of a service may have under way; 0 for any.
+  /// Weights versions on which a request for a model may start now.
+  std::function<routing::VersionConstraint(const std::string& model)>
+      version_constraint_;
+  /// Limit of this entry's requests in flight at one endpoint of a service; 0
+  /// for no limit.
   std::function<std::uint32_t(const std::string& service)> max_in_flight_;
 };
 
-/// @brief A request that was admitted.
-struct AdmittedDirect {
+/// @brief An admitted request.
+struct AdmittedDirectRequest {
   CallerRequest caller_;
   config::TrafficRoute route_;
   core::ClientAccountId account_;
-  /// Identity of what is asked for, across tries and entries.
+  /// Identifies the content of the request across attempts and entries.
   routing::RequestDigest digest_;
   std::optional<std::uint32_t> priority_;
-  /// Whether it goes before those that are late.
+  /// Whether it takes precedence over late requests.
   bool on_time_ = true;
   std::string service_;
   std::optional<config::EngineProfile> engine_;
   core::TimePoint received_at_;
-  /// Since its caller first asked; zero when that is not known.
+  /// Time since the caller's first attempt; zero if unknown.
   core::Duration age_{};
   core::TimePoint deadline_;
   std::uint64_t rules_version_ = 0;
 };
 
-/// @brief Attempts and answer of one request.
+/// @brief Runs one request: its attempts, and the response to the caller.
 class DirectRequest : public std::enable_shared_from_this<DirectRequest> {
  public:
   /// @param done called once when the request has ended.
   DirectRequest(RequestContext& context, HttpExchangePtr exchange,
-                AdmittedDirect request, std::function<void()> done);
+                AdmittedDirectRequest request, std::function<void()> done);
   DirectRequest(const DirectRequest&) = delete;
   DirectRequest& operator=(const DirectRequest&) = delete;
   ~DirectRequest() = default;
@@ -71,31 +76,32 @@
   void Start();
 
  private:
-  /// One attempt; replaced by the next.
+  /// The current attempt.
   struct Attempt {
     routing::AttemptNumber number_ = 0;
     routing::EndpointChoice choice_;
     core::TimePoint sent_at_;
-    /// Weights that it could begin on, as it was chosen.
-    routing::VersionConstraint versions_;
+    /// Constraint on the weights version when the endpoint was chosen.
+    routing::VersionConstraint version_constraint_;
     Span span_;
     std::shared_ptr<HttpCall> call_;
     int status_ = 0;
     HttpHeaders headers_;
-    ResponseHead facts_;
+    ResponseHead response_head_;
     std::string body_;
-    bool answering_ = false;
-    /// The endpoint's system has the whole request.
+    bool response_started_ = false;
+    /// The endpoint's system has acknowledged the whole request.
     bool delivered_ = false;
-    /// Its answer goes to the caller as it arrives.
-    bool streams_ = false;
-    /// Its answer gave no length.
+    /// The response is a stream, forwarded event by event.
+    bool streaming_ = false;
+    /// The response gave no length; the end of the connection ends it.
     bool unframed_ = false;
-    bool counted_ = false;
-    /// Why this process ended it; empty when it ended by itself.
-    std::string_view given_up_;
-    /// How the call ended; none while it is under way or when this process
-    /// ended it.
+    /// The endpoint table counts the attempt as in flight.
+    bool counted_in_flight_ = false;
+    /// Why this process abandoned the attempt; empty if it did not.
+    std::string_view abandon_reason_;
+    /// How the call ended; none while it is in flight or if this process
+    /// cancelled it.
     std::optional<HttpEnd> call_end_;
   };
 
@@ -105,57 +111,59 @@
   void OnHead(routing::AttemptNumber number, int status,
               const HttpHeaders& headers);
   void OnData(routing::AttemptNumber number, std::string_view bytes);
-  void OnPlainData(std::string_view bytes);
+  void OnBufferedData(std::string_view bytes);
   void OnEnd(routing::AttemptNumber number, HttpEnd end);
-  void OnSilence();
-  /// @brief The request was quarantined: an attempt without an answer ends.
+  void OnResponseTimeout();
+  /// @brief Abandons the current attempt, unless its response has started,
+  /// because the request was quarantined.
   void OnQuarantined();
   void OnDeadline();
-  void OnCallerGone();
+  void OnCallerDisconnected();
   void EndAttempt(routing::AttemptEnd end, routing::EndpointOutcome outcome);
-  void EndAnswered();
-  [[nodiscard]] routing::AttemptEnd EndOfAnswer() const;
+  void EndResponse();
+  [[nodiscard]] routing::AttemptEnd ClassifyResponse() const;
   void Forward(std::string_view bytes);
   void Finish(const routing::FinishRequest& finish);
-  void RespondAnswer();
-  void RespondOwn(const routing::FinishRequest& finish);
-  void ExpectFirstByte();
-  /// @brief Whether the endpoint is left meanwhile and has not got the request.
-  [[nodiscard]] bool LeftUndelivered();
-  void ExpectEvent();
-  void CountEnded(routing::EndpointOutcome outcome);
-  /// @brief Reports to the quarantine what the end of an attempt says of the
-  /// request.
-  void ReportEnd(routing::AttemptEnd end);
-  /// @brief Whether the tracker may choose a further endpoint.
-  [[nodiscard]] bool MayRepeat(routing::RetryKind kind, core::TimePoint now);
+  void ForwardBufferedResponse();
+  void RespondFailure(const routing::FinishRequest& finish);
+  void ArmFirstByteTimeout();
+  /// @brief Whether the endpoint was removed from the list before the request
+  /// was delivered to it.
+  [[nodiscard]] bool RemovedBeforeDelivery();
+  void ArmEventTimeout();
+  void CountAttemptEnded(routing::EndpointOutcome outcome);
+  /// @brief Reports the end of an attempt to the quarantine, as evidence for or
+  /// against the request.
+  void ReportToQuarantine(routing::AttemptEnd end);
+  /// @brief Whether the tracker may retry at another endpoint.
+  [[nodiscard]] bool MayRetry(routing::RetryKind kind, core::TimePoint now);
   [[nodiscard]] bool current(routing::AttemptNumber number) const noexcept {
     return !ended_ && attempt_.number_ == number && attempt_.call_ != nullptr;
   }
 
   RequestContext& context_;
   HttpExchangePtr exchange_;
-  AdmittedDirect request_;
+  AdmittedDirectRequest request_;
   std::function<void()> done_;
   routing::RequestTracker tracker_;
   Attempt attempt_;
   std::optional<routing::EndpointChoice> chosen_;
-  /// Weights that were allowed as it was chosen.
-  routing::VersionConstraint versions_;
-  std::vector<core::InstanceId> tried_;
-  /// Weights of the stream that the caller is being sent.
+  /// Constraint on the weights version when `chosen_` was chosen.
+  routing::VersionConstraint version_constraint_;
+  std::vector<core::InstanceId> tried_endpoints_;
+  /// Weights version that produced the stream sent to the caller.
   std::optional<std::uint64_t> stream_version_;
   routing::EventSplitter events_;
-  bool started_ = false;
+  bool response_started_ = false;
   bool ended_ = false;
   bool past_deadline_ = false;
-  /// The last attempt if it may have run.
-  std::optional<routing::LostAttempt> last_lost_;
-  QuarantineKeeper::Token quarantine_token_ = 0;
-  /// The last failure that an endpoint itself answered.
-  std::optional<HttpResponse> failure_;
-  Timer deadline_;
-  Timer silence_;
+  /// The last attempt if the endpoint may have run the request.
+  std::optional<routing::LostAttempt> last_lost_attempt_;
+  QuarantineManager::Token quarantine_token_ = 0;
+  /// The last error response that an endpoint sent after running the request.
+  std::optional<HttpResponse> last_failure_;
+  Timer deadline_timer_;
+  Timer response_timer_;
   Span span_;
 };
 
--- a/packages/daemon/src/daemon/direct/direct_settings.cpp
+++ b/packages/daemon/src/daemon/direct/direct_settings.cpp
@@ -1,11 +1,11 @@
-// Settings of the direct processes.
+// Converts the settings file into the settings of the direct path's components.
 #include "daemon/direct/direct_settings.hpp"
 
 namespace chalkwell::daemon::direct {
 namespace {
 
 constexpr double kBytesPerMegabit = 125'000;
-/// Longer than a process lives where no bound is set.
+/// Used when no bound is set; longer than any process runs.
 constexpr core::Duration kNoBound = std::chrono::hours(10'000);
 
 }  // namespace
--- a/packages/daemon/src/daemon/direct/direct_settings.hpp
+++ b/packages/daemon/src/daemon/direct/direct_settings.hpp
@@ -1,4 +1,4 @@
-// Parts of the settings as the direct processes use them.
+// Converts the settings file into the settings of the direct path's components.
 #pragma once
 
 #include "chalkwell/core/fwd.hpp"
@@ -10,7 +10,8 @@
 
 namespace chalkwell::daemon::direct {
 
-/// @brief From the naming of weights until nothing may begin on older ones.
+/// @brief Time from the publication of a target version until no request may
+/// start on an older one; practically unbounded if 0 is set.
 [[nodiscard]] core::Duration VersionBoundOf(const Settings& settings);
 [[nodiscard]] routing::RetryBudgetSettings RetryBudgetOf(
     const Settings& settings);
@@ -20,7 +21,7 @@
     const Settings& settings);
 [[nodiscard]] MeshSettings MeshSettingsOf(const Settings& settings);
 
-/// @brief Rate of the machine's link in bytes a second; 0 when not set.
+/// @brief Rate of the machine's network link in bytes per second; 0 if not set.
 [[nodiscard]] std::uint64_t LinkRate(const Settings& settings);
 
 }  // namespace chalkwell::daemon::direct
--- a/packages/daemon/src/daemon/direct/quarantine_manager.cpp
+++ b/packages/daemon/src/daemon/direct/quarantine_manager.cpp
@@ -1,4 +1,5 @@
-// Evidence is gathered here, counted in the library, and published as state.
+// Collects evidence of crashes, leaves the counting and the decisions to the
+// library, and publishes the resulting records to the other entries as state.
 #include "daemon/direct/quarantine_manager.hpp"
 
 #include <algorithm>
@@ -13,25 +14,29 @@
 using routing::Standing;
 using std::chrono::milliseconds;
 
-/// A probe that is neither accepted nor refused by then shows nothing.
+/// A probe that is neither accepted nor refused within this time is
+/// inconclusive.
 constexpr auto kProbeTimeout = milliseconds(400);
-/// Probes of an address that does not refuse: one packet may be lost, and a
-/// process that ends may close its connections before its listener.
-constexpr unsigned kProbes = 2;
-constexpr auto kProbePause = milliseconds(50);
-/// Changes are collected for this long: a crash ends all attempts there.
+/// Probes of an address that does not refuse the connection. One is not enough:
+/// a packet may be lost, and a process that terminates may close its
+/// connections before its listener.
+constexpr unsigned kMaxProbes = 2;
+constexpr auto kProbeInterval = milliseconds(50);
+/// Changes are batched for this long, since a crash ends all attempts at the
+/// endpoint at once.
 constexpr auto kPublishDelay = milliseconds(5);
-/// Records of one datagram; 8 crashes each make some 20 KB.
+/// Records per datagram; with 8 crashes each they take some 20 KB.
 constexpr std::size_t kMaxRecords = 32;
-/// Between two looks for endpoints that were replaced after a loss, and for
-/// records to forget.
-constexpr auto kTick = milliseconds(1000);
-/// Wait of a caller whose request is under way elsewhere.
-constexpr auto kTrialPause = milliseconds(500);
-/// Longest time for which one entry keeps the others from trying a request.
-constexpr auto kLongestTrial = std::chrono::seconds(10);
-/// Crashes named in a line of the log.
-constexpr std::size_t kMaxNamed = 8;
+/// Interval of the checks for endpoints that were replaced after a lost
+/// attempt, and for expired records.
+constexpr auto kTickInterval = milliseconds(1000);
+/// Retry-After of a suspected request while a trial of it is in flight.
+constexpr auto kTrialRetryAfter = milliseconds(500);
+/// Longest time for which a trial at one entry blocks the request at the
+/// others.
+constexpr auto kMaxTrialDuration = std::chrono::seconds(10);
+/// Crashes listed in one log line.
+constexpr std::size_t kMaxLoggedCrashes = 8;
 
 std::string Millis(core::Duration span) {
   return std::to_string(std::chrono::duration_cast<milliseconds>(span).count());
@@ -40,9 +45,9 @@
 /// "ENDPOINT by REPORTER Nms ago", each.
 std::string Describe(const routing::CrashRecord& record, core::TimePoint now) {
   std::string text;
-  std::size_t named = 0;
+  std::size_t logged = 0;
   for (const auto& crash : record.crashes_) {
-    if (crash.cleared_ || named++ == kMaxNamed) {
+    if (crash.cleared_ || logged++ == kMaxLoggedCrashes) {
       continue;
     }
     text += (text.empty() ? "" : ", ") + crash.endpoint_.id_.value() + " by " +
@@ -54,21 +59,21 @@
 
 }  // namespace
 
-QuarantineKeeper::QuarantineKeeper(Loop& loop,
-                                   const routing::EndpointTable& endpoints,
-                                   MeshNode& mesh, EventLog& log,
-                                   Metrics& metrics)
+QuarantineManager::QuarantineManager(Loop& loop,
+                                     const routing::EndpointTable& endpoints,
+                                     MeshNode& mesh, EventLog& log,
+                                     Metrics& metrics)
     : loop_(loop),
       endpoints_(endpoints),
       mesh_(mesh),
       log_(log),
       metrics_(metrics),
       publish_timer_(loop),
-      tick_(loop) {
-  tick_.Every(kTick, [this] { Tick(); });
+      tick_timer_(loop) {
+  tick_timer_.Every(kTickInterval, [this] { Tick(); });
 }
 
-std::optional<QuarantineRefusal> QuarantineKeeper::RefusalOf(
+std::optional<QuarantineRefusal> QuarantineManager::RefusalOf(
     const RequestDigest& request) const {
   const auto now = loop_.Now();
   const auto standing = quarantine_.StandingOf(request, now);
@@ -76,20 +81,20 @@
     return std::nullopt;
   }
   const auto crashes = std::to_string(quarantine_.AttributedCrashes(request)) +
-                       " endpoints crashed under it";
+                       " endpoint crashes attributed to the request";
   if (standing == Standing::kQuarantined) {
     const auto left = quarantine_.QuarantinedUntil(request) - now;
     return QuarantineRefusal{"quarantined: " + crashes, left};
   }
-  if (quarantine_.TrialActive(request, now) || UnderWayUntil(request)) {
+  if (quarantine_.TrialActive(request, now) || InFlightUntil(request)) {
     return QuarantineRefusal{
-        "suspected: " + crashes + ", and one like it is under way",
-        kTrialPause};
+        "suspected: " + crashes + ", and a trial is in flight",
+        kTrialRetryAfter};
   }
   return std::nullopt;
 }
 
-bool QuarantineKeeper::MayRepeat(
+bool QuarantineManager::MayRetry(
     const RequestDigest& request,
     const std::optional<routing::LostAttempt>& last) const {
   const auto now = loop_.Now();
@@ -99,99 +104,103 @@
   if (!last) {
     return true;
   }
-  // Until a probe shows otherwise the last endpoint may have crashed.
+  // Until its probe is finished, the endpoint of the last attempt counts as
+  // crashed.
   const routing::EndpointCrash crash{
       .endpoint_ = {},
       .reporter_ = {},
       .crashed_at_ = now,
       .elapsed_ = last->elapsed_,
-      .cleared_ = !evidence_.ProbePending(request)};
+      .cleared_ = !crash_detector_.ProbePending(request)};
   return quarantine_.AttributedCrashesWith(request, crash) <
          quarantine_.suspected_after();
 }
 
-QuarantineKeeper::Token QuarantineKeeper::OnBegun(
+QuarantineManager::Token QuarantineManager::OnAdmitted(
     const RequestDigest& request, core::TimePoint deadline,
     std::function<void()> abandon) {
-  under_way_[++last_token_] = {request, deadline, std::move(abandon)};
+  in_flight_[++last_token_] = {request, deadline, std::move(abandon)};
   if (quarantine_.StandingOf(request, loop_.Now()) == Standing::kSuspected) {
-    trials_.insert(request);
+    own_trials_.insert(request);
     Publish(request);
   }
   return last_token_;
 }
 
-void QuarantineKeeper::OnEnded(Token token) {
-  const auto found = under_way_.find(token);
-  if (found == under_way_.end()) {
+void QuarantineManager::OnEnded(Token token) {
+  const auto found = in_flight_.find(token);
+  if (found == in_flight_.end()) {
     return;
   }
   const auto request = found->second.request_;
-  under_way_.erase(found);
-  if (!UnderWayUntil(request) && trials_.contains(request)) {
+  in_flight_.erase(found);
+  if (!InFlightUntil(request) && own_trials_.contains(request)) {
     Publish(request);
   }
 }
 
-void QuarantineKeeper::OnLost(const routing::LostAttempt& attempt,
-                              const routing::EndpointRow& endpoint) {
+void QuarantineManager::OnAttemptLost(const routing::LostAttempt& attempt,
+                                      const routing::EndpointRow& endpoint) {
   const auto now = loop_.Now();
-  const auto life = endpoint.incarnation();
-  if (endpoints_.IsLeavingOrRemoved(life)) {
+  const auto incarnation = endpoint.incarnation();
+  if (endpoints_.IsLeavingOrRemoved(incarnation)) {
     return;
   }
-  switch (evidence_.OnLost(attempt, life, endpoint.address_, now)) {
+  switch (
+      crash_detector_.OnLost(attempt, incarnation, endpoint.address_, now)) {
     case routing::LossAction::kProbe:
-      Probe(endpoint, kProbes);
+      Probe(endpoint, kMaxProbes);
       return;
     case routing::LossAction::kWait:
       return;
     case routing::LossAction::kCrashed:
-      AddCrash(attempt, life, now);
+      AddCrash(attempt, incarnation, now);
   }
 }
 
-// A process that has ended refuses connections at once; a machine that is cut
-// off or has lost power says nothing, and a path that was reset accepts them.
-void QuarantineKeeper::Probe(const routing::EndpointRow& endpoint,
-                             unsigned tries) {
+// Only a refused connection shows a crash: a terminated process refuses at
+// once, a machine that is unreachable or has lost power does not reply, and an
+// endpoint whose connections were merely reset accepts.
+void QuarantineManager::Probe(const routing::EndpointRow& endpoint,
+                              unsigned probes_left) {
   StreamSettings settings;
   settings.connect_timeout_ = kProbeTimeout;
   probes_[endpoint.id_] = TcpStream::Connect(
       loop_, ParseAddress(endpoint.address_), settings,
-      [this, endpoint, tries](bool) {
+      [this, endpoint, probes_left](bool) {
         const auto probe = probes_.extract(endpoint.id_);
         const bool refused = probe && probe.mapped()->refused();
         if (probe) {
           probe.mapped()->Close();
         }
-        OnProbed(endpoint, refused, tries);
+        OnProbed(endpoint, refused, probes_left);
       });
 }
 
-void QuarantineKeeper::OnProbed(const routing::EndpointRow& endpoint,
-                                bool refused, unsigned tries) {
+void QuarantineManager::OnProbed(const routing::EndpointRow& endpoint,
+                                 bool refused, unsigned probes_left) {
   if (refused) {
-    OnCrashed(endpoint.incarnation(), "connection refused");
-  } else if (tries > 1) {
-    loop_.After(kProbePause,
-                [this, endpoint, tries] { Probe(endpoint, tries - 1); });
+    OnEndpointCrashed(endpoint.incarnation(), "connection refused");
+  } else if (probes_left > 1) {
+    loop_.After(kProbeInterval, [this, endpoint, probes_left] {
+      Probe(endpoint, probes_left - 1);
+    });
   } else {
-    evidence_.OnInconclusive(endpoint.incarnation());
+    crash_detector_.OnInconclusive(endpoint.incarnation());
   }
 }
 
-void QuarantineKeeper::CheckReplaced() {
-  for (const auto& loss : evidence_.Unconfirmed(loop_.Now())) {
+void QuarantineManager::CheckReplacedEndpoints() {
+  for (const auto& loss : crash_detector_.Unconfirmed(loop_.Now())) {
     if (endpoints_.IsReplaced(loss.address_, loss.endpoint_)) {
-      OnCrashed(loss.endpoint_, "another incarnation");
+      OnEndpointCrashed(loss.endpoint_, "another incarnation");
     }
   }
 }
 
-void QuarantineKeeper::OnCrashed(const routing::EndpointIncarnation& endpoint,
-                                 const std::string& evidence) {
-  const auto crash = evidence_.OnCrashed(endpoint);
+void QuarantineManager::OnEndpointCrashed(
+    const routing::EndpointIncarnation& endpoint, const std::string& evidence) {
+  const auto crash = crash_detector_.OnCrashed(endpoint);
   if (crash.attempts_.empty()) {
     return;
   }
@@ -207,9 +216,9 @@
   }
 }
 
-void QuarantineKeeper::AddCrash(const routing::LostAttempt& attempt,
-                                const routing::EndpointIncarnation& endpoint,
-                                core::TimePoint at) {
+void QuarantineManager::AddCrash(const routing::LostAttempt& attempt,
+                                 const routing::EndpointIncarnation& endpoint,
+                                 core::TimePoint at) {
   const auto& request = attempt.request_;
   const auto before = quarantine_.StandingOf(request, loop_.Now());
   const routing::EndpointCrash crash{.endpoint_ = endpoint,
@@ -223,7 +232,7 @@
   }
 }
 
-void QuarantineKeeper::OnAnswered(const RequestDigest& request) {
+void QuarantineManager::OnCompleted(const RequestDigest& request) {
   const auto now = loop_.Now();
   const auto before = quarantine_.StandingOf(request, now);
   if (quarantine_.OnCompleted(request, now)) {
@@ -231,7 +240,7 @@
   }
 }
 
-bool QuarantineKeeper::Lift(const RequestDigest& request) {
+bool QuarantineManager::Lift(const RequestDigest& request) {
   const auto before = quarantine_.StandingOf(request, loop_.Now());
   if (!quarantine_.Clear(request)) {
     return false;
@@ -240,21 +249,21 @@
   return true;
 }
 
-void QuarantineKeeper::OnCleared(const RequestDigest& request, Standing before,
-                                 const std::string& reason) {
+void QuarantineManager::OnCleared(const RequestDigest& request, Standing before,
+                                  const std::string& reason) {
   metrics_.Count("requests_cleared_total", {{"reason", reason}});
   Publish(request);
   OnChanged(request, before);
 }
 
-void QuarantineKeeper::OnChanged(const RequestDigest& request,
-                                 Standing before) {
+void QuarantineManager::OnChanged(const RequestDigest& request,
+                                  Standing before) {
   const auto standing = quarantine_.StandingOf(request, loop_.Now());
   if (standing != before) {
     LogStanding(request);
   }
-  if (standing == Standing::kSuspected && UnderWayUntil(request)) {
-    trials_.insert(request);
+  if (standing == Standing::kSuspected && InFlightUntil(request)) {
+    own_trials_.insert(request);
     Publish(request);
   }
   if (standing == Standing::kQuarantined && before != standing) {
@@ -262,16 +271,17 @@
   }
 }
 
-// They end in a later turn: whoever calls may be ending one of them.
-void QuarantineKeeper::Abandon(const RequestDigest& request) {
-  for (const auto& [token, under_way] : under_way_) {
-    if (under_way.request_ == request) {
-      loop_.Post(under_way.abandon_);
+// Abandons the attempts in a later turn of the event loop, since the caller may
+// be in the middle of ending one of them.
+void QuarantineManager::Abandon(const RequestDigest& request) {
+  for (const auto& [token, in_flight] : in_flight_) {
+    if (in_flight.request_ == request) {
+      loop_.Post(in_flight.abandon_);
     }
   }
 }
 
-void QuarantineKeeper::LogStanding(const RequestDigest& request) {
+void QuarantineManager::LogStanding(const RequestDigest& request) {
   const auto now = loop_.Now();
   const auto standing = quarantine_.StandingOf(request, now);
   const auto* record = quarantine_.Find(request);
@@ -287,29 +297,29 @@
                  {{"standing", std::string(ToString(standing))}});
 }
 
-std::optional<core::TimePoint> QuarantineKeeper::UnderWayUntil(
+std::optional<core::TimePoint> QuarantineManager::InFlightUntil(
     const RequestDigest& request) const {
   std::optional<core::TimePoint> until;
-  for (const auto& [token, under_way] : under_way_) {
-    if (under_way.request_ == request) {
+  for (const auto& [token, in_flight] : in_flight_) {
+    if (in_flight.request_ == request) {
       until =
-          std::max(until.value_or(under_way.deadline_), under_way.deadline_);
+          std::max(until.value_or(in_flight.deadline_), in_flight.deadline_);
     }
   }
   return until;
 }
 
-void QuarantineKeeper::Publish(const RequestDigest& request) {
+void QuarantineManager::Publish(const RequestDigest& request) {
   if (pending_.empty()) {
     publish_timer_.Once(kPublishDelay, [this] { PublishPending(); });
   }
   pending_.insert(request);
 }
 
-void QuarantineKeeper::PublishPending() {
+void QuarantineManager::PublishPending() {
   std::vector<CrashRecordMessage> records;
   for (const auto& request : std::exchange(pending_, {})) {
-    records.push_back(MessageOf(request));
+    records.push_back(MakeMessage(request));
     if (records.size() == kMaxRecords) {
       mesh_.PublishCrashes(std::exchange(records, {}));
     }
@@ -319,30 +329,31 @@
   }
 }
 
-CrashRecordMessage QuarantineKeeper::MessageOf(const RequestDigest& request) {
+CrashRecordMessage QuarantineManager::MakeMessage(
+    const RequestDigest& request) {
   const auto now = loop_.Now();
   const auto* record = quarantine_.Find(request);
   auto message =
       record == nullptr
           ? CrashRecordMessage{.request_ = request.ToBytes(), .crashes_ = {}}
           : ToMessage(*record, now);
-  if (!trials_.contains(request)) {
+  if (!own_trials_.contains(request)) {
     return message;
   }
-  if (const auto until = UnderWayUntil(request)) {
+  if (const auto until = InFlightUntil(request)) {
     message.trial_ms_ = static_cast<std::int64_t>(
-        ToAgeMs(std::min<core::Duration>(*until - now, kLongestTrial)));
+        ToAgeMs(std::min<core::Duration>(*until - now, kMaxTrialDuration)));
   } else {
-    trials_.erase(request);
+    own_trials_.erase(request);
     message.trial_ms_ = static_cast<std::int64_t>(TrialChange::kEnded);
   }
   return message;
 }
 
-void QuarantineKeeper::OnRecords(const membership::Member& sender,
-                                 const std::vector<CrashRecordMessage>& records,
-                                 core::TimePoint sent_at) {
-  std::vector<CrashRecordMessage> news;
+void QuarantineManager::OnRecords(
+    const membership::Member& sender,
+    const std::vector<CrashRecordMessage>& records, core::TimePoint sent_at) {
+  std::vector<CrashRecordMessage> forwarded;
   for (const auto& message : records) {
     const auto record = ToRecord(message, sent_at);
     if (!record) {
@@ -356,7 +367,7 @@
       const auto length = ToAge(static_cast<std::uint64_t>(message.trial_ms_));
       quarantine_.SetTrialUntil(
           record->request_,
-          sent_at + std::min<core::Duration>(length, kLongestTrial));
+          sent_at + std::min<core::Duration>(length, kMaxTrialDuration));
     }
     if (cleared) {
       OnCleared(record->request_, before, "completed before");
@@ -365,16 +376,16 @@
     }
     const bool published = cleared;
     if ((changed && !published) || trial) {
-      news.push_back(ToMessage(*record, loop_.Now()));
-      news.back().trial_ms_ = message.trial_ms_;
+      forwarded.push_back(ToMessage(*record, loop_.Now()));
+      forwarded.back().trial_ms_ = message.trial_ms_;
     }
   }
-  if (!news.empty()) {
-    mesh_.ForwardCrashes(sender.domain_, news);
+  if (!forwarded.empty()) {
+    mesh_.ForwardCrashes(sender.domain_, forwarded);
   }
 }
 
-std::vector<CrashRecordMessage> QuarantineKeeper::Sample(std::size_t most) {
+std::vector<CrashRecordMessage> QuarantineManager::Sample(std::size_t most) {
   const auto now = loop_.Now();
   std::vector<CrashRecordMessage> messages;
   for (const auto& record : quarantine_.Sample(most)) {
@@ -383,7 +394,7 @@
   return messages;
 }
 
-nlohmann::json QuarantineKeeper::Status() const {
+nlohmann::json QuarantineManager::Status() const {
   const auto now = loop_.Now();
   auto rows = nlohmann::json::array();
   for (const auto& record : quarantine_.Records()) {
@@ -400,7 +411,7 @@
   return rows;
 }
 
-void QuarantineKeeper::RefreshMetrics() {
+void QuarantineManager::RefreshMetrics() {
   const auto now = loop_.Now();
   std::map<Standing, double> counts{{Standing::kSuspected, 0},
                                     {Standing::kQuarantined, 0}};
@@ -414,8 +425,8 @@
   }
 }
 
-void QuarantineKeeper::Tick() {
-  CheckReplaced();
+void QuarantineManager::Tick() {
+  CheckReplacedEndpoints();
   quarantine_.Expire(loop_.Now());
 }
 
--- a/packages/daemon/src/daemon/direct/quarantine_manager.hpp
+++ b/packages/daemon/src/daemon/direct/quarantine_manager.hpp
@@ -1,6 +1,6 @@
-// Keeps requests that crash endpoints from crashing more of them: gathers what
-// shows that an endpoint crashed, shares it with the other entries, and says
-// which requests are refused meanwhile.
+// Quarantines requests that crash endpoints. It collects evidence of crashes,
+// shares it with the other entries, and decides which requests are refused
+// until their quarantine ends.
 #pragma once
 
 #include <cstdint>
@@ -23,91 +23,98 @@
 
 namespace chalkwell::daemon::direct {
 
-/// @brief Why a request is not run now.
+/// @brief Why a request is refused, and the delay to retry after.
 struct QuarantineRefusal {
   std::string reason_;
   core::Duration retry_after_{};
 };
 
-/// @brief The quarantine of one entry.
-class QuarantineKeeper {
+/// @brief Manages one entry's view of the quarantine.
+class QuarantineManager {
  public:
-  /// Names one request under way.
+  /// Identifies a request in flight.
   using Token = std::uint64_t;
 
-  QuarantineKeeper(Loop& loop, const routing::EndpointTable& endpoints,
-                   MeshNode& mesh, EventLog& log, Metrics& metrics);
+  QuarantineManager(Loop& loop, const routing::EndpointTable& endpoints,
+                    MeshNode& mesh, EventLog& log, Metrics& metrics);
 
-  /// @brief Whether a request must not be sent now.
+  /// @brief Why a request must not be sent now; nothing if it may be.
   [[nodiscard]] std::optional<QuarantineRefusal> RefusalOf(
       const routing::RequestDigest& request) const;
-  /// @brief Whether a request may go to a further endpoint within its try.
-  /// @param last the last attempt if it may have run.
-  [[nodiscard]] bool MayRepeat(
+  /// @brief Whether a request may be sent to another endpoint on behalf of the
+  /// same call.
+  /// @param last the last attempt if the endpoint may have run it.
+  [[nodiscard]] bool MayRetry(
       const routing::RequestDigest& request,
       const std::optional<routing::LostAttempt>& last) const;
 
-  /// @brief A request was admitted.
-  /// @param abandon ends its attempt if nothing was answered; called when the
-  /// request is quarantined meanwhile.
-  [[nodiscard]] Token OnBegun(const routing::RequestDigest& request,
-                              core::TimePoint deadline,
-                              std::function<void()> abandon);
+  /// @brief Registers an admitted request.
+  /// @param abandon abandons its current attempt unless the response has
+  /// started; called if the request is quarantined while it is in flight.
+  [[nodiscard]] Token OnAdmitted(const routing::RequestDigest& request,
+                                 core::TimePoint deadline,
+                                 std::function<void()> abandon);
   void OnEnded(Token token);
-  /// @brief The connection of an attempt broke before the answer was complete.
-  void OnLost(const routing::LostAttempt& attempt,
-              const routing::EndpointRow& endpoint);
-  /// @brief An endpoint ran the request to its end.
-  void OnAnswered(const routing::RequestDigest& request);
+  /// @brief The connection of an attempt broke before the response was
+  /// complete.
+  void OnAttemptLost(const routing::LostAttempt& attempt,
+                     const routing::EndpointRow& endpoint);
+  /// @brief An endpoint ran the request to completion.
+  void OnCompleted(const routing::RequestDigest& request);
 
-  /// @brief Another entry published records.
-  /// @param sent_at when it did, by the own clock.
+  /// @brief Merges records that another entry published, and forwards those
+  /// that changed something.
+  /// @param sent_at when they were sent, by the local clock.
   void OnRecords(const membership::Member& sender,
                  const std::vector<CrashRecordMessage>& records,
                  core::TimePoint sent_at);
-  /// @brief Some records for another entry.
+  /// @brief Samples records to send to another entry by gossip.
   [[nodiscard]] std::vector<CrashRecordMessage> Sample(std::size_t most);
 
-  /// @brief Ends the quarantine of a request, here and at all other entries.
-  /// @return false when it is blamed for nothing.
+  /// @brief Lifts the quarantine of a request, here and at all other entries.
+  /// @return false if no crash is attributed to the request.
   bool Lift(const routing::RequestDigest& request);
   /// @brief Suspected and quarantined requests, for the status page.
   [[nodiscard]] nlohmann::json Status() const;
-  /// @brief Brings the gauges up to date.
+  /// @brief Updates the gauges.
   void RefreshMetrics();
 
  private:
-  struct UnderWay {
+  struct InFlightRequest {
     routing::RequestDigest request_;
     core::TimePoint deadline_;
     std::function<void()> abandon_;
   };
 
-  /// @param tries how often the address is probed until it refuses.
-  void Probe(const routing::EndpointRow& endpoint, unsigned tries);
+  /// @param probes_left how often the address is probed at most, this probe
+  /// included.
+  void Probe(const routing::EndpointRow& endpoint, unsigned probes_left);
   void OnProbed(const routing::EndpointRow& endpoint, bool refused,
-                unsigned tries);
-  void OnCrashed(const routing::EndpointIncarnation& endpoint,
-                 const std::string& evidence);
-  void CheckReplaced();
+                unsigned probes_left);
+  void OnEndpointCrashed(const routing::EndpointIncarnation& endpoint,
+                         const std::string& evidence);
+  void CheckReplacedEndpoints();
   void AddCrash(const routing::LostAttempt& attempt,
                 const routing::EndpointIncarnation& endpoint,
                 core::TimePoint at);
-  /// @brief Publishes and logs that a request is blamed for less.
+  /// @brief Counts, publishes and logs that crashes are no longer attributed to
+  /// a request.
   /// @param before the request's standing before.
   void OnCleared(const routing::RequestDigest& request,
                  routing::Standing before, const std::string& reason);
-  /// @brief Acts on a record that has changed.
+  /// @brief Handles a changed record: logs a new standing, publishes a trial,
+  /// and abandons the attempts of a request that was quarantined.
   /// @param before the request's standing before.
   void OnChanged(const routing::RequestDigest& request,
                  routing::Standing before);
   void Abandon(const routing::RequestDigest& request);
   void Publish(const routing::RequestDigest& request);
   void PublishPending();
-  [[nodiscard]] CrashRecordMessage MessageOf(
+  [[nodiscard]] CrashRecordMessage MakeMessage(
       const routing::RequestDigest& request);
-  /// @brief Latest deadline of those under way; nothing when there are none.
-  [[nodiscard]] std::optional<core::TimePoint> UnderWayUntil(
+  /// @brief Latest deadline of the request's runs in flight at this entry;
+  /// nothing if there are none.
+  [[nodiscard]] std::optional<core::TimePoint> InFlightUntil(
       const routing::RequestDigest& request) const;
   void LogStanding(const routing::RequestDigest& request);
   void Tick();
@@ -117,18 +124,18 @@
   MeshNode& mesh_;
   EventLog& log_;
   Metrics& metrics_;
-  routing::CrashDetector evidence_;
+  routing::CrashDetector crash_detector_;
   routing::RequestQuarantine quarantine_;
   Token last_token_ = 0;
-  std::map<Token, UnderWay> under_way_;
-  /// By endpoint id; at most one for each loss under evidence.
+  std::map<Token, InFlightRequest> in_flight_;
+  /// Probes in progress, by endpoint id; at most one per endpoint.
   std::map<core::InstanceId, TcpStream::Ptr> probes_;
-  /// Requests whose records are published next, together.
+  /// Requests whose records go into the next batch.
   std::set<routing::RequestDigest> pending_;
-  /// Requests whose own attempt was published as the one under way.
-  std::set<routing::RequestDigest> trials_;
+  /// Suspected requests whose trial at this entry was published to the others.
+  std::set<routing::RequestDigest> own_trials_;
   Timer publish_timer_;
-  Timer tick_;
+  Timer tick_timer_;
 };
 
 }  // namespace chalkwell::daemon::direct
--- a/packages/daemon/src/daemon/direct/store_call_counter.cpp
+++ b/packages/daemon/src/daemon/direct/store_call_counter.cpp
@@ -1,4 +1,4 @@
-// Names of sections and causes, and the line of the log.
+// Counts calls to the configuration store by section and by cause.
 #include "daemon/direct/store_call_counter.hpp"
 
 #include <numeric>
@@ -47,10 +47,10 @@
 
 void StoreCallCounter::LogSummary() {
   const auto count = [](std::uint64_t calls) { return std::to_string(calls); };
-  const auto of = [&](Section section) {
+  const auto in_section = [&](Section section) {
     return count(by_section_.at(static_cast<std::size_t>(section)));
   };
-  const auto by = [&](StoreCallCause cause) {
+  const auto by_cause = [&](StoreCallCause cause) {
     return count(by_cause_.at(static_cast<std::size_t>(cause)));
   };
   const auto all =
@@ -60,14 +60,14 @@
   }
   log_.Write(core::EventNumber::kStoreCalls,
              {{"calls", count(all)},
-              {"rules", of(Section::kRules)},
-              {"weights", of(Section::kWeights)},
-              {"endpoints", of(Section::kEndpoints)},
-              {"read", by(StoreCallCause::kRead)},
-              {"watch", by(StoreCallCause::kWatch)},
-              {"poll", by(StoreCallCause::kPoll)},
-              {"probe", by(StoreCallCause::kProbe)},
-              {"once", by(StoreCallCause::kSingleRead)}});
+              {"rules", in_section(Section::kRules)},
+              {"weights", in_section(Section::kWeights)},
+              {"endpoints", in_section(Section::kEndpoints)},
+              {"read", by_cause(StoreCallCause::kRead)},
+              {"watch", by_cause(StoreCallCause::kWatch)},
+              {"poll", by_cause(StoreCallCause::kPoll)},
+              {"probe", by_cause(StoreCallCause::kProbe)},
+              {"once", by_cause(StoreCallCause::kSingleRead)}});
   by_section_ = {};
   by_cause_ = {};
 }
--- a/packages/daemon/src/daemon/direct/store_call_counter.hpp
+++ b/packages/daemon/src/daemon/direct/store_call_counter.hpp
@@ -1,5 +1,5 @@
-// What this process asks of the published store: calls by section and by cause.
-// The store counts and prices each call, also those that it refuses.
+// Calls of this process to the configuration store, by section and by cause.
+// The store meters and charges every call, including those it rejects.
 #pragma once
 
 #include <array>
@@ -12,31 +12,31 @@
 
 namespace chalkwell::daemon::direct {
 
-/// @brief Why the store is called.
+/// @brief Reason for a call to the store.
 enum class StoreCallCause : std::uint8_t {
-  /// A watched section is read whole: at the start, and when its history is
-  /// gone.
+  /// Full read of a watched section: at the start, and when the store no
+  /// longer has the history that the watch needs.
   kRead,
   kWatch,
-  /// Read again and again.
+  /// Periodic read.
   kPoll,
-  /// A small read that shows whether the store answers.
+  /// Small read that shows whether the store is reachable.
   kProbe,
-  /// A single read that a decision asked for.
+  /// Single read on demand, before a decision that needs a newer snapshot.
   kSingleRead,
 };
 
 [[nodiscard]] std::string_view ToString(Section section);
 [[nodiscard]] std::string_view ToString(StoreCallCause cause);
 
-/// @brief Counts one process's calls, for metrics and for a line of the log now
-/// and then.
+/// @brief Counts the calls of one process, for the metrics and for a periodic
+/// log line.
 class StoreCallCounter {
  public:
   StoreCallCounter(EventLog& log, Metrics& metrics);
 
   void OnCall(Section section, StoreCallCause cause);
-  /// @brief Writes a line when calls were made since the last one.
+  /// @brief Writes a log line if calls were made since the last one.
   void LogSummary();
 
  private:
@@ -45,7 +45,7 @@
 
   EventLog& log_;
   Metrics& metrics_;
-  /// Both since the last line.
+  /// Both since the last log line.
   std::array<std::uint64_t, kSections> by_section_{};
   std::array<std::uint64_t, kCauses> by_cause_{};
 };
--- a/packages/daemon/src/daemon/direct/traffic_counter.cpp
+++ b/packages/daemon/src/daemon/direct/traffic_counter.cpp
@@ -1,4 +1,5 @@
-// Counted in plain numbers: reports are too many to look up a metric for each.
+// Datagrams are counted in plain integers and added to the metrics
+// periodically: looking up a metric for every load report costs too much.
 #include "daemon/direct/traffic_counter.hpp"
 
 #include <numeric>
@@ -8,8 +9,8 @@
 namespace chalkwell::daemon::direct {
 namespace {
 
-/// Between two lines of the log.
-constexpr auto kTellInterval = std::chrono::seconds(10);
+/// Interval between two log lines.
+constexpr auto kLogInterval = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -40,15 +41,15 @@
 TrafficCounter::TrafficCounter(EventLog& log, Metrics& metrics)
     : log_(log), metrics_(metrics) {}
 
-void TrafficCounter::OnSent(TrafficKind kind, bool far, std::size_t bytes) {
+void TrafficCounter::OnSent(TrafficKind kind, bool remote, std::size_t bytes) {
   const auto index = static_cast<std::size_t>(kind);
-  auto& sum = (far ? fresh_.far_ : fresh_.near_).at(index);
+  auto& sum = (remote ? unreported_.remote_ : unreported_.local_).at(index);
   ++sum.datagrams_;
   sum.bytes_ += bytes + kHeaderBytes;
 }
 
-void TrafficCounter::Flush(const std::array<Sum, kKinds>& sums,
-                           const char* to) {
+void TrafficCounter::AddToMetrics(const std::array<Sum, kKinds>& sums,
+                                  const char* to) {
   for (std::size_t i = 0; i < kKinds; ++i) {
     const auto& sum = sums.at(i);
     if (sum.datagrams_ == 0) {
@@ -66,22 +67,22 @@
 }
 
 void TrafficCounter::Tell(core::TimePoint now) {
-  for (const auto& sum : fresh_.far_) {
-    far_bytes_ += sum.bytes_;
+  for (const auto& sum : unreported_.remote_) {
+    remote_bytes_ += sum.bytes_;
   }
-  const auto fresh = std::exchange(fresh_, {});
-  Flush(fresh.near_, "near");
-  Flush(fresh.far_, "far");
-  if (told_at_ == core::TimePoint{}) {
-    told_at_ = now;
+  const auto unreported = std::exchange(unreported_, {});
+  AddToMetrics(unreported.local_, "near");
+  AddToMetrics(unreported.remote_, "far");
+  if (logged_at_ == core::TimePoint{}) {
+    logged_at_ = now;
   }
-  if (now - told_at_ >= kTellInterval) {
-    told_at_ = now;
-    WriteLine();
+  if (now - logged_at_ >= kLogInterval) {
+    logged_at_ = now;
+    WriteLogLine();
   }
 }
 
-void TrafficCounter::WriteLine() {
+void TrafficCounter::WriteLogLine() {
   const auto bytes = [this](TrafficKind kind) {
     return std::to_string(sent_bytes_.at(static_cast<std::size_t>(kind)));
   };
@@ -89,7 +90,7 @@
       std::accumulate(sent_bytes_.begin(), sent_bytes_.end(), std::uint64_t{0});
   log_.Write(core::EventNumber::kControlTraffic,
              {{"sent_bytes", std::to_string(all)},
-              {"far_bytes", std::to_string(far_bytes_)},
+              {"far_bytes", std::to_string(remote_bytes_)},
               {"received_bytes", std::to_string(received_bytes_)},
               {"report", bytes(TrafficKind::kReport)},
               {"subscription", bytes(TrafficKind::kSubscription)},
@@ -100,7 +101,7 @@
               {"departed", bytes(TrafficKind::kDeparted)},
               {"held", bytes(TrafficKind::kHeldChunks)}});
   sent_bytes_ = {};
-  far_bytes_ = 0;
+  remote_bytes_ = 0;
   received_bytes_ = 0;
 }
 
--- a/packages/daemon/src/daemon/direct/traffic_counter.hpp
+++ b/packages/daemon/src/daemon/direct/traffic_counter.hpp
@@ -1,4 +1,4 @@
-// What the system's own control costs: bytes and datagrams by kind, and by
+// Control traffic of the system: datagrams and bytes sent, by kind and by
 // whether they leave the failure domain.
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace chalkwell::daemon::direct {
 
-/// @brief What a datagram is for.
+/// @brief Purpose of a datagram.
 enum class TrafficKind : std::uint8_t {
   kReport,
   kSubscription,
@@ -27,18 +27,18 @@
 
 [[nodiscard]] std::string_view ToString(TrafficKind kind);
 
-/// @brief Counts one process's datagrams, for metrics and for a line of the log
-/// now and then.
+/// @brief Counts the datagrams of one process, for the metrics and for a
+/// periodic log line.
 class TrafficCounter {
  public:
   TrafficCounter(EventLog& log, Metrics& metrics);
 
-  /// @param far whether it goes to another failure domain.
-  void OnSent(TrafficKind kind, bool far, std::size_t bytes);
+  /// @param remote whether the receiver is in another failure domain.
+  void OnSent(TrafficKind kind, bool remote, std::size_t bytes);
   void OnReceived(std::size_t bytes) noexcept {
     received_bytes_ += bytes + kHeaderBytes;
   }
-  /// @brief Brings the metrics up to date, and writes the line when it is due.
+  /// @brief Updates the metrics, and writes the log line when it is due.
   void Tell(core::TimePoint now);
 
  private:
@@ -47,26 +47,27 @@
     std::uint64_t bytes_ = 0;
   };
   static constexpr std::size_t kKinds = 9;
-  /// Of IP and UDP: reports are hardly larger than they.
+  /// IP and UDP headers. Load reports are hardly larger than these, so leaving
+  /// them out would understate the traffic.
   static constexpr std::size_t kHeaderBytes = 28;
-  /// Sent to the own failure domain, and to others; by kind.
+  /// Sent within the local failure domain and to remote ones, by kind.
   struct Sums {
-    std::array<Sum, kKinds> near_{};
-    std::array<Sum, kKinds> far_{};
+    std::array<Sum, kKinds> local_{};
+    std::array<Sum, kKinds> remote_{};
   };
 
-  void Flush(const std::array<Sum, kKinds>& sums, const char* to);
-  void WriteLine();
+  void AddToMetrics(const std::array<Sum, kKinds>& sums, const char* to);
+  void WriteLogLine();
 
   EventLog& log_;
   Metrics& metrics_;
-  /// Not in the metrics yet.
-  Sums fresh_;
-  /// Bytes since the last line, by kind.
+  /// Sent since the metrics were last updated.
+  Sums unreported_;
+  /// Bytes since the last log line, by kind.
   std::array<std::uint64_t, kKinds> sent_bytes_{};
-  std::uint64_t far_bytes_ = 0;
+  std::uint64_t remote_bytes_ = 0;
   std::uint64_t received_bytes_ = 0;
-  core::TimePoint told_at_;
+  core::TimePoint logged_at_;
 };
 
 }  // namespace chalkwell::daemon::direct
