--- a/packages/daemon/src/daemon/direct/chunk_exchange.cpp
+++ b/packages/daemon/src/daemon/direct/chunk_exchange.cpp
@@ -1,5 +1,5 @@
-// The engine's staging is the store: pieces are read from it when asked for,
-// and both sides compare them with their digests.
+// The engine's staging is the only storage: chunks are read from it on request,
+// and both sides verify their digests.
 #include "daemon/direct/chunk_exchange.hpp"
 
 #include <algorithm>
@@ -12,20 +12,21 @@
 namespace chalkwell::daemon::direct {
 namespace {
 
-constexpr std::string_view kPiecePath = "/v1/staged-piece";
+constexpr std::string_view kChunkPath = "/v1/staged-piece";
 constexpr std::string_view kManifestPath = "/v1/pieces-manifest";
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
 constexpr std::size_t kMaxPeerBody = std::size_t{1} << 20;
-/// Part of the link that pieces may take: answers share it, and an event that
-/// waits behind several pieces is late.
+/// Maximum share of the link for chunks: responses use it too, and an event
+/// queued behind several chunks is late.
 constexpr double kUploadShare = 0.85;
-/// A peer that announced nothing for this long is gone, or has another
-/// neighbour in this one's place: three repeats while nothing is to be fetched.
-constexpr auto kPeerSilence = std::chrono::milliseconds(9500);
-/// A peer that lacks what is held here is answered this often at most, as often
-/// as changes are told.
-constexpr auto kAnswerInterval = std::chrono::milliseconds(120);
+/// A peer that announced nothing for this long has terminated or has another
+/// neighbour in place of this agent. Equals three repeats of an idle peer plus
+/// a margin.
+constexpr auto kPeerTimeout = std::chrono::milliseconds(9500);
+/// Minimum interval between replies to a peer that lacks chunks held here; the
+/// same as for announcements of changes.
+constexpr auto kMinAnnounceInterval = std::chrono::milliseconds(120);
 
 std::uint64_t UploadRate(const Settings& settings) {
   return static_cast<std::uint64_t>(static_cast<double>(LinkRate(settings)) *
@@ -56,20 +57,20 @@
 
 }  // namespace
 
-PieceExchange::PieceExchange(ProcessBase& process, const WeightsClient& client,
-                             MeshNode& mesh, PieceSource source)
+ChunkExchange::ChunkExchange(ProcessBase& process, const WeightsClient& client,
+                             MeshNode& mesh, ChunkProvider provider)
     : process_(process),
       client_(client),
       mesh_(mesh),
-      source_(std::move(source)),
+      provider_(std::move(provider)),
       self_(mesh.self().address_),
-      upload_(UploadRate(process.settings()), {}),
+      upload_pacer_(UploadRate(process.settings()), {}),
       server_(std::make_unique<PeerServer>(
           process.loop(),
           ParseAddress(process.settings().Text("listen", "peer")), kMaxPeerBody,
           [this](const PeerCallPtr& call) { OnCall(call); })) {}
 
-void PieceExchange::SetAgents(const AgentAddresses& agents) {
+void ChunkExchange::SetAgents(const AgentAddresses& agents) {
   agents_.clear();
   for (const auto& [domain, addresses] : agents) {
     for (const auto& address : addresses) {
@@ -80,7 +81,7 @@
   neighbours_ = swarm::NeighboursOf({self_, process_.domain()}, agents_);
 }
 
-core::InstanceId PieceExchange::OnHeld(const membership::Member& sender,
+core::InstanceId ChunkExchange::OnHeld(const membership::Member& sender,
                                        const HeldChunksMessage& held,
                                        core::TimePoint now) {
   core::InstanceId id(sender.address_);
@@ -88,55 +89,57 @@
   return id;
 }
 
-std::vector<core::InstanceId> PieceExchange::TakeSilent(core::TimePoint now) {
-  std::vector<core::InstanceId> silent;
+std::vector<core::InstanceId> ChunkExchange::RemoveUnresponsive(
+    core::TimePoint now) {
+  std::vector<core::InstanceId> unresponsive;
   for (const auto& [id, peer] : peers_) {
-    if (now - peer.heard_at_ >= kPeerSilence) {
-      silent.push_back(id);
+    if (now - peer.last_received_ >= kPeerTimeout) {
+      unresponsive.push_back(id);
     }
   }
-  for (const auto& id : silent) {
+  for (const auto& id : unresponsive) {
     peers_.erase(id);
   }
-  return silent;
+  return unresponsive;
 }
 
-bool PieceExchange::MayTell(const core::InstanceId& agent,
-                            core::TimePoint now) const {
-  const auto told = told_at_.find(agent);
-  return told == told_at_.end() || now - told->second >= kAnswerInterval;
+bool ChunkExchange::MayAnnounceTo(const core::InstanceId& agent,
+                                  core::TimePoint now) const {
+  const auto announced = announced_at_.find(agent);
+  return announced == announced_at_.end() ||
+         now - announced->second >= kMinAnnounceInterval;
 }
 
-void PieceExchange::Tell(const core::InstanceId& agent,
-                         const HeldChunksMessage& held) {
+void ChunkExchange::AnnounceTo(const core::InstanceId& agent,
+                               const HeldChunksMessage& held) {
   const auto known =
       std::ranges::find(agents_, agent, &swarm::SwarmMember::id_);
   const auto domain =
       known == agents_.end() ? process_.domain() : known->domain_;
-  told_at_[agent] = process_.loop().Now();
+  announced_at_[agent] = process_.loop().Now();
   mesh_.SendHeldChunks(agent.value(), domain, held);
 }
 
-std::vector<swarm::SwarmMember> PieceExchange::Lacking(
-    std::uint64_t version, bool self_narrowed) const {
+std::vector<swarm::SwarmMember> ChunkExchange::MembersLacking(
+    std::uint64_t version, bool self_degraded) const {
   std::vector<swarm::SwarmMember> members{
-      {self_, process_.domain(), self_narrowed}};
-  const auto least = std::max<std::uint64_t>(version, 1);
+      {self_, process_.domain(), self_degraded}};
+  const auto min_version = std::max<std::uint64_t>(version, 1);
   for (const auto& agent : agents_) {
     if (agent.id_ == self_) {
       continue;
     }
     const auto peer = peers_.find(agent.id_);
-    const bool heard = peer != peers_.end();
-    if (!heard || peer->second.held_.serving_ < least) {
-      const bool narrowed = heard && peer->second.held_.degraded_;
-      members.push_back({agent.id_, agent.domain_, narrowed});
+    const bool announced = peer != peers_.end();
+    if (!announced || peer->second.held_.serving_ < min_version) {
+      const bool degraded = announced && peer->second.held_.degraded_;
+      members.push_back({agent.id_, agent.domain_, degraded});
     }
   }
   return members;
 }
 
-std::shared_ptr<PeerConnection> PieceExchange::ConnectionTo(
+std::shared_ptr<PeerConnection> ChunkExchange::ConnectionTo(
     const core::InstanceId& peer) {
   const auto& address = peers_.at(peer).member_.address_;
   auto& connection = connections_[address];
@@ -147,45 +150,45 @@
   return connection;
 }
 
-void PieceExchange::AskPiece(
-    const core::InstanceId& peer, const PieceMessage& ask,
-    std::function<void(std::optional<ReceivedPiece>)> done) {
-  const auto piece = std::size_t{ask.piece_};
+void ChunkExchange::RequestChunk(
+    const core::InstanceId& peer, const ChunkRequest& request,
+    std::function<void(std::optional<ReceivedChunk>)> done) {
+  const auto chunk = std::size_t{request.chunk_};
   const auto since = process_.loop().Now();
-  asked_[piece] = ConnectionTo(peer)->Ask(
-      std::string(kPiecePath), Pack(ask),
-      [this, peer, piece, since, done = std::move(done)](
+  requests_[chunk] = ConnectionTo(peer)->Ask(
+      std::string(kChunkPath), Pack(request),
+      [this, peer, chunk, since, done = std::move(done)](
           PeerEnd end, int status, const std::string& body) {
-        asked_.erase(piece);
+        requests_.erase(chunk);
         if (end != PeerEnd::kWhole || status != kOk) {
           done(std::nullopt);
           return;
         }
-        auto answer = Unpack<PieceAnswer>(body, peer.value());
+        auto response = Unpack<ChunkResponse>(body, peer.value());
         const auto transfer = process_.loop().Now() - since -
-                              std::chrono::milliseconds(answer.waited_ms_);
-        done(ReceivedPiece{std::move(answer.bytes_), transfer});
+                              std::chrono::milliseconds(response.pacing_ms_);
+        done(ReceivedChunk{std::move(response.bytes_), transfer});
       });
 }
 
-void PieceExchange::CancelPiece(std::size_t piece) {
-  const auto call = asked_.extract(piece);
+void ChunkExchange::CancelChunk(std::size_t chunk) {
+  const auto call = requests_.extract(chunk);
   if (!call.empty()) {
     call.mapped()->Cancel();
   }
 }
 
-void PieceExchange::CancelPieces() {
-  for (const auto& [piece, call] : std::exchange(asked_, {})) {
+void ChunkExchange::CancelChunks() {
+  for (const auto& [chunk, call] : std::exchange(requests_, {})) {
     call->Cancel();
   }
 }
 
-void PieceExchange::AskManifest(
-    const core::InstanceId& peer, const PieceMessage& ask,
+void ChunkExchange::RequestManifest(
+    const core::InstanceId& peer, const ChunkRequest& request,
     std::function<void(std::optional<WeightsManifest>)> done) {
   ConnectionTo(peer)->Ask(
-      std::string(kManifestPath), Pack(ask),
+      std::string(kManifestPath), Pack(request),
       [this, peer, done = std::move(done)](PeerEnd end, int status,
                                            const std::string& body) {
         std::optional<WeightsManifest> manifest;
@@ -200,20 +203,20 @@
       });
 }
 
-void PieceExchange::OnCall(const PeerCallPtr& call) {
-  const auto message = Unpack<PieceMessage>(call->body(), "peer");
-  if (call->path() == kPiecePath) {
-    AnswerPiece(call, message);
+void ChunkExchange::OnCall(const PeerCallPtr& call) {
+  const auto message = Unpack<ChunkRequest>(call->body(), "peer");
+  if (call->path() == kChunkPath) {
+    HandleChunkRequest(call, message);
   } else if (call->path() == kManifestPath) {
-    AnswerManifest(call, message);
+    HandleManifestRequest(call, message);
   } else {
     call->Respond(kNotFound, "");
   }
 }
 
-void PieceExchange::AnswerManifest(const PeerCallPtr& call,
-                                   const PieceMessage& message) {
-  const auto* manifest = source_.manifest_(message.version_);
+void ChunkExchange::HandleManifestRequest(const PeerCallPtr& call,
+                                          const ChunkRequest& message) {
+  const auto* manifest = provider_.manifest_(message.version_);
   if (manifest != nullptr && manifest->model_ == message.model_) {
     call->Respond(kOk, Pack(ToMessage(*manifest)));
   } else {
@@ -221,54 +224,55 @@
   }
 }
 
-bool PieceExchange::Whole(const PieceMessage& message,
-                          const std::optional<std::string>& bytes) const {
+bool ChunkExchange::IsIntact(const ChunkRequest& message,
+                             const std::optional<std::string>& bytes) const {
   if (!bytes) {
     return false;
   }
-  const auto* manifest = source_.manifest_(message.version_);
+  const auto* manifest = provider_.manifest_(message.version_);
   const bool known =
-      manifest != nullptr && message.piece_ < manifest->chunk_digests_.size();
+      manifest != nullptr && message.chunk_ < manifest->chunk_digests_.size();
   return !known || core::Digest::Sha256Of(*bytes) ==
-                       manifest->chunk_digests_[message.piece_];
+                       manifest->chunk_digests_[message.chunk_];
 }
 
-void PieceExchange::AnswerPiece(const PeerCallPtr& call,
-                                const PieceMessage& message) {
-  if (!source_.holds_(message)) {
+void ChunkExchange::HandleChunkRequest(const PeerCallPtr& call,
+                                       const ChunkRequest& message) {
+  if (!provider_.holds_(message)) {
     call->Respond(kNotFound, "");
     return;
   }
-  if (const auto* copy = source_.copy_(message)) {
-    GivePiece(call, message, *copy);
+  if (const auto* copy = provider_.find_copy_(message)) {
+    SendChunk(call, message, *copy);
     return;
   }
   client_.read_staged_chunk_(
-      message.model_, message.piece_,
+      message.model_, message.chunk_,
       [this, call, message](std::optional<std::string> bytes) {
-        // Overwritten while it was read, it was copied before.
-        const auto* copy = source_.copy_(message);
-        GivePiece(call, message,
+        // If the chunk was overwritten during the read, a copy was saved
+        // before.
+        const auto* copy = provider_.find_copy_(message);
+        SendChunk(call, message,
                   copy == nullptr ? std::move(bytes) : std::optional(*copy));
       });
 }
 
-void PieceExchange::GivePiece(const PeerCallPtr& call,
-                              const PieceMessage& message,
+void ChunkExchange::SendChunk(const PeerCallPtr& call,
+                              const ChunkRequest& message,
                               std::optional<std::string> bytes) {
-  if (!Whole(message, bytes)) {
-    // Announced on, it would keep all others from drawing it.
-    source_.on_missing_(message);
+  if (!IsIntact(message, bytes)) {
+    // While it is announced, no member would fetch it from the origin.
+    provider_.on_unreadable_(message);
     call->Respond(kNotFound, "");
     return;
   }
-  const auto wait = upload_.Reserve(bytes->size(), process_.loop().Now());
-  PieceAnswer answer;
-  answer.waited_ms_ = static_cast<std::uint32_t>(
+  const auto wait = upload_pacer_.Reserve(bytes->size(), process_.loop().Now());
+  ChunkResponse response;
+  response.pacing_ms_ = static_cast<std::uint32_t>(
       std::chrono::duration_cast<std::chrono::milliseconds>(wait).count());
-  answer.bytes_ = std::move(*bytes);
-  process_.loop().After(wait, [call, answer = std::move(answer)] {
-    call->Respond(kOk, Pack(answer));
+  response.bytes_ = std::move(*bytes);
+  process_.loop().After(wait, [call, response = std::move(response)] {
+    call->Respond(kOk, Pack(response));
   });
 }
 
--- a/packages/daemon/src/daemon/direct/chunk_exchange.hpp
+++ b/packages/daemon/src/daemon/direct/chunk_exchange.hpp
@@ -1,5 +1,6 @@
-// Pieces and manifests between agents: who holds what, asking for it, and
-// giving it at a pace that leaves room for answers on the link.
+// Exchange of chunks and manifests between agents: tracks which agent holds
+// what, requests chunks, and sends them at a rate that leaves room for
+// responses on the link.
 #pragma once
 
 #include <cstdint>
@@ -22,30 +23,30 @@
 
 namespace chalkwell::daemon::direct {
 
-/// @brief Request for a version's manifest or one of its pieces.
-struct PieceMessage {
+/// @brief Request for the manifest of a version or one of its chunks.
+struct ChunkRequest {
   std::string model_;
   std::uint64_t version_ = 0;
-  std::uint32_t piece_ = 0;
-  MSGPACK_DEFINE(model_, version_, piece_)
+  std::uint32_t chunk_ = 0;
+  MSGPACK_DEFINE(model_, version_, chunk_)
 };
 
-/// @brief A piece, with how long it waited for its sender's own pace: what else
-/// its way took is the links' doing.
-struct PieceAnswer {
-  std::uint32_t waited_ms_ = 0;
+/// @brief A chunk, with the delay by its sender's pacer. The rest of the
+/// transfer time is due to the links.
+struct ChunkResponse {
+  std::uint32_t pacing_ms_ = 0;
   std::string bytes_;
-  MSGPACK_DEFINE(waited_ms_, bytes_)
+  MSGPACK_DEFINE(pacing_ms_, bytes_)
 };
 
-/// @brief A piece that arrived.
-struct ReceivedPiece {
+/// @brief A chunk received from a peer.
+struct ReceivedChunk {
   std::string bytes_;
-  /// From the request to the last byte, less the wait at the sender.
+  /// From the request to the last byte, less the pacing delay at the sender.
   core::Duration transfer_{};
 };
 
-/// @brief A manifest between agents.
+/// @brief Wire form of a manifest.
 struct ManifestMessage {
   std::string model_;
   std::uint64_t version_ = 0;
@@ -54,108 +55,115 @@
   MSGPACK_DEFINE(model_, version_, digests_)
 };
 
-/// @brief What this agent can give.
-struct PieceSource {
-  std::function<bool(const PieceMessage& piece)> holds_;
-  /// Manifest of a version, 0 for any; null while there is none.
+/// @brief Callbacks that look up the chunks and manifests of this agent.
+struct ChunkProvider {
+  std::function<bool(const ChunkRequest& chunk)> holds_;
+  /// Manifest of a version, 0 for any; null when there is none.
   std::function<const WeightsManifest*(std::uint64_t version)> manifest_;
-  /// Copy of a piece that is no longer staged; null when there is none.
-  std::function<const std::string*(const PieceMessage& piece)> copy_;
-  /// A piece that was held can no longer be read whole.
-  std::function<void(const PieceMessage& piece)> on_missing_;
+  /// Copy of a chunk that is no longer staged; null when there is none.
+  std::function<const std::string*(const ChunkRequest& chunk)> find_copy_;
+  /// Called when a held chunk can't be read or does not match its digest.
+  std::function<void(const ChunkRequest& chunk)> on_unreadable_;
 };
 
-/// @brief Another agent of the same service as it announced itself.
-struct PiecePeer {
+/// @brief Another agent of the same service, as last announced.
+struct ChunkPeer {
   membership::Member member_;
   HeldChunksMessage held_;
-  core::TimePoint heard_at_;
+  core::TimePoint last_received_;
 };
 
-/// @brief The agent among its neighbours.
-class PieceExchange {
+/// @brief Exchanges chunks with the agent's peers.
+class ChunkExchange {
  public:
-  PieceExchange(ProcessBase& process, const WeightsClient& client,
-                MeshNode& mesh, PieceSource source);
+  ChunkExchange(ProcessBase& process, const WeightsClient& client,
+                MeshNode& mesh, ChunkProvider provider);
 
-  /// @brief Agents are named by where they listen: lists of endpoints tell no
-  /// more of them.
+  /// @brief Id of this agent: agents are identified by their listen address,
+  /// since endpoint lists contain nothing else about them.
   [[nodiscard]] const core::InstanceId& self() const noexcept { return self_; }
-  /// @brief The agents of the service, this one included.
+  /// @brief Sets the agents of the service, including this one.
   void SetAgents(const AgentAddresses& agents);
   [[nodiscard]] const std::vector<swarm::SwarmMember>& agents() const noexcept {
     return agents_;
   }
-  /// @brief Agents that are told whatever is held here.
+  /// @brief Agents that receive all announcements of this one.
   [[nodiscard]] const std::vector<core::InstanceId>& neighbours()
       const noexcept {
     return neighbours_;
   }
-  /// @brief Whether the agents were told: this one may not be the only one.
+  /// @brief Whether the agents of the service are known; until then this one
+  /// can't assume that it is the only one.
   [[nodiscard]] bool knows_agents() const noexcept { return !agents_.empty(); }
 
-  /// @return name of the sender among the agents.
+  /// @brief Records what a peer announced.
+  /// @return id of the sender among the agents.
   core::InstanceId OnHeld(const membership::Member& sender,
                           const HeldChunksMessage& held, core::TimePoint now);
-  /// @brief Peers that announced nothing for long; they are forgotten.
-  std::vector<core::InstanceId> TakeSilent(core::TimePoint now);
-  /// @brief Whether a peer that announced itself may be answered: not each time
-  /// that it does.
-  [[nodiscard]] bool MayTell(const core::InstanceId& agent,
-                             core::TimePoint now) const;
-  /// @brief Tells an agent what is held here.
-  void Tell(const core::InstanceId& agent, const HeldChunksMessage& held);
-  [[nodiscard]] const std::map<core::InstanceId, PiecePeer>& peers()
+  /// @brief Removes peers that announced nothing for a while and returns them.
+  std::vector<core::InstanceId> RemoveUnresponsive(core::TimePoint now);
+  /// @brief Whether an announcement may be sent in reply to a peer's: replies
+  /// are rate-limited.
+  [[nodiscard]] bool MayAnnounceTo(const core::InstanceId& agent,
+                                   core::TimePoint now) const;
+  /// @brief Announces the held chunks to an agent.
+  void AnnounceTo(const core::InstanceId& agent, const HeldChunksMessage& held);
+  [[nodiscard]] const std::map<core::InstanceId, ChunkPeer>& peers()
       const noexcept {
     return peers_;
   }
-  /// @brief Agents that do not serve a version yet as far as is known, this one
-  /// included: of most others nothing is heard.
-  /// @param version 0 for any: then those that serve none.
-  /// @param self_narrowed whether the own link is narrowed.
-  [[nodiscard]] std::vector<swarm::SwarmMember> Lacking(
-      std::uint64_t version, bool self_narrowed) const;
-
-  /// @brief Asks a peer for a piece; nothing when it does not give it.
-  void AskPiece(const core::InstanceId& peer, const PieceMessage& ask,
-                std::function<void(std::optional<ReceivedPiece>)> done);
-  /// @brief Gives up a piece that was asked for: what is left of it does not
-  /// fill the link.
-  void CancelPiece(std::size_t piece);
-  /// @brief Gives up all that were asked for.
-  void CancelPieces();
-  /// @brief Asks a peer for a manifest. One that has none is not asked again
-  /// before it announces one.
-  void AskManifest(const core::InstanceId& peer, const PieceMessage& ask,
-                   std::function<void(std::optional<WeightsManifest>)> done);
+  /// @brief Agents not known to serve a version yet, including this one. Most
+  /// agents are no neighbours and announce nothing to this one.
+  /// @param version 0 for any: then the agents that serve no version.
+  /// @param self_degraded whether the local link is degraded.
+  [[nodiscard]] std::vector<swarm::SwarmMember> MembersLacking(
+      std::uint64_t version, bool self_degraded) const;
+
+  /// @brief Requests a chunk from a peer.
+  /// @param done receives nothing when the peer does not provide it.
+  void RequestChunk(const core::InstanceId& peer, const ChunkRequest& request,
+                    std::function<void(std::optional<ReceivedChunk>)> done);
+  /// @brief Cancels the request for a chunk, so that the rest of it does not
+  /// take up the link.
+  void CancelChunk(std::size_t chunk);
+  /// @brief Cancels all chunk requests.
+  void CancelChunks();
+  /// @brief Requests a manifest from a peer. A peer without it is not asked
+  /// again until it announces one.
+  void RequestManifest(
+      const core::InstanceId& peer, const ChunkRequest& request,
+      std::function<void(std::optional<WeightsManifest>)> done);
 
  private:
   void OnCall(const PeerCallPtr& call);
-  void AnswerPiece(const PeerCallPtr& call, const PieceMessage& message);
+  void HandleChunkRequest(const PeerCallPtr& call, const ChunkRequest& message);
+  /// @brief Sends a chunk after its pacing delay, unless it does not match its
+  /// digest.
   /// @param bytes none when they could not be read.
-  void GivePiece(const PeerCallPtr& call, const PieceMessage& message,
+  void SendChunk(const PeerCallPtr& call, const ChunkRequest& message,
                  std::optional<std::string> bytes);
-  [[nodiscard]] bool Whole(const PieceMessage& message,
-                           const std::optional<std::string>& bytes) const;
-  void AnswerManifest(const PeerCallPtr& call, const PieceMessage& message);
+  [[nodiscard]] bool IsIntact(const ChunkRequest& message,
+                              const std::optional<std::string>& bytes) const;
+  void HandleManifestRequest(const PeerCallPtr& call,
+                             const ChunkRequest& message);
   [[nodiscard]] std::shared_ptr<PeerConnection> ConnectionTo(
       const core::InstanceId& peer);
 
   ProcessBase& process_;
   const WeightsClient& client_;
   MeshNode& mesh_;
-  PieceSource source_;
+  ChunkProvider provider_;
   core::InstanceId self_;
   std::vector<swarm::SwarmMember> agents_;
   std::vector<core::InstanceId> neighbours_;
-  /// When agents were told what is held here.
-  std::map<core::InstanceId, core::TimePoint> told_at_;
-  swarm::Pacer upload_;
-  std::map<core::InstanceId, PiecePeer> peers_;
-  /// By address; kept, since a call may be under way on it.
+  /// When the held chunks were last announced to each agent.
+  std::map<core::InstanceId, core::TimePoint> announced_at_;
+  swarm::Pacer upload_pacer_;
+  std::map<core::InstanceId, ChunkPeer> peers_;
+  /// By address; never removed, since a call may be in flight.
   std::map<std::string, std::shared_ptr<PeerConnection>> connections_;
-  /// By piece.
-  std::map<std::size_t, OutgoingCallPtr> asked_;
+  /// Requests in flight, by chunk.
+  std::map<std::size_t, OutgoingCallPtr> requests_;
   std::unique_ptr<PeerServer> server_;
 };
 
--- a/packages/daemon/src/daemon/direct/direct_agent.cpp
+++ b/packages/daemon/src/daemon/direct/direct_agent.cpp
@@ -1,5 +1,6 @@
-// The engine's report is free and fresh for its own agent: it is read often,
-// and told to the entries when it has changed.
+// Reading the engine's load report costs its own agent nothing and gives
+// current values, so it is polled often and sent to the entries when it has
+// changed.
 #include "daemon/direct/direct_agent.hpp"
 
 #include <algorithm>
@@ -15,35 +16,35 @@
 
 using std::chrono::milliseconds;
 
-/// Between two reports while nothing is under way: a request takes a second,
-/// and each telling of its count crosses to all failure domains.
+/// Polling interval while idle: a request takes a second, and each report of a
+/// changed request count crosses to all failure domains.
 constexpr auto kPollInterval = milliseconds(110);
-/// The same while weights change: that is told at once.
+/// Polling interval while weights change, which is reported at once.
 constexpr auto kQuickPollInterval = milliseconds(50);
-/// An engine that did not say which incarnation it is is asked again.
+/// Retry interval of requests for the engine's incarnation.
 constexpr auto kIncarnationRetry = milliseconds(500);
-/// Entries are asked this often what the engine's service is, until it is
-/// known; later so often which other agents there are, while weights change and
-/// while they do not.
+/// Interval of requests to entries: for the facts of the service until these
+/// are known, then for the list of agents while weights change and while they
+/// do not.
 constexpr auto kFactsInterval = milliseconds(100);
 constexpr auto kAgentsInterval = milliseconds(1000);
-constexpr auto kSettledInterval = milliseconds(5000);
-/// Without a word of any entry for this long, which weights are wanted and
-/// which other agents there are is read from the store: entries ask for reports
-/// each second, and some 1.5 s after a start of all machines.
-constexpr auto kEntryPatience = milliseconds(2000);
-/// A read of small rules is over after a round trip; one that lasts longer is
-/// of large rules, which are left to the entries.
-constexpr auto kSmallRead = milliseconds(150);
-/// Without an answer of any entry for this long the rules are read from the
-/// store: entries have them some 1.5 s after a start of all machines.
-constexpr auto kFactsPatience = milliseconds(4000);
-/// Pauses between such reads: 76 agents that read 1.3 MB each fill the link of
+constexpr auto kIdleFactsInterval = milliseconds(5000);
+/// After this time without a message from any entry, the target version and the
+/// agents are read from the store. Entries ask for reports each second, and
+/// first some 1.5 s after a start of all machines.
+constexpr auto kEntryTimeout = milliseconds(2000);
+/// Timeout of the read of small rules, which takes one round trip. Longer reads
+/// are of large rules, which are left to the entries.
+constexpr auto kSmallReadTimeout = milliseconds(150);
+/// After this time without a response of any entry, the rules are read from the
+/// store; entries have them some 1.5 s after a start of all machines.
+constexpr auto kFactsTimeout = milliseconds(4000);
+/// Backoff of these reads: 76 agents that read 1.3 MB each fill the link of
 /// their region for 11 s.
-constexpr core::BackoffSettings kRulesPause{milliseconds(4000),
-                                            milliseconds(30000)};
+constexpr core::BackoffSettings kReadBackoff{milliseconds(4000),
+                                             milliseconds(30000)};
 
-membership::Member SelfOf(ProcessBase& process) {
+membership::Member SelfMember(ProcessBase& process) {
   membership::Member self;
   self.id_ = process.id();
   self.kind_ = membership::MemberKind::kAgent;
@@ -52,24 +53,26 @@
   return self;
 }
 
-/// A change of the link's delay is worth a report from here on: entries compare
-/// it with what crossing to another failure domain costs.
-constexpr std::uint32_t kInboundStepMs = 60;
+/// Minimum change of the link delay that causes a report: entries compare the
+/// delay with the cost of crossing to another failure domain.
+constexpr std::uint32_t kInboundDelayStepMs = 60;
 
-std::uint32_t Difference(std::uint32_t left, std::uint32_t right) {
+std::uint32_t AbsoluteDifference(std::uint32_t left, std::uint32_t right) {
   return std::max(left, right) - std::min(left, right);
 }
 
-/// Pieces that take this much longer than alone show a narrowed link. Below it
-/// they may have waited at their senders, and say little of the own link.
-constexpr auto kNarrowedLink = milliseconds(400);
+/// Excess of the transfer time of chunks over that on an idle link that
+/// indicates a degraded link. A smaller excess may be queueing at the senders
+/// and says little about the local link.
+constexpr auto kDegradedLinkDelay = milliseconds(400);
 
 bool SameLoad(const LoadMessage& left, const LoadMessage& right) {
   return left.active_ == right.active_ && left.queued_ == right.queued_ &&
          left.accepting_ == right.accepting_ &&
          left.version_ == right.version_ && left.slowdown_ == right.slowdown_ &&
          left.started_ms_ == right.started_ms_ &&
-         Difference(left.inbound_ms_, right.inbound_ms_) < kInboundStepMs;
+         AbsoluteDifference(left.inbound_ms_, right.inbound_ms_) <
+             kInboundDelayStepMs;
 }
 
 }  // namespace
@@ -86,8 +89,8 @@
                 OnPublished(published);
               }),
       mesh_(
-          process.loop(), SelfOf(process), MeshSettingsOf(process.settings()),
-          process.log(), process.metrics(),
+          process.loop(), SelfMember(process),
+          MeshSettingsOf(process.settings()), process.log(), process.metrics(),
           {.on_load_ = nullptr,
            .on_held_chunks_ =
                [this](const membership::Member& sender,
@@ -99,23 +102,23 @@
            .on_agent_started_ = nullptr,
            .on_weights_ =
                [this](const std::string& model, std::uint64_t version) {
-                 weights_.OnNamed({model, version});
+                 weights_.OnVersionPublished({model, version});
                },
            .on_lost_ = nullptr,
            .on_departed_ = nullptr,
            .weights_ =
                [this] {
                  std::map<std::string, std::uint64_t> known;
-                 if (weights_.wanted().version_ > 0) {
-                   known[weights_.wanted().model_] = weights_.wanted().version_;
+                 if (weights_.target().version_ > 0) {
+                   known[weights_.target().model_] = weights_.target().version_;
                  }
                  return known;
                }}),
       weights_(process, adapter_.weights_, mesh_),
       facts_(process.loop(), mesh_, service_,
-             [this](const EngineFacts& facts) { TakeFacts(facts); }),
-      rules_pause_(kRulesPause, std::random_device{}()),
-      alone_pause_(kRulesPause, std::random_device{}()),
+             [this](const EngineFacts& facts) { ApplyFacts(facts); }),
+      rules_backoff_(kReadBackoff, std::random_device{}()),
+      store_backoff_(kReadBackoff, std::random_device{}()),
       started_at_(process.loop().Now()),
       poll_(process.loop()),
       facts_timer_(process.loop()) {}
@@ -134,41 +137,42 @@
   process_.OnReload(
       [this] { mesh_.SetSeeds(MeshSettingsOf(process_.settings()).seeds_); });
   mesh_.Start();
-  AskFacts();
+  RefreshFacts();
   PollEngine();
   process_.Run([this] { mesh_.AnnounceLeaving(); });
 }
 
-void DirectAgent::AskFacts() {
+void DirectAgent::RefreshFacts() {
   const auto now = process_.loop().Now();
-  ReadIfAlone(now);
-  const bool asked = facts_.Ask();
+  ReadWithoutEntries(now);
+  const bool asked = facts_.Request();
   if (!model_.empty() && !weights_.NeedsOrigin()) {
-    facts_timer_.Once(weights_.settled() ? kSettledInterval : kAgentsInterval,
-                      [this] { AskFacts(); });
+    facts_timer_.Once(weights_.idle() ? kIdleFactsInterval : kAgentsInterval,
+                      [this] { RefreshFacts(); });
     return;
   }
   const auto waited = now - started_at_;
   const auto wait =
       process_.settings().Milliseconds("endpoint", "facts_wait_ms");
-  if (!asked && waited >= wait && !std::exchange(read_small_, true)) {
-    // Entries may start after their agents: after a loss of power of all
-    // machines they were heard 0.4 s later, and engines served as much later.
-    reader_.ReadNow(Section::kRules, kSmallRead);
+  if (!asked && waited >= wait && !std::exchange(small_read_tried_, true)) {
+    // Entries may start after their agents. After a power loss of all machines
+    // the first message from an entry came 0.4 s later, and engines started to
+    // serve that much later.
+    reader_.ReadNow(Section::kRules, kSmallReadTimeout);
   }
-  if (waited >= kFactsPatience && rules_pause_.IsReady(now)) {
-    rules_pause_.OnFailure(now);
+  if (waited >= kFactsTimeout && rules_backoff_.IsReady(now)) {
+    rules_backoff_.OnFailure(now);
     reader_.ReadNow(Section::kRules);
   }
-  facts_timer_.Once(kFactsInterval, [this] { AskFacts(); });
+  facts_timer_.Once(kFactsInterval, [this] { RefreshFacts(); });
 }
 
-void DirectAgent::ReadIfAlone(core::TimePoint now) {
-  const auto heard = std::max(audience_.last_renewed(), started_at_);
-  if (now - heard < kEntryPatience || !alone_pause_.IsReady(now)) {
+void DirectAgent::ReadWithoutEntries(core::TimePoint now) {
+  const auto last_contact = std::max(subscribers_.last_renewed(), started_at_);
+  if (now - last_contact < kEntryTimeout || !store_backoff_.IsReady(now)) {
     return;
   }
-  alone_pause_.OnFailure(now);
+  store_backoff_.OnFailure(now);
   reader_.ReadNow(Section::kWeights);
   if (!weights_.KnowsAgents()) {
     reader_.ReadNow(Section::kEndpoints);
@@ -177,17 +181,17 @@
 
 void DirectAgent::OnSubscribe(const membership::Member& entry) {
   const auto now = process_.loop().Now();
-  const bool near = entry.domain_ == process_.domain();
-  if (audience_.Subscribe(entry.address_, near, now) && last_load_) {
-    Tell(*last_load_, false, false, now);
+  const bool local = entry.domain_ == process_.domain();
+  if (subscribers_.Subscribe(entry.address_, local, now) && last_load_) {
+    SendReports(*last_load_, false, false, now);
   }
 }
 
-void DirectAgent::Tell(LoadMessage load, bool changed, bool urgent,
-                       core::TimePoint now) {
+void DirectAgent::SendReports(LoadMessage load, bool changed, bool urgent,
+                              core::TimePoint now) {
   load.sent_ms_ = static_cast<std::uint64_t>(
       std::chrono::duration_cast<milliseconds>(now.time_since_epoch()).count());
-  for (const auto& entry : audience_.CollectDue(changed, urgent, now)) {
+  for (const auto& entry : subscribers_.CollectDue(changed, urgent, now)) {
     load.incarnation_ = entry.full_ ? incarnation_.value() : "";
     mesh_.SendReport(entry, load);
   }
@@ -195,26 +199,26 @@
 
 void DirectAgent::OnPublished(const StoreSnapshot& published) {
   if (published.rules_) {
-    if (const auto facts = FactsOf(*published.rules_, service_)) {
-      TakeFacts(*facts);
+    if (const auto facts = FindEngineFacts(*published.rules_, service_)) {
+      ApplyFacts(*facts);
     }
   }
   if (!published.endpoints_.empty()) {
-    weights_.SetAgents(AgentsOf(published.endpoints_, service_, mesh_));
+    weights_.SetAgents(AgentAddressesOf(published.endpoints_, service_, mesh_));
   }
   for (const auto& weights : published.weights_) {
-    weights_.OnNamed(weights);
+    weights_.OnVersionPublished(weights);
   }
 }
 
-void DirectAgent::TakeFacts(const EngineFacts& facts) {
+void DirectAgent::ApplyFacts(const EngineFacts& facts) {
   if (model_.empty()) {
-    // What the engine said so far could not be understood.
+    // Earlier reports could not be interpreted without the model's name.
     poll_.Once(core::Duration{}, [this] { PollEngine(); });
   }
   model_ = facts.model_;
   health_path_ = facts.health_path_;
-  weights_.SetModel(model_, facts.pieces_);
+  weights_.SetModel(model_, facts.chunks_);
   if (!facts.agents_.empty()) {
     weights_.SetAgents(facts.agents_);
   }
@@ -226,7 +230,7 @@
 void DirectAgent::PollEngine() {
   adapter_.weights_.report_([this](const std::optional<EngineReport>& report) {
     OnReport(report);
-    poll_.Once(weights_.settled() ? kPollInterval : kQuickPollInterval,
+    poll_.Once(weights_.idle() ? kPollInterval : kQuickPollInterval,
                [this] { PollEngine(); });
   });
 }
@@ -248,7 +252,7 @@
   if (Restarted(*report)) {
     incarnation_ = {};
   }
-  AskIncarnation();
+  RequestIncarnation();
   weights_.OnReport(*report);
   LoadMessage load;
   load.endpoint_ = endpoint_;
@@ -276,7 +280,7 @@
   if (changed) {
     last_load_ = load;
   }
-  Tell(load, changed, urgent, now);
+  SendReports(load, changed, urgent, now);
 }
 
 bool DirectAgent::Restarted(const EngineReport& report) const {
@@ -286,32 +290,34 @@
          report.activation_count_ < orders_ || version < version_;
 }
 
-void DirectAgent::AskIncarnation() {
+void DirectAgent::RequestIncarnation() {
   const auto now = process_.loop().Now();
   if (!incarnation_.empty() || health_path_.empty() ||
-      now - incarnation_asked_at_ < kIncarnationRetry) {
+      now - incarnation_requested_at_ < kIncarnationRetry) {
     return;
   }
-  incarnation_asked_at_ = now;
+  incarnation_requested_at_ = now;
   adapter_.weights_.incarnation_(health_path_,
                                  [this](const core::InstanceId& incarnation) {
                                    incarnation_ = incarnation;
-                                   audience_.RequestFullReports();
+                                   subscribers_.RequestFullReports();
                                  });
 }
 
 core::Duration DirectAgent::InboundDelay(core::TimePoint now) const {
-  // A narrowed link drops datagrams: those that arrive may have been quick.
-  const auto pieces = weights_.LinkDelay(now);
-  return pieces > kNarrowedLink ? std::max(pieces, mesh_.InboundDelay())
-                                : mesh_.InboundDelay();
+  // A degraded link drops datagrams, so the delay of those that arrive may be
+  // too low an estimate.
+  const auto queueing = weights_.LinkDelay(now);
+  return queueing > kDegradedLinkDelay
+             ? std::max(queueing, mesh_.InboundDelay())
+             : mesh_.InboundDelay();
 }
 
 std::string DirectAgent::Status() const {
   const nlohmann::json status{{"id", process_.id().value()},
                               {"domain", process_.domain().value()},
                               {"model", model_},
-                              {"wanted_version", weights_.wanted().version_},
+                              {"wanted_version", weights_.target().version_},
                               {"serving_version", weights_.serving()},
                               {"pieces_held", weights_.held().count()},
                               {"pieces", weights_.held().size()},
--- a/packages/daemon/src/daemon/direct/direct_agent.hpp
+++ b/packages/daemon/src/daemon/direct/direct_agent.hpp
@@ -1,5 +1,6 @@
-// The agent of a deployment whose endpoints are called directly: it tells the
-// entries what its engine reports, and keeps the engine on the newest weights.
+// The agent of a deployment whose endpoints are called directly: it sends its
+// engine's load reports to the entries and keeps the engine on the target
+// version.
 #pragma once
 
 #include <memory>
@@ -17,32 +18,34 @@
 
 namespace chalkwell::daemon::direct {
 
-/// @brief One agent beside one engine.
+/// @brief Agent that runs beside one engine.
 class DirectAgent {
  public:
   DirectAgent(ProcessBase& process, Adapter adapter);
 
-  /// @brief Runs until a planned stop.
+  /// @brief Runs until a graceful shutdown.
   void Run();
 
  private:
   void PollEngine();
   void OnReport(const std::optional<EngineReport>& report);
   void OnPublished(const StoreSnapshot& published);
-  void TakeFacts(const EngineFacts& facts);
-  /// @brief Asks what the engine's service is, and which other agents there
-  /// are, from time to time.
-  void AskFacts();
-  /// @brief Reads from the store what entries say else, while none says it.
-  void ReadIfAlone(core::TimePoint now);
+  void ApplyFacts(const EngineFacts& facts);
+  /// @brief Requests the facts of the engine's service and the list of agents,
+  /// and schedules the next request.
+  void RefreshFacts();
+  /// @brief Reads the target version and the agents from the store while no
+  /// entry sends them.
+  void ReadWithoutEntries(core::TimePoint now);
   void OnSubscribe(const membership::Member& entry);
-  /// @brief Tells a report to the entries that are due.
-  void Tell(LoadMessage load, bool changed, bool urgent, core::TimePoint now);
-  /// @brief Asks a restarted engine which incarnation it is.
-  void AskIncarnation();
-  /// @brief Whether the engine is another life than at the last report.
+  /// @brief Sends a load report to the entries for which one is due.
+  void SendReports(LoadMessage load, bool changed, bool urgent,
+                   core::TimePoint now);
+  /// @brief Requests the incarnation id of a restarted engine.
+  void RequestIncarnation();
+  /// @brief Whether the engine restarted since the last report.
   [[nodiscard]] bool Restarted(const EngineReport& report) const;
-  /// @brief How long the own link holds back what comes in.
+  /// @brief Delay of incoming traffic on the local link.
   [[nodiscard]] core::Duration InboundDelay(core::TimePoint now) const;
   [[nodiscard]] std::string Status() const;
 
@@ -53,26 +56,27 @@
   std::string model_;
   PublishedReader reader_;
   MeshNode mesh_;
-  WeightsKeeper weights_;
-  FactsAsker facts_;
-  /// Pauses between own reads of the rules.
-  core::Backoff rules_pause_;
-  /// Pauses between own reads of weights wanted and agents.
-  core::Backoff alone_pause_;
+  WeightsManager weights_;
+  FactsClient facts_;
+  /// Backoff of reads of the rules from the store.
+  core::Backoff rules_backoff_;
+  /// Backoff of reads of the target version and agents from the store.
+  core::Backoff store_backoff_;
   core::TimePoint started_at_;
-  /// Whether the rules were read once in case they are small.
-  bool read_small_ = false;
+  /// Whether a read of the rules with a short timeout was attempted, which
+  /// succeeds if they are small.
+  bool small_read_tried_ = false;
   std::unique_ptr<HttpServer> admin_;
-  /// Entries that use the engine.
-  membership::ReportSubscribers audience_;
+  /// Entries that subscribed to the engine's load reports.
+  membership::ReportSubscribers subscribers_;
   /// The last report that differed from the one before it.
   std::optional<LoadMessage> last_load_;
   bool engine_answers_ = false;
   std::string health_path_;
-  /// Of the engine; empty while it is not known.
+  /// Incarnation of the engine; empty while it is not known.
   core::InstanceId incarnation_;
-  core::TimePoint incarnation_asked_at_;
-  /// Start, orders and version of the last report.
+  core::TimePoint incarnation_requested_at_;
+  /// Start time, number of orders and version in the last report.
   std::optional<core::StartTime> started_;
   std::uint64_t orders_ = 0;
   std::uint64_t version_ = 0;
--- a/packages/daemon/src/daemon/direct/engine_facts.cpp
+++ b/packages/daemon/src/daemon/direct/engine_facts.cpp
@@ -1,4 +1,4 @@
-// Each agent has an order of entries of its own, so that those who start
+// Each agent has its own priority order of entries, so that agents that start
 // together ask different ones.
 #include "daemon/direct/engine_facts.hpp"
 
@@ -15,31 +15,31 @@
 constexpr std::string_view kFactsPath = "/v1/engine-facts";
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
-/// An entry that is silent for this long is left for the next: a few hundred
+/// After this time without a response, the next entry is asked: a few hundred
 /// bytes take some 10 ms.
-constexpr auto kAnswerTime = std::chrono::milliseconds(700);
+constexpr auto kResponseTimeout = std::chrono::milliseconds(700);
 
-/// Asks for a service's facts.
-struct FactsAsk {
+/// Request for the facts of a service.
+struct FactsRequest {
   std::string service_;
-  /// Of the agents that the asker knows; 0 for none.
+  /// Digest of the agents that the requester knows; 0 for none.
   std::uint64_t agents_digest_ = 0;
   MSGPACK_DEFINE(service_, agents_digest_)
 };
 
-std::uint64_t DigestOf(const AgentAddresses& agents) {
+std::uint64_t AgentsDigest(const AgentAddresses& agents) {
   return agents.empty() ? 0 : core::RendezvousScore(Pack(agents), "");
 }
 
 }  // namespace
 
-std::optional<EngineFacts> FactsOf(const config::TrafficRules& rules,
-                                   const std::string& service) {
+std::optional<EngineFacts> FindEngineFacts(const config::TrafficRules& rules,
+                                           const std::string& service) {
   EngineFacts facts;
   for (const auto& row : rules.services_) {
     if (row.name_ == service && row.engine_) {
       facts.model_ = row.engine_->model_;
-      facts.pieces_ = row.engine_->weight_chunks_;
+      facts.chunks_ = row.engine_->weight_chunks_;
       facts.health_path_ = row.health_path_;
     }
     if (!row.origin_.empty()) {
@@ -49,8 +49,9 @@
   return facts.model_.empty() ? std::nullopt : std::optional(std::move(facts));
 }
 
-AgentAddresses AgentsOf(const std::vector<routing::EndpointRow>& rows,
-                        const std::string& service, const MeshNode& mesh) {
+AgentAddresses AgentAddressesOf(const std::vector<routing::EndpointRow>& rows,
+                                const std::string& service,
+                                const MeshNode& mesh) {
   AgentAddresses agents;
   for (const auto& row : rows) {
     if (row.service_ == service && !row.leaving_) {
@@ -71,11 +72,11 @@
   if (call->path() != kFactsPath) {
     return false;
   }
-  const auto ask = Unpack<FactsAsk>(call->body(), "peer");
-  if (auto facts = FactsOf(rules, ask.service_)) {
-    auto agents = AgentsOf(rows, ask.service_, mesh);
-    facts->agents_digest_ = DigestOf(agents);
-    if (facts->agents_digest_ != ask.agents_digest_) {
+  const auto request = Unpack<FactsRequest>(call->body(), "peer");
+  if (auto facts = FindEngineFacts(rules, request.service_)) {
+    auto agents = AgentAddressesOf(rows, request.service_, mesh);
+    facts->agents_digest_ = AgentsDigest(agents);
+    if (facts->agents_digest_ != request.agents_digest_) {
       facts->agents_ = std::move(agents);
     }
     call->Respond(kOk, Pack(*facts));
@@ -85,14 +86,14 @@
   return true;
 }
 
-FactsAsker::FactsAsker(Loop& loop, MeshNode& mesh, std::string service,
-                       Done done)
+FactsClient::FactsClient(Loop& loop, MeshNode& mesh, std::string service,
+                         Done done)
     : loop_(loop),
       mesh_(mesh),
       service_(std::move(service)),
       done_(std::move(done)) {}
 
-std::optional<membership::Member> FactsAsker::NextEntry() {
+std::optional<membership::Member> FactsClient::NextEntry() {
   auto entries = mesh_.LiveMembers();
   std::erase_if(entries, [](const membership::Member& member) {
     return member.kind_ != membership::MemberKind::kEntry || member.leaving_;
@@ -106,12 +107,12 @@
         entry.domain_ == self.domain_,
         core::RendezvousScore(self.id_.value(), entry.id_.value()));
   });
-  return entries[turn_++ % entries.size()];
+  return entries[next_entry_++ % entries.size()];
 }
 
-bool FactsAsker::Ask() {
+bool FactsClient::Request() {
   const auto now = loop_.Now();
-  if (call_ != nullptr && now - asked_at_ < kAnswerTime) {
+  if (call_ != nullptr && now - requested_at_ < kResponseTimeout) {
     return true;
   }
   if (call_ != nullptr) {
@@ -126,9 +127,9 @@
     connection =
         std::make_unique<PeerConnection>(loop_, ParseAddress(entry->address_));
   }
-  asked_at_ = now;
+  requested_at_ = now;
   call_ = connection->Ask(
-      std::string(kFactsPath), Pack(FactsAsk{service_, agents_digest_}),
+      std::string(kFactsPath), Pack(FactsRequest{service_, agents_digest_}),
       [this, peer = entry->id_.value()](PeerEnd end, int status,
                                         const std::string& body) {
         call_ = nullptr;
--- a/packages/daemon/src/daemon/direct/engine_facts.hpp
+++ b/packages/daemon/src/daemon/direct/engine_facts.hpp
@@ -1,6 +1,6 @@
-// What an agent needs to know of its engine's service, and of the other agents
-// of it. It asks an entry for both: the rules may be a megabyte, and a hundred
-// agents may start at once.
+// Facts about an engine's service and the list of its other agents. An agent
+// requests both from an entry instead of reading the rules: these may be a
+// megabyte, and a hundred agents may start at once.
 #pragma once
 
 #include <functional>
@@ -19,54 +19,56 @@
 
 namespace chalkwell::daemon::direct {
 
-/// @brief Agents of one service by failure domain, as addresses.
+/// @brief Addresses of the agents of one service, by failure domain.
 using AgentAddresses = std::map<std::string, std::vector<std::string>>;
 
-/// @brief Facts of one service's engines and their weights.
+/// @brief Facts about the engines of one service and their weights.
 struct EngineFacts {
   std::string model_;
-  /// Pieces of its weights; 0 when not known.
-  std::uint32_t pieces_ = 0;
-  /// Where an engine answers whether it is well.
+  /// Number of chunks of its weights; 0 when not known.
+  std::uint32_t chunks_ = 0;
+  /// Path of the engine's health check.
   std::string health_path_;
-  /// Source of the weights, "ip:port".
+  /// Address of the weights' origin, "ip:port".
   std::string origin_;
-  /// Empty when the asker has them, or when they are not known.
+  /// Empty when the requester has them already or when they are not known.
   AgentAddresses agents_;
-  /// Names what the agents are; 0 when they are not known.
+  /// Digest of the full list of agents; 0 when they are not known.
   std::uint64_t agents_digest_ = 0;
-  MSGPACK_DEFINE(model_, pieces_, health_path_, origin_, agents_,
+  MSGPACK_DEFINE(model_, chunks_, health_path_, origin_, agents_,
                  agents_digest_)
 };
 
-/// @brief Finds the facts of a service.
-/// @return nothing when the rules know no such service; no source while they
-/// name none.
-[[nodiscard]] std::optional<EngineFacts> FactsOf(
+/// @brief Finds the facts of a service in the rules.
+/// @return nothing when the rules have no such service; `origin_` is empty when
+/// they name no origin.
+[[nodiscard]] std::optional<EngineFacts> FindEngineFacts(
     const config::TrafficRules& rules, const std::string& service);
 
-/// @brief Agents beside the endpoints of a service.
-[[nodiscard]] AgentAddresses AgentsOf(
+/// @brief Addresses of the agents that run beside the endpoints of a service.
+[[nodiscard]] AgentAddresses AgentAddressesOf(
     const std::vector<routing::EndpointRow>& rows, const std::string& service,
     const MeshNode& mesh);
 
-/// @brief Answers an agent's call.
+/// @brief Responds to an agent's request for facts.
 /// @param rows endpoints of all services.
-/// @return false when the call is not for facts.
+/// @return false when the call is not a request for facts.
 bool HandleFactsCall(const PeerCallPtr& call, const config::TrafficRules& rules,
                      const std::vector<routing::EndpointRow>& rows,
                      const MeshNode& mesh);
 
-/// @brief Asks entries until one knows, the own failure domain's first.
-class FactsAsker {
+/// @brief Requests facts from entries in turn, local ones first, until one
+/// responds.
+class FactsClient {
  public:
   using Done = std::function<void(const EngineFacts& facts)>;
 
-  FactsAsker(Loop& loop, MeshNode& mesh, std::string service, Done done);
+  FactsClient(Loop& loop, MeshNode& mesh, std::string service, Done done);
 
-  /// @brief Asks one entry now, unless an answer is awaited or none is known.
-  /// @return whether an ask is under way.
-  bool Ask();
+  /// @brief Sends a request to one entry, unless one is in flight or no entry
+  /// is known.
+  /// @return whether a request is in flight.
+  bool Request();
 
  private:
   [[nodiscard]] std::optional<membership::Member> NextEntry();
@@ -78,11 +80,11 @@
   /// By address.
   std::map<std::string, std::unique_ptr<PeerConnection>> connections_;
   OutgoingCallPtr call_;
-  /// Of the agents that were told last.
+  /// Digest of the agents received last.
   std::uint64_t agents_digest_ = 0;
-  core::TimePoint asked_at_;
-  /// Entries asked so far: each ask goes to the next.
-  std::size_t turn_ = 0;
+  core::TimePoint requested_at_;
+  /// Number of requests sent; each goes to the next entry.
+  std::size_t next_entry_ = 0;
 };
 
 }  // namespace chalkwell::daemon::direct
--- a/packages/daemon/src/daemon/direct/older_weights.cpp
+++ b/packages/daemon/src/daemon/direct/older_weights.cpp
@@ -1,5 +1,4 @@
-// Copies are compared with their digests before they are kept, as far as those
-// are known.
+// Copies are verified before they are saved if the version's digests are known.
 #include "daemon/direct/older_weights.hpp"
 
 #include <set>
@@ -8,48 +7,49 @@
 namespace chalkwell::daemon::direct {
 namespace {
 
-/// Memory that an agent spends on pieces for others during a roll.
-constexpr std::size_t kMostBytes = std::size_t{16} << 20;
+/// Maximum memory for copies of older chunks that an agent keeps for peers
+/// during a rollout.
+constexpr std::size_t kMaxCopyBytes = std::size_t{16} << 20;
 
 }  // namespace
 
-OlderWeights::OlderWeights() : pieces_(kMostBytes) {}
+OlderWeights::OlderWeights() : chunks_(kMaxCopyBytes) {}
 
 void OlderWeights::Start(std::uint64_t version,
                          std::optional<WeightsManifest> manifest,
                          swarm::ChunkSet staged) {
   manifest_ = std::move(manifest);
-  pieces_.Start(version, std::move(staged));
+  chunks_.Start(version, std::move(staged));
 }
 
 void OlderWeights::Clear() {
   manifest_.reset();
-  pieces_.Clear();
+  chunks_.Clear();
 }
 
 const WeightsManifest* OlderWeights::Manifest(std::uint64_t version) const {
   return manifest_ && manifest_->version_ == version ? &*manifest_ : nullptr;
 }
 
-bool OlderWeights::Holds(const PieceMessage& piece) const {
-  return version() != 0 && piece.version_ == version() &&
-         pieces_.available().Has(piece.piece_);
+bool OlderWeights::Holds(const ChunkRequest& chunk) const {
+  return version() != 0 && chunk.version_ == version() &&
+         chunks_.available().Has(chunk.chunk_);
 }
 
-const std::string* OlderWeights::Copy(const PieceMessage& piece) const {
-  return Holds(piece) ? pieces_.FindCopy(piece.piece_) : nullptr;
+const std::string* OlderWeights::FindCopy(const ChunkRequest& chunk) const {
+  return Holds(chunk) ? chunks_.FindCopy(chunk.chunk_) : nullptr;
 }
 
-void OlderWeights::OnOverwritten(std::size_t piece,
+void OlderWeights::OnOverwritten(std::size_t chunk,
                                  std::optional<std::string> bytes) {
-  const bool spoilt =
-      bytes && manifest_ && piece < manifest_->chunk_digests_.size() &&
-      core::Digest::Sha256Of(*bytes) != manifest_->chunk_digests_[piece];
-  if (!bytes || spoilt) {
-    pieces_.Remove(piece);
+  const bool corrupt =
+      bytes && manifest_ && chunk < manifest_->chunk_digests_.size() &&
+      core::Digest::Sha256Of(*bytes) != manifest_->chunk_digests_[chunk];
+  if (!bytes || corrupt) {
+    chunks_.Remove(chunk);
     return;
   }
-  pieces_.SaveCopy(piece, std::move(*bytes));
+  chunks_.SaveCopy(chunk, std::move(*bytes));
 }
 
 void OlderWeights::AddTo(HeldChunksMessage& held) const {
@@ -57,7 +57,7 @@
     return;
   }
   held.older_version_ = version();
-  held.older_bits_ = pieces_.available().ToBytes();
+  held.older_bits_ = chunks_.available().ToBytes();
   held.has_older_manifest_ = manifest_.has_value();
 }
 
@@ -66,7 +66,7 @@
          (held.has_older_manifest_ && held.older_version_ == version);
 }
 
-swarm::ChunkSet OfferedPieces(const HeldChunksMessage& held,
+swarm::ChunkSet OfferedChunks(const HeldChunksMessage& held,
                               std::uint64_t version, std::size_t size) {
   if (held.version_ == version) {
     return swarm::ChunkSet::FromBytes(held.bits_, size);
@@ -76,23 +76,23 @@
              : swarm::ChunkSet(size);
 }
 
-swarm::ChunkSet OfferedPieces(
-    const std::map<core::InstanceId, PiecePeer>& peers, std::uint64_t version,
+swarm::ChunkSet OfferedChunks(
+    const std::map<core::InstanceId, ChunkPeer>& peers, std::uint64_t version,
     std::size_t size) {
   swarm::ChunkSet offered(size);
   for (const auto& [id, peer] : peers) {
-    const auto pieces = OfferedPieces(peer.held_, version, size);
-    for (std::size_t piece = 0; piece < size; ++piece) {
-      if (pieces.Has(piece)) {
-        offered.Add(piece);
+    const auto chunks = OfferedChunks(peer.held_, version, size);
+    for (std::size_t chunk = 0; chunk < size; ++chunk) {
+      if (chunks.Has(chunk)) {
+        offered.Add(chunk);
       }
     }
   }
   return offered;
 }
 
-std::optional<std::uint64_t> OfferedBelow(
-    const std::map<core::InstanceId, PiecePeer>& peers, std::uint64_t version,
+std::optional<std::uint64_t> NewestOfferedBelow(
+    const std::map<core::InstanceId, ChunkPeer>& peers, std::uint64_t version,
     std::size_t size) {
   std::set<std::uint64_t, std::greater<>> versions;
   for (const auto& [id, peer] : peers) {
@@ -104,7 +104,7 @@
     }
   }
   for (const auto older : versions) {
-    if (size > 0 && OfferedPieces(peers, older, size).full()) {
+    if (size > 0 && OfferedChunks(peers, older, size).full()) {
       return older;
     }
   }
--- a/packages/daemon/src/daemon/direct/older_weights.hpp
+++ b/packages/daemon/src/daemon/direct/older_weights.hpp
@@ -1,5 +1,6 @@
-// The weights that engines serve while newer ones are fetched: what this agent
-// can give of them, and what others offer to an engine that holds none.
+// The version that an engine serves while a newer one is fetched: which of its
+// chunks this agent can provide, and which versions peers offer to an engine
+// without weights.
 #pragma once
 
 #include <cstdint>
@@ -15,55 +16,58 @@
 
 namespace chalkwell::daemon::direct {
 
-/// @brief Older weights of this agent's engine.
+/// @brief Chunks of the version that this agent's engine serves while a newer
+/// one overwrites its staging.
 class OlderWeights {
  public:
   OlderWeights();
 
-  /// @brief Newer weights begin to overwrite what is staged.
-  /// @param manifest of the version, where it is known.
-  /// @param staged pieces of it.
+  /// @brief Starts to track a version whose staging is about to be overwritten.
+  /// @param manifest manifest of the version, if known.
+  /// @param staged chunks of the version that are staged.
   void Start(std::uint64_t version, std::optional<WeightsManifest> manifest,
              swarm::ChunkSet staged);
   void Clear();
 
   [[nodiscard]] std::uint64_t version() const noexcept {
-    return pieces_.version();
+    return chunks_.version();
   }
-  /// @return null unless it is the manifest of this version.
+  /// @return the manifest, or null when it is not known or belongs to another
+  /// version.
   [[nodiscard]] const WeightsManifest* Manifest(std::uint64_t version) const;
-  [[nodiscard]] bool Holds(const PieceMessage& piece) const;
-  [[nodiscard]] const std::string* Copy(const PieceMessage& piece) const;
-  [[nodiscard]] bool NeedsCopy(std::size_t piece) const {
-    return pieces_.NeedsCopy(piece);
+  [[nodiscard]] bool Holds(const ChunkRequest& chunk) const;
+  [[nodiscard]] const std::string* FindCopy(const ChunkRequest& chunk) const;
+  [[nodiscard]] bool NeedsCopy(std::size_t chunk) const {
+    return chunks_.NeedsCopy(chunk);
   }
-  /// @param bytes as staged; none when they could not be read.
-  void OnOverwritten(std::size_t piece, std::optional<std::string> bytes);
-  void Lose(std::size_t piece) { pieces_.Remove(piece); }
-  /// @brief Adds what can be given to what this agent announces.
+  /// @brief Saves a copy of a chunk before its staging is overwritten.
+  /// @param bytes staged bytes; none when they could not be read.
+  void OnOverwritten(std::size_t chunk, std::optional<std::string> bytes);
+  void RemoveChunk(std::size_t chunk) { chunks_.Remove(chunk); }
+  /// @brief Adds the version and its available chunks to an announcement.
   void AddTo(HeldChunksMessage& held) const;
 
  private:
   std::optional<WeightsManifest> manifest_;
-  swarm::OlderVersionChunks pieces_;
+  swarm::OlderVersionChunks chunks_;
 };
 
-/// @brief Whether a peer announced that it can give a manifest.
+/// @brief Whether a peer announced the manifest of a version.
 [[nodiscard]] bool OffersManifest(const HeldChunksMessage& held,
                                   std::uint64_t version);
-/// @brief Pieces of a version that a peer announced.
-/// @param size pieces of the version.
-[[nodiscard]] swarm::ChunkSet OfferedPieces(const HeldChunksMessage& held,
+/// @brief Chunks of a version that a peer announced.
+/// @param size number of chunks of the version.
+[[nodiscard]] swarm::ChunkSet OfferedChunks(const HeldChunksMessage& held,
                                             std::uint64_t version,
                                             std::size_t size);
-/// @brief Pieces of a version that some peer announced.
-[[nodiscard]] swarm::ChunkSet OfferedPieces(
-    const std::map<core::InstanceId, PiecePeer>& peers, std::uint64_t version,
+/// @brief Chunks of a version that at least one peer announced.
+[[nodiscard]] swarm::ChunkSet OfferedChunks(
+    const std::map<core::InstanceId, ChunkPeer>& peers, std::uint64_t version,
     std::size_t size);
-/// @brief Newest version below a given one of which peers together offer all
-/// pieces and the manifest; none when there is none.
-[[nodiscard]] std::optional<std::uint64_t> OfferedBelow(
-    const std::map<core::InstanceId, PiecePeer>& peers, std::uint64_t version,
+/// @brief Newest version below the given one of which the peers together offer
+/// all chunks and the manifest; none if there is none.
+[[nodiscard]] std::optional<std::uint64_t> NewestOfferedBelow(
+    const std::map<core::InstanceId, ChunkPeer>& peers, std::uint64_t version,
     std::size_t size);
 
 }  // namespace chalkwell::daemon::direct
--- a/packages/daemon/src/daemon/direct/weights_manager.cpp
+++ b/packages/daemon/src/daemon/direct/weights_manager.cpp
@@ -1,5 +1,5 @@
-// One version at a time; a newer one ends whatever is under way. Fetching,
-// switching, and older weights have files of their own.
+// One version is fetched at a time; a newer one aborts it. Fetching, switching
+// and older versions are in files of their own.
 #include "daemon/direct/weights_manager.hpp"
 
 #include <random>
@@ -13,42 +13,43 @@
 
 using std::chrono::milliseconds;
 
-constexpr auto kTick = milliseconds(40);
-/// Changes of what is held are told this often at most: a piece takes some 30
-/// ms on a link of 7 Mbit/s.
+constexpr auto kTickInterval = milliseconds(40);
+/// Minimum interval between announcements of changes: a chunk takes some 30 ms
+/// on a link of 7 Mbit/s.
 constexpr auto kAnnounceInterval = milliseconds(120);
-/// Unchanged news is repeated, since datagrams are lost; less often where
-/// nothing is to be fetched, since newcomers are answered.
-constexpr auto kRepeat = milliseconds(1000);
-constexpr auto kSettledRepeat = milliseconds(3000);
-/// A piece that no own neighbour has is imported by the next in rank then.
-constexpr auto kImportSilence = milliseconds(500);
-/// All agents share the source: asked at each tick, it does nothing but refuse
-/// connections, and with longer pauses it is idle when it is back.
-constexpr core::BackoffSettings kSourcePause{milliseconds(100),
-                                             milliseconds(600)};
-constexpr auto kPieceTimeout = milliseconds(2500);
-constexpr auto kDrawSilence = milliseconds(900);
-constexpr std::size_t kPerPeer = 1;
-/// The source's link is shared by all agents: one piece each.
-constexpr std::size_t kOriginInFlight = 1;
-/// Of all agents together: keeps the source's link busy while what it sent
-/// becomes known, with few connections for each.
-constexpr std::size_t kDrawWindow = 24;
-/// An order that shows no effect for this long is given again.
-constexpr auto kOrderTime = milliseconds(7000);
-constexpr double kOutShare = 0.5;
-constexpr auto kTurnLease = milliseconds(2600);
+/// Unchanged state is repeated because datagrams get lost. The interval is
+/// longer while idle, since newcomers get a reply to their own announcement.
+constexpr auto kRepeatInterval = milliseconds(1000);
+constexpr auto kIdleRepeatInterval = milliseconds(3000);
+/// A chunk that no local member holds is imported by the next member in rank
+/// after this time.
+constexpr auto kImportTakeoverTimeout = milliseconds(500);
+/// All agents share the origin. Requests at every tick would leave it busy
+/// refusing connections; longer pauses would leave it idle after it recovers.
+constexpr core::BackoffSettings kOriginBackoff{milliseconds(100),
+                                               milliseconds(600)};
+constexpr auto kChunkTimeout = milliseconds(2500);
+constexpr auto kOriginTakeoverTimeout = milliseconds(900);
+constexpr std::size_t kMaxRequestsPerPeer = 1;
+/// One chunk per agent, since all agents share the link of the origin.
+constexpr std::size_t kMaxOriginRequests = 1;
+/// Chunks in flight from the origin over all agents: enough to keep its link
+/// busy until received chunks are announced, with few connections per agent.
+constexpr std::size_t kOriginWindow = 24;
+/// After this time without effect, an activation order is sent again.
+constexpr auto kOrderTimeout = milliseconds(7000);
+constexpr double kMaxDrainingShare = 0.5;
+constexpr auto kSlotLease = milliseconds(2600);
 
 swarm::PlannerSettings PlannerSettingsOf() {
   swarm::PlannerSettings planner;
   planner.origin_copies_ = 1;
-  planner.max_requests_per_peer_ = kPerPeer;
-  planner.max_origin_requests_ = kOriginInFlight;
-  planner.origin_window_ = kDrawWindow;
-  planner.origin_takeover_timeout_ = kDrawSilence;
-  planner.chunk_timeout_ = kPieceTimeout;
-  planner.import_takeover_timeout_ = kImportSilence;
+  planner.max_requests_per_peer_ = kMaxRequestsPerPeer;
+  planner.max_origin_requests_ = kMaxOriginRequests;
+  planner.origin_window_ = kOriginWindow;
+  planner.origin_takeover_timeout_ = kOriginTakeoverTimeout;
+  planner.chunk_timeout_ = kChunkTimeout;
+  planner.import_takeover_timeout_ = kImportTakeoverTimeout;
   return planner;
 }
 
@@ -60,91 +61,92 @@
 
 }  // namespace
 
-WeightsKeeper::WeightsKeeper(ProcessBase& process, const WeightsClient& client,
-                             MeshNode& mesh)
+WeightsManager::WeightsManager(ProcessBase& process,
+                               const WeightsClient& client, MeshNode& mesh)
     : process_(process),
       client_(client),
       mesh_(mesh),
-      peers_(process, client, mesh, Source()),
-      search_({peers_.self(), process.domain()}),
+      peers_(process, client, mesh, MakeChunkProvider()),
+      manifest_search_({peers_.self(), process.domain()}),
       planner_({peers_.self(), process.domain()}, PlannerSettingsOf(),
                std::random_device{}()),
-      source_(kSourcePause, std::random_device{}()),
+      origin_backoff_(kOriginBackoff, std::random_device{}()),
       window_(WindowSettingsOf(process.settings())),
-      turns_(peers_.self(), kOutShare, kTurnLease),
+      rollout_slots_(peers_.self(), kMaxDrainingShare, kSlotLease),
       tick_(process.loop()) {
-  tick_.Every(kTick, [this] { Tick(); });
+  tick_.Every(kTickInterval, [this] { Tick(); });
 }
 
-void WeightsKeeper::SetModel(const std::string& model, std::size_t pieces) {
+void WeightsManager::SetModel(const std::string& model, std::size_t chunks) {
   model_ = model;
-  usual_pieces_ = pieces;
+  model_chunks_ = chunks;
 }
 
-void WeightsKeeper::OnNamed(const TargetVersion& weights) {
-  if (weights.version_ <= wanted_.version_ ||
+void WeightsManager::OnVersionPublished(const TargetVersion& weights) {
+  if (weights.version_ <= target_.version_ ||
       (!model_.empty() && weights.model_ != model_)) {
     return;
   }
-  const auto before = wanted_.version_;
-  wanted_ = weights;
-  named_.OnVersionPublished(weights.version_, process_.loop().Now());
+  const auto before = target_.version_;
+  target_ = weights;
+  version_bound_.OnVersionPublished(weights.version_, process_.loop().Now());
   process_.log().Write(core::EventNumber::kWeightsNamed,
                        {{"model", weights.model_},
                         {"version", std::to_string(weights.version_)}});
-  if (phase_ != Phase::kSettled && goal_.version_ == before) {
+  if (phase_ != Phase::kIdle && fetch_target_.version_ == before) {
     process_.log().Write(core::EventNumber::kFetchAbandoned,
                          {{"for", std::to_string(weights.version_)}});
-    SetPhase(Phase::kSettled);
+    SetPhase(Phase::kIdle);
   }
 }
 
-void WeightsKeeper::SetPhase(Phase phase) {
+void WeightsManager::SetPhase(Phase phase) {
   phase_ = phase;
   phase_since_ = process_.loop().Now();
-  if (phase == Phase::kSettled) {
-    ++job_;
-    peers_.CancelPieces();
+  if (phase == Phase::kIdle) {
+    ++fetch_id_;
+    peers_.CancelChunks();
     switching_ = false;
   }
 }
 
-void WeightsKeeper::OnEngineLost() { heard_engine_ = false; }
+void WeightsManager::OnEngineLost() { engine_reported_ = false; }
 
-void WeightsKeeper::OnReport(const EngineReport& report) {
+void WeightsManager::OnReport(const EngineReport& report) {
   if (model_.empty()) {
-    // Which of its models counts is not known yet: it may serve already.
+    // The service's model is not known yet; the engine may already serve it.
     return;
   }
   const auto held = report.model_versions_.find(model_);
   const auto version = held == report.model_versions_.end() ? 0 : held->second;
   const bool restarted =
-      routing::StartTimesDiffer(report.started_, started_seen_) ||
-      report.activation_count_ < orders_seen_;
-  orders_seen_ = report.activation_count_;
-  started_seen_ = report.started_;
-  heard_engine_ = true;
+      routing::StartTimesDiffer(report.started_, last_started_) ||
+      report.activation_count_ < last_orders_;
+  last_orders_ = report.activation_count_;
+  last_started_ = report.started_;
+  engine_reported_ = true;
   if (restarted) {
-    // What it held staged may be gone with its life: it is read anew.
+    // The staged chunks may be lost with the previous incarnation; they are
+    // read again.
     held_ = {};
     manifest_.reset();
     older_.Clear();
     older_refused_ = false;
     staged_checked_ = false;
     announce_due_ = true;
-    SetPhase(Phase::kSettled);
+    SetPhase(Phase::kIdle);
   }
   if (version != serving_) {
     OnServing(version, restarted);
   }
-  const bool needless = version > 0 && version >= goal_.version_;
-  if (needless && phase_ != Phase::kSettled && !report.activating_) {
-    SetPhase(Phase::kSettled);
-    turns_.OnServing(peers_.self(), version, process_.loop().Now());
+  const bool superseded = version > 0 && version >= fetch_target_.version_;
+  if (superseded && phase_ != Phase::kIdle && !report.activating_) {
+    SetPhase(Phase::kIdle);
+    rollout_slots_.OnServing(peers_.self(), version, process_.loop().Now());
   }
 }
 
-void WeightsKeeper::OnServing(std::uint64_t version, bool restarted) {
+void WeightsManager::OnServing(std::uint64_t version, bool restarted) {
   serving_ = version;
   announce_due_ = true;
   process_.log().Write(version > 0 ? core::EventNumber::kEndpointReady
@@ -154,74 +156,74 @@
                         {"restarted", restarted ? "yes" : "no"}});
 }
 
-void WeightsKeeper::Tick() {
+void WeightsManager::Tick() {
   const auto now = process_.loop().Now();
-  ForgetSilentPeers(now);
-  if (model_.empty() || !heard_engine_) {
+  RemoveUnresponsivePeers(now);
+  if (model_.empty() || !engine_reported_) {
     return;
   }
-  DropOutdated(now);
-  ConsiderOlder(now);
+  DropExpired(now);
+  ConsiderOlderVersion(now);
   switch (phase_) {
-    case Phase::kSettled:
-      if (serving_ == 0 || serving_ < wanted_.version_) {
-        Begin();
+    case Phase::kIdle:
+      if (serving_ == 0 || serving_ < target_.version_) {
+        StartTargetFetch();
       } else {
         CheckStagedAtStart();
       }
       break;
     case Phase::kManifest:
-      AskManifest();
+      RequestManifest();
       break;
     case Phase::kFetching:
-      Pump();
+      RequestChunks();
       break;
     case Phase::kStaged:
-      TakeTurn();
+      TryStartSwitch();
       break;
     case Phase::kVerifying:
       break;
     case Phase::kOrdered:
-      if (now - phase_since_ >= kOrderTime) {
-        SetPhase(Phase::kSettled);
+      if (now - phase_since_ >= kOrderTimeout) {
+        SetPhase(Phase::kIdle);
       }
       break;
   }
   const bool due = announce_due_ && now - announced_at_ >= kAnnounceInterval;
-  const core::Duration repeat = settled() ? kSettledRepeat : kRepeat;
+  const core::Duration repeat = idle() ? kIdleRepeatInterval : kRepeatInterval;
   if (due || now - announced_at_ >= repeat) {
     Announce(!due);
   }
 }
 
-void WeightsKeeper::Begin() {
-  progress_.Start(usual_pieces_, process_.loop().Now());
-  BeginWith(wanted_);
+void WeightsManager::StartTargetFetch() {
+  progress_.Start(model_chunks_, process_.loop().Now());
+  StartFetch(target_);
 }
 
-void WeightsKeeper::BeginWith(const TargetVersion& goal) {
-  ++job_;
-  KeepServed();
-  goal_ = goal;
+void WeightsManager::StartFetch(const TargetVersion& fetch_target) {
+  ++fetch_id_;
+  RetainServedVersion();
+  fetch_target_ = fetch_target;
   manifest_.reset();
   held_ = {};
-  drawn_.clear();
+  origin_chunks_.clear();
   staging_ = 0;
   verified_all_ = false;
-  search_.Start(process_.loop().Now());
+  manifest_search_.Start(process_.loop().Now());
   SetPhase(Phase::kManifest);
   process_.log().Write(core::EventNumber::kFetchStarted,
                        {{"model", model_},
-                        {"version", std::to_string(goal_.version_)},
+                        {"version", std::to_string(fetch_target_.version_)},
                         {"serving", std::to_string(serving_)}});
-  AskManifest();
+  RequestManifest();
 }
 
-void WeightsKeeper::SetAgents(const AgentAddresses& agents) {
+void WeightsManager::SetAgents(const AgentAddresses& agents) {
   peers_.SetAgents(agents);
 }
 
-HeldChunksMessage WeightsKeeper::Held(core::TimePoint now) const {
+HeldChunksMessage WeightsManager::MakeHeldMessage(core::TimePoint now) const {
   HeldChunksMessage held;
   held.model_ = model_;
   held.version_ = HeldVersion();
@@ -229,32 +231,32 @@
   held.bits_ = held_.ToBytes();
   held.serving_ = serving_;
   held.has_manifest_ = manifest_.has_value();
-  held.degraded_ = window_.LinkDegraded(now) || older_first();
+  held.degraded_ = window_.LinkDegraded(now) || fetching_older();
   older_.AddTo(held);
   return held;
 }
 
-std::set<core::InstanceId> WeightsKeeper::Audience() const {
+std::set<core::InstanceId> WeightsManager::AnnounceTargets() const {
   const swarm::SwarmMember self{peers_.self(), process_.domain()};
-  const auto& near = peers_.neighbours();
-  std::set<core::InstanceId> audience(near.begin(), near.end());
-  for (const auto piece : drawn_) {
-    if (manifest_ && held_.Has(piece)) {
-      audience.merge(swarm::ImportersOf(
-          manifest_->chunk_digests_[piece].ToHex(), self, peers_.agents()));
+  const auto& neighbours = peers_.neighbours();
+  std::set<core::InstanceId> targets(neighbours.begin(), neighbours.end());
+  for (const auto chunk : origin_chunks_) {
+    if (manifest_ && held_.Has(chunk)) {
+      targets.merge(swarm::ImportersOf(manifest_->chunk_digests_[chunk].ToHex(),
+                                       self, peers_.agents()));
     }
   }
-  return audience;
+  return targets;
 }
 
-void WeightsKeeper::Announce(bool repeat) {
+void WeightsManager::Announce(bool repeat) {
   announced_at_ = process_.loop().Now();
   if (!repeat) {
     announce_due_ = false;
   }
-  const auto held = Held(announced_at_);
-  for (const auto& agent : Audience()) {
-    peers_.Tell(agent, held);
+  const auto held = MakeHeldMessage(announced_at_);
+  for (const auto& agent : AnnounceTargets()) {
+    peers_.AnnounceTo(agent, held);
   }
 }
 
--- a/packages/daemon/src/daemon/direct/weights_manager.hpp
+++ b/packages/daemon/src/daemon/direct/weights_manager.hpp
@@ -1,5 +1,6 @@
-// Keeps one engine on the newest weights: fetches their pieces from peers or
-// the source, stages and verifies them, and orders the switch in its turn.
+// Keeps one engine on the target version of its weights: fetches the chunks
+// from peers or the origin, stages and verifies them at the engine, and orders
+// the switch when a rollout slot is free.
 #pragma once
 
 #include <cstdint>
@@ -24,18 +25,20 @@
 
 namespace chalkwell::daemon::direct {
 
-/// @brief Weights of one engine.
-class WeightsKeeper {
+/// @brief Manages the weights of one engine.
+class WeightsManager {
  public:
-  WeightsKeeper(ProcessBase& process, const WeightsClient& client,
-                MeshNode& mesh);
+  WeightsManager(ProcessBase& process, const WeightsClient& client,
+                 MeshNode& mesh);
 
-  /// @param pieces of its weights, as published; 0 when not known.
-  void SetModel(const std::string& model, std::size_t pieces);
+  /// @param chunks number of chunks of its weights according to the rules; 0
+  /// when not known.
+  void SetModel(const std::string& model, std::size_t chunks);
   void SetOrigin(const Address& origin) { origin_ = origin; }
-  /// @brief A version was published or heard of.
-  void OnNamed(const TargetVersion& weights);
-  /// @brief The agents of the service, this one included.
+  /// @brief Handles a publication, read from the store or received from a
+  /// member. Versions older than the target are ignored.
+  void OnVersionPublished(const TargetVersion& weights);
+  /// @brief Sets the agents of the service, including this one.
   void SetAgents(const AgentAddresses& agents);
   [[nodiscard]] bool KnowsAgents() const noexcept {
     return peers_.knows_agents();
@@ -45,15 +48,13 @@
   void OnEngineLost();
 
   [[nodiscard]] bool NeedsOrigin() const noexcept { return !origin_; }
-  [[nodiscard]] const TargetVersion& wanted() const noexcept { return wanted_; }
+  [[nodiscard]] const TargetVersion& target() const noexcept { return target_; }
   [[nodiscard]] std::uint64_t serving() const noexcept { return serving_; }
-  /// @brief Whether the engine serves what is wanted.
-  [[nodiscard]] bool settled() const noexcept {
-    return phase_ == Phase::kSettled;
-  }
-  /// @brief Whether the engine is changing its weights or about to.
+  /// @brief Whether no fetch or switch is in progress.
+  [[nodiscard]] bool idle() const noexcept { return phase_ == Phase::kIdle; }
+  /// @brief Whether the engine is switching versions or about to be ordered to.
   [[nodiscard]] bool switching() const noexcept { return switching_; }
-  /// @brief How long pieces that arrive wait on the own link.
+  /// @brief Estimated queueing delay of incoming chunks on the local link.
   [[nodiscard]] core::Duration LinkDelay(core::TimePoint now) const {
     return window_.QueueingDelay(now);
   }
@@ -61,137 +62,150 @@
 
  private:
   enum class Phase : std::uint8_t {
-    /// The engine serves what is wanted.
-    kSettled,
+    /// No fetch or switch is in progress. Unless the engine serves the target
+    /// version, the next tick starts a fetch.
+    kIdle,
     kManifest,
     kFetching,
-    /// All pieces are staged; it waits for its turn.
+    /// All chunks are staged; waits for a rollout slot.
     kStaged,
-    /// Staged pieces are compared with their digests once more.
+    /// Staged chunks are compared with their digests before the order.
     kVerifying,
     kOrdered,
   };
 
   void Tick();
-  /// @brief The engine serves another version than before; 0 for none.
+  /// @brief Handles a change of the version that the engine serves; 0 for none.
   void OnServing(std::uint64_t version, bool restarted);
-  /// @brief Begins with the newest version.
-  void Begin();
-  /// @brief Begins to fetch a version.
-  void BeginWith(const TargetVersion& goal);
-  /// @brief Keeps what is served for others, before it is overwritten.
-  void KeepServed();
-  /// @brief Turns to older weights where they serve sooner.
-  void ConsiderOlder(core::TimePoint now);
-  /// @brief Whether an older version is fetched, for an engine without any.
-  [[nodiscard]] bool older_first() const noexcept {
-    return phase_ != Phase::kSettled && goal_.version_ < wanted_.version_;
+  /// @brief Starts to fetch the target version.
+  void StartTargetFetch();
+  /// @brief Starts to fetch a version and drops the state of any earlier fetch.
+  void StartFetch(const TargetVersion& fetch_target);
+  /// @brief Retains the version that the engine serves for peers before the
+  /// staging is overwritten.
+  void RetainServedVersion();
+  /// @brief Switches to fetching an older version if an engine without weights
+  /// would serve sooner with it.
+  void ConsiderOlderVersion(core::TimePoint now);
+  /// @brief Whether an older version than the target is being fetched for an
+  /// engine that has no weights.
+  [[nodiscard]] bool fetching_older() const noexcept {
+    return phase_ != Phase::kIdle && fetch_target_.version_ < target_.version_;
   }
-  /// @brief Ends with the time in which older weights may be used.
-  void DropOutdated(core::TimePoint now);
-  [[nodiscard]] std::optional<core::TimePoint> EndOf(
+  /// @brief Drops a retained older version, or abandons the fetch of one, once
+  /// its use expires or the fetch takes too long.
+  void DropExpired(core::TimePoint now);
+  [[nodiscard]] std::optional<core::TimePoint> ExpiryOf(
       std::uint64_t version) const;
-  /// @brief Time of pieces on the own link.
-  [[nodiscard]] core::Duration LinkTime(std::size_t pieces) const;
-  /// @brief Version whose pieces are in `held_`.
+  /// @brief Estimated transfer time of chunks on the idle local link.
+  [[nodiscard]] core::Duration TransferTime(std::size_t chunks) const;
+  /// @brief Version whose chunks are in `held_`.
   [[nodiscard]] std::uint64_t HeldVersion() const noexcept {
     return manifest_ ? manifest_->version_ : serving_;
   }
-  /// @brief What this agent gives to others.
-  [[nodiscard]] PieceSource Source();
-  void AskManifest();
+  /// @brief Returns the callbacks through which `peers_` serves chunks and
+  /// manifests of this agent.
+  [[nodiscard]] ChunkProvider MakeChunkProvider();
+  void RequestManifest();
   void OnManifest(const std::optional<WeightsManifest>& manifest);
-  void TakeManifest(const WeightsManifest& manifest);
-  void ReadStaged(std::size_t piece);
-  void Pump();
-  void Fetch(const swarm::FetchRequest& order);
-  /// @brief The source answered, or did not.
-  void OnSource(bool answered, const std::string& what);
-  void OnPiece(std::size_t piece, const std::optional<std::string>& bytes,
-               const std::string& source);
-  void Stage(std::size_t piece, std::string bytes);
-  void PutStaged(std::size_t piece, std::string bytes);
-  void OnMissing(const PieceMessage& piece);
-  void TakeTurn();
-  /// @brief Whether the switch cannot wait for its turn.
-  [[nodiscard]] bool Urgent(core::TimePoint now) const;
+  void ApplyManifest(const WeightsManifest& manifest);
+  void ReadStagedChunk(std::size_t chunk);
+  void RequestChunks();
+  void FetchChunk(const swarm::FetchRequest& request);
+  /// @brief Records whether a request to the origin succeeded.
+  /// @param what kind of request, for the log.
+  void OnOriginResult(bool succeeded, const std::string& what);
+  void OnChunkFetched(std::size_t chunk,
+                      const std::optional<std::string>& bytes,
+                      const std::string& source);
+  void StageChunk(std::size_t chunk, std::string bytes);
+  void WriteStaged(std::size_t chunk, std::string bytes);
+  void OnChunkUnreadable(const ChunkRequest& chunk);
+  void TryStartSwitch();
+  /// @brief Whether the version that the engine serves expires too soon to wait
+  /// for a rollout slot.
+  [[nodiscard]] bool IsUrgent(core::TimePoint now) const;
   void StartPlanner();
   void CheckStagedAtStart();
-  /// @brief Peers that can give the manifest.
+  /// @brief Peers that announced the manifest.
   [[nodiscard]] std::vector<swarm::SwarmMember> ManifestHolders() const;
-  void AskPeerManifest(const core::InstanceId& peer);
-  void AskOriginManifest();
-  void FetchFromPeer(const swarm::FetchRequest& order);
-  void FetchFromOrigin(std::size_t piece);
+  void RequestPeerManifest(const core::InstanceId& peer);
+  void RequestOriginManifest();
+  void FetchFromPeer(const swarm::FetchRequest& request);
+  void FetchFromOrigin(std::size_t chunk);
   void Verify();
-  void VerifyNext(std::size_t piece);
-  void Order();
+  void VerifyNext(std::size_t chunk);
+  void SendActivationOrder();
   void SetPhase(Phase phase);
-  /// @brief Tells whoever may want pieces what is held here.
+  /// @brief Announces the held chunks to neighbours and importers.
+  /// @param repeat whether nothing has changed since the last announcement.
   void Announce(bool repeat);
-  [[nodiscard]] HeldChunksMessage Held(core::TimePoint now) const;
-  /// @brief Agents to tell: neighbours, and the importers of pieces that were
-  /// drawn here.
-  [[nodiscard]] std::set<core::InstanceId> Audience() const;
-  void ForgetSilentPeers(core::TimePoint now);
-  /// @brief Members that want the version too, this one included.
-  [[nodiscard]] std::vector<swarm::SwarmMember> Lacking() const;
+  [[nodiscard]] HeldChunksMessage MakeHeldMessage(core::TimePoint now) const;
+  /// @brief Recipients of announcements: the neighbours, and the importers of
+  /// chunks that this agent fetched from the origin.
+  [[nodiscard]] std::set<core::InstanceId> AnnounceTargets() const;
+  void RemoveUnresponsivePeers(core::TimePoint now);
+  /// @brief Members that lack the fetched version, including this one.
+  [[nodiscard]] std::vector<swarm::SwarmMember> MembersLacking() const;
   [[nodiscard]] std::size_t ManifestRank() const;
-  [[nodiscard]] bool Current(std::uint64_t job) const noexcept {
-    return job == job_;
+  [[nodiscard]] bool IsCurrentFetch(std::uint64_t fetch_id) const noexcept {
+    return fetch_id == fetch_id_;
   }
 
   ProcessBase& process_;
   const WeightsClient& client_;
   MeshNode& mesh_;
   std::string model_;
-  std::size_t usual_pieces_ = 0;
+  std::size_t model_chunks_ = 0;
   std::optional<Address> origin_;
-  /// The newest version.
-  TargetVersion wanted_;
-  /// What is fetched, or was last: `wanted_`, or older weights first.
-  TargetVersion goal_;
+  /// Newest version published, as far as this agent knows.
+  TargetVersion target_;
+  /// Version that is fetched or was fetched last: `target_`, or an older one
+  /// that an engine without weights loads first.
+  TargetVersion fetch_target_;
   OlderWeights older_;
   swarm::OriginProgress progress_;
   core::TimePoint considered_at_;
-  /// The engine refused older weights, or they took too long; until it
-  /// restarts.
+  /// Whether the engine refused an older version or its fetch took too long;
+  /// reset when the engine restarts.
   bool older_refused_ = false;
-  /// Of a piece; 0 until one arrived.
-  std::size_t piece_bytes_ = 0;
-  /// Versions heard of, with their times.
-  rollout::VersionBound named_;
-  /// 0 while the engine serves no whole weights.
+  /// Size of the last chunk received; 0 until one arrived.
+  std::size_t chunk_bytes_ = 0;
+  /// Publication times of versions, which bound how long each may be used.
+  rollout::VersionBound version_bound_;
+  /// 0 while the engine serves no complete version.
   std::uint64_t serving_ = 0;
-  std::uint64_t orders_seen_ = 0;
-  std::optional<core::StartTime> started_seen_;
-  bool heard_engine_ = false;
-  Phase phase_ = Phase::kSettled;
+  std::uint64_t last_orders_ = 0;
+  std::optional<core::StartTime> last_started_;
+  bool engine_reported_ = false;
+  Phase phase_ = Phase::kIdle;
   core::TimePoint phase_since_;
   bool switching_ = false;
-  /// Rises with each fetch; answers of earlier ones are dropped.
-  std::uint64_t job_ = 0;
+  /// Incremented when a fetch starts or ends; replies to earlier fetches are
+  /// dropped.
+  std::uint64_t fetch_id_ = 0;
   std::optional<WeightsManifest> manifest_;
-  /// Pieces verified and staged at the engine.
+  /// Chunks that are verified and staged at the engine.
   swarm::ChunkSet held_;
   std::size_t staging_ = 0;
-  PieceExchange peers_;
-  swarm::ManifestSearch search_;
+  ChunkExchange peers_;
+  swarm::ManifestSearch manifest_search_;
   swarm::Planner planner_;
-  /// Pieces that this agent drew from the source in this fetch.
-  std::set<std::size_t> drawn_;
-  /// Pauses between asks of the source while it fails.
-  core::Backoff source_;
+  /// Chunks that this agent fetched from the origin during this fetch.
+  std::set<std::size_t> origin_chunks_;
+  /// Backoff of origin requests while they fail.
+  core::Backoff origin_backoff_;
   swarm::FetchWindow window_;
-  rollout::RolloutSlots turns_;
+  rollout::RolloutSlots rollout_slots_;
   core::TimePoint announced_at_;
   bool announce_due_ = false;
-  /// Whether the staging of a served version was looked at.
+  /// Whether the staging was checked for a version that the engine served from
+  /// the start.
   bool staged_checked_ = false;
-  /// Whether all of the staging was right when it was last read.
+  /// Whether all staged chunks matched their digests when last read.
   bool verified_all_ = false;
-  std::size_t spoilt_ = 0;
-  /// When the staging was last read whole.
+  std::size_t corrupt_count_ = 0;
+  /// When all of the staging was last read.
   core::TimePoint verified_at_;
   Timer tick_;
 };
--- a/packages/daemon/src/daemon/direct/weights_manager_fetch.cpp
+++ b/packages/daemon/src/daemon/direct/weights_manager_fetch.cpp
@@ -1,4 +1,5 @@
-// What is missing of a version, from peers or the source.
+// Fetches the manifest and the missing chunks of a version from peers or the
+// origin.
 #include <algorithm>
 #include <utility>
 
@@ -11,17 +12,17 @@
 
 }  // namespace
 
-std::vector<swarm::SwarmMember> WeightsKeeper::Lacking() const {
-  return peers_.Lacking(goal_.version_,
-                        window_.LinkDegraded(process_.loop().Now()));
+std::vector<swarm::SwarmMember> WeightsManager::MembersLacking() const {
+  return peers_.MembersLacking(fetch_target_.version_,
+                               window_.LinkDegraded(process_.loop().Now()));
 }
 
-std::size_t WeightsKeeper::ManifestRank() const {
-  const auto item = model_ + ":" + std::to_string(goal_.version_);
+std::size_t WeightsManager::ManifestRank() const {
+  const auto item = model_ + ":" + std::to_string(fetch_target_.version_);
   const auto own = core::RendezvousScore(item, peers_.self().value());
-  const auto members = Lacking();
-  // One of each failure domain asks at once: who has it is announced to
-  // neighbours only.
+  const auto members = MembersLacking();
+  // Ranked within each failure domain, so one member of each asks the origin at
+  // once: manifest holders are announced to neighbours only.
   return static_cast<std::size_t>(
       std::ranges::count_if(members, [&](const swarm::SwarmMember& member) {
         return member.domain_ == process_.domain() &&
@@ -29,12 +30,13 @@
       }));
 }
 
-std::vector<swarm::SwarmMember> WeightsKeeper::ManifestHolders() const {
+std::vector<swarm::SwarmMember> WeightsManager::ManifestHolders() const {
   std::vector<swarm::SwarmMember> holders;
   for (const auto& [id, peer] : peers_.peers()) {
-    const bool any = goal_.version_ == 0 && peer.held_.has_manifest_;
-    const bool has = peer.held_.model_ == model_ &&
-                     (any || OffersManifest(peer.held_, goal_.version_));
+    const bool any = fetch_target_.version_ == 0 && peer.held_.has_manifest_;
+    const bool has =
+        peer.held_.model_ == model_ &&
+        (any || OffersManifest(peer.held_, fetch_target_.version_));
     if (has) {
       holders.push_back({id, peer.member_.domain_});
     }
@@ -42,103 +44,105 @@
   return holders;
 }
 
-void WeightsKeeper::AskManifest() {
+void WeightsManager::RequestManifest() {
   const auto now = process_.loop().Now();
   std::optional<std::size_t> rank;
-  if (origin_ && peers_.knows_agents() && source_.IsReady(now) &&
-      !older_first()) {
+  if (origin_ && peers_.knows_agents() && origin_backoff_.IsReady(now) &&
+      !fetching_older()) {
     rank = ManifestRank();
   }
-  const auto source = search_.Next(ManifestHolders(), rank, now);
+  const auto source = manifest_search_.Next(ManifestHolders(), rank, now);
   if (!source) {
     return;
   }
   if (source->peer_) {
-    AskPeerManifest(*source->peer_);
+    RequestPeerManifest(*source->peer_);
   } else {
-    AskOriginManifest();
+    RequestOriginManifest();
   }
 }
 
-void WeightsKeeper::AskPeerManifest(const core::InstanceId& peer) {
-  peers_.AskManifest(
-      peer, {model_, goal_.version_, 0},
-      [this, job = job_](const std::optional<WeightsManifest>& manifest) {
-        if (Current(job)) {
-          OnManifest(manifest);
-        }
-      });
+void WeightsManager::RequestPeerManifest(const core::InstanceId& peer) {
+  peers_.RequestManifest(peer, {model_, fetch_target_.version_, 0},
+                         [this, fetch_id = fetch_id_](
+                             const std::optional<WeightsManifest>& manifest) {
+                           if (IsCurrentFetch(fetch_id)) {
+                             OnManifest(manifest);
+                           }
+                         });
 }
 
-void WeightsKeeper::FetchFromPeer(const swarm::FetchRequest& order) {
-  const PieceMessage ask{model_, goal_.version_,
-                         static_cast<std::uint32_t>(order.chunk_)};
-  peers_.AskPiece(
-      *order.peer_, ask,
-      [this, job = job_, piece = order.chunk_,
-       peer = *order.peer_](const std::optional<ReceivedPiece>& received) {
-        if (!Current(job)) {
+void WeightsManager::FetchFromPeer(const swarm::FetchRequest& request) {
+  const ChunkRequest message{model_, fetch_target_.version_,
+                             static_cast<std::uint32_t>(request.chunk_)};
+  peers_.RequestChunk(
+      *request.peer_, message,
+      [this, fetch_id = fetch_id_, chunk = request.chunk_,
+       peer = *request.peer_](const std::optional<ReceivedChunk>& received) {
+        if (!IsCurrentFetch(fetch_id)) {
           return;
         }
         if (!received) {
-          OnPiece(piece, std::nullopt, peer.value());
+          OnChunkFetched(chunk, std::nullopt, peer.value());
           return;
         }
         window_.OnChunkReceived(received->transfer_, received->bytes_.size(),
                                 process_.loop().Now());
-        OnPiece(piece, received->bytes_, peer.value());
+        OnChunkFetched(chunk, received->bytes_, peer.value());
       });
 }
 
-void WeightsKeeper::OnHeld(const membership::Member& sender,
-                           const HeldChunksMessage& held) {
+void WeightsManager::OnHeld(const membership::Member& sender,
+                            const HeldChunksMessage& held) {
   const auto id = peers_.OnHeld(sender, held, process_.loop().Now());
-  // It lacks what is held here, and may be no neighbour.
+  // The sender lacks chunks that are held here and may not be a neighbour.
   const bool lacks =
       held.serving_ < serving_ && (held_.count() > 0 || older_.version() != 0);
-  if (lacks && peers_.MayTell(id, process_.loop().Now())) {
-    peers_.Tell(id, Held(process_.loop().Now()));
+  if (lacks && peers_.MayAnnounceTo(id, process_.loop().Now())) {
+    peers_.AnnounceTo(id, MakeHeldMessage(process_.loop().Now()));
   }
-  const bool wanted = phase_ == Phase::kFetching && manifest_ &&
-                      held.model_ == model_ &&
-                      (held.version_ == goal_.version_ ||
-                       held.older_version_ == goal_.version_);
-  if (wanted) {
-    const auto seen = planner_.available_count();
-    planner_.OnAnnounced({id, sender.domain_},
-                         OfferedPieces(held, goal_.version_, held_.size()),
-                         process_.loop().Now());
-    if (planner_.available_count() > seen) {
-      // Someone drew what nobody had: the source answers again.
-      source_.OnSuccess();
+  const bool relevant = phase_ == Phase::kFetching && manifest_ &&
+                        held.model_ == model_ &&
+                        (held.version_ == fetch_target_.version_ ||
+                         held.older_version_ == fetch_target_.version_);
+  if (relevant) {
+    const auto known_before = planner_.available_count();
+    planner_.OnAnnounced(
+        {id, sender.domain_},
+        OfferedChunks(held, fetch_target_.version_, held_.size()),
+        process_.loop().Now());
+    if (planner_.available_count() > known_before) {
+      // A peer fetched a chunk that no member held, so the origin is available
+      // again.
+      origin_backoff_.OnSuccess();
     }
   }
 }
 
-void WeightsKeeper::ForgetSilentPeers(core::TimePoint now) {
-  for (const auto& lost : peers_.TakeSilent(now)) {
+void WeightsManager::RemoveUnresponsivePeers(core::TimePoint now) {
+  for (const auto& lost : peers_.RemoveUnresponsive(now)) {
     planner_.OnPeerLost(lost);
   }
 }
 
-void WeightsKeeper::AskOriginManifest() {
+void WeightsManager::RequestOriginManifest() {
   process_.metrics().Count("origin_manifests_total", {});
-  client_.fetch_manifest_(
-      *origin_, model_, goal_.version_,
-      [this, job = job_](const std::optional<WeightsManifest>& manifest) {
-        OnSource(manifest.has_value(), "manifest");
-        if (Current(job)) {
-          OnManifest(manifest);
-        }
-      });
+  client_.fetch_manifest_(*origin_, model_, fetch_target_.version_,
+                          [this, fetch_id = fetch_id_](
+                              const std::optional<WeightsManifest>& manifest) {
+                            OnOriginResult(manifest.has_value(), "manifest");
+                            if (IsCurrentFetch(fetch_id)) {
+                              OnManifest(manifest);
+                            }
+                          });
 }
 
-void WeightsKeeper::OnSource(bool answered, const std::string& what) {
-  if (answered) {
-    source_.OnSuccess();
+void WeightsManager::OnOriginResult(bool succeeded, const std::string& what) {
+  if (succeeded) {
+    origin_backoff_.OnSuccess();
     return;
   }
-  const auto pause = source_.OnFailure(process_.loop().Now());
+  const auto pause = origin_backoff_.OnFailure(process_.loop().Now());
   process_.log().Write(
       core::EventNumber::kChunkFailed,
       {{"what", what},
@@ -148,39 +152,41 @@
             std::chrono::duration_cast<milliseconds>(pause).count())}});
 }
 
-void WeightsKeeper::OnManifest(const std::optional<WeightsManifest>& manifest) {
+void WeightsManager::OnManifest(
+    const std::optional<WeightsManifest>& manifest) {
   if (manifest) {
-    TakeManifest(*manifest);
+    ApplyManifest(*manifest);
   } else {
-    search_.OnRequestFailed();
+    manifest_search_.OnRequestFailed();
   }
 }
 
-void WeightsKeeper::TakeManifest(const WeightsManifest& manifest) {
+void WeightsManager::ApplyManifest(const WeightsManifest& manifest) {
   if (phase_ != Phase::kManifest || manifest.model_ != model_ ||
       manifest.chunk_digests_.empty() ||
-      (goal_.version_ != 0 && manifest.version_ != goal_.version_)) {
+      (fetch_target_.version_ != 0 &&
+       manifest.version_ != fetch_target_.version_)) {
     return;
   }
-  if (goal_.version_ == 0) {
-    wanted_ = {model_, manifest.version_};
-    goal_ = wanted_;
-    named_.OnVersionPublished(manifest.version_, process_.loop().Now());
+  if (fetch_target_.version_ == 0) {
+    target_ = {model_, manifest.version_};
+    fetch_target_ = target_;
+    version_bound_.OnVersionPublished(manifest.version_, process_.loop().Now());
   }
   manifest_ = manifest;
   held_ = swarm::ChunkSet(manifest.chunk_digests_.size());
   SetPhase(Phase::kFetching);
   announce_due_ = true;
   if (serving_ == 0) {
-    // What was staged before a restart may still be there.
+    // Chunks staged before a restart may still be there.
     staging_ = 1;
-    ReadStaged(0);
+    ReadStagedChunk(0);
   } else {
     StartPlanner();
   }
 }
 
-void WeightsKeeper::StartPlanner() {
+void WeightsManager::StartPlanner() {
   std::vector<bundle::Chunk> chunks;
   for (const auto& digest : manifest_->chunk_digests_) {
     chunks.push_back({digest, 1});
@@ -191,90 +197,91 @@
   for (const auto& [id, peer] : peers_.peers()) {
     planner_.OnAnnounced(
         {id, peer.member_.domain_},
-        OfferedPieces(peer.held_, goal_.version_, held_.size()), now);
+        OfferedChunks(peer.held_, fetch_target_.version_, held_.size()), now);
   }
   announce_due_ = true;
-  Pump();
+  RequestChunks();
 }
 
-void WeightsKeeper::Pump() {
+void WeightsManager::RequestChunks() {
   if (staging_ > 0 && !planner_.outstanding() && held_.count() == 0) {
     return;
   }
   const auto now = process_.loop().Now();
-  for (const auto& late : planner_.ExpireRequests(now)) {
-    peers_.CancelPiece(late.chunk_);
+  for (const auto& expired : planner_.ExpireRequests(now)) {
+    peers_.CancelChunk(expired.chunk_);
     process_.log().Write(
         core::EventNumber::kChunkFailed,
-        {{"piece", std::to_string(late.chunk_)},
-         {"source", late.peer_ ? late.peer_->value() : "origin"},
+        {{"piece", std::to_string(expired.chunk_)},
+         {"source", expired.peer_ ? expired.peer_->value() : "origin"},
          {"reason", "timeout"}});
   }
-  planner_.SetMembers(Lacking());
+  planner_.SetMembers(MembersLacking());
   planner_.SetMaxPeerRequests(window_.size());
-  // Not knowing the others, each would draw everything.
-  planner_.SetOriginAvailable(source_.IsReady(now) && peers_.knows_agents() &&
-                              !older_first());
-  for (const auto& order : planner_.Next(now)) {
-    Fetch(order);
+  // Without the list of agents, each agent would fetch every chunk from the
+  // origin.
+  planner_.SetOriginAvailable(origin_backoff_.IsReady(now) &&
+                              peers_.knows_agents() && !fetching_older());
+  for (const auto& request : planner_.Next(now)) {
+    FetchChunk(request);
   }
   if (held_.full()) {
     process_.log().Write(
         core::EventNumber::kFetchFinished,
-        {{"version", std::to_string(goal_.version_)},
+        {{"version", std::to_string(fetch_target_.version_)},
          {"elected_draws", std::to_string(planner_.origin_fetches(
                                swarm::OriginFetchCause::kAssigned))},
          {"silence_draws", std::to_string(planner_.origin_fetches(
                                swarm::OriginFetchCause::kTakeover))}});
-    turns_.StartRollout(goal_.version_, now);
+    rollout_slots_.StartRollout(fetch_target_.version_, now);
     SetPhase(Phase::kStaged);
   }
 }
 
-void WeightsKeeper::Fetch(const swarm::FetchRequest& order) {
-  if (order.peer_) {
-    FetchFromPeer(order);
+void WeightsManager::FetchChunk(const swarm::FetchRequest& request) {
+  if (request.peer_) {
+    FetchFromPeer(request);
   } else {
-    FetchFromOrigin(order.chunk_);
+    FetchFromOrigin(request.chunk_);
   }
 }
 
-void WeightsKeeper::FetchFromOrigin(std::size_t piece) {
+void WeightsManager::FetchFromOrigin(std::size_t chunk) {
   if (!origin_) {
-    planner_.OnRequestFailed(piece, process_.loop().Now());
+    planner_.OnRequestFailed(chunk, process_.loop().Now());
     return;
   }
   process_.log().Write(core::EventNumber::kOriginDrawn,
-                       {{"piece", std::to_string(piece)}});
+                       {{"piece", std::to_string(chunk)}});
   process_.metrics().Count("origin_pieces_total", {});
-  client_.fetch_chunk_(
-      *origin_, model_, goal_.version_, piece,
-      [this, job = job_, piece](const std::optional<std::string>& bytes) {
-        OnSource(bytes.has_value(), "piece");
-        if (Current(job)) {
-          drawn_.insert(piece);
-          OnPiece(piece, bytes, "origin");
-        }
-      });
+  client_.fetch_chunk_(*origin_, model_, fetch_target_.version_, chunk,
+                       [this, fetch_id = fetch_id_,
+                        chunk](const std::optional<std::string>& bytes) {
+                         OnOriginResult(bytes.has_value(), "piece");
+                         if (IsCurrentFetch(fetch_id)) {
+                           origin_chunks_.insert(chunk);
+                           OnChunkFetched(chunk, bytes, "origin");
+                         }
+                       });
 }
 
-void WeightsKeeper::OnPiece(std::size_t piece,
-                            const std::optional<std::string>& bytes,
-                            const std::string& source) {
+void WeightsManager::OnChunkFetched(std::size_t chunk,
+                                    const std::optional<std::string>& bytes,
+                                    const std::string& source) {
   const auto now = process_.loop().Now();
   const bool good = bytes && core::Digest::Sha256Of(*bytes) ==
-                                 manifest_->chunk_digests_.at(piece);
+                                 manifest_->chunk_digests_.at(chunk);
   if (!good) {
-    planner_.OnRequestFailed(piece, now);
+    planner_.OnRequestFailed(chunk, now);
     process_.log().Write(
         bytes ? core::EventNumber::kChunkCorrupt
               : core::EventNumber::kChunkFailed,
-        {{"piece", std::to_string(piece)}, {"source", source}});
+        {{"piece", std::to_string(chunk)}, {"source", source}});
     return;
   }
-  piece_bytes_ = bytes->size();
-  if (!held_.Has(piece)) {
-    Stage(piece, *bytes);
+  chunk_bytes_ = bytes->size();
+  if (!held_.Has(chunk)) {
+    StageChunk(chunk, *bytes);
   }
 }
 
--- a/packages/daemon/src/daemon/direct/weights_manager_older.cpp
+++ b/packages/daemon/src/daemon/direct/weights_manager_older.cpp
@@ -1,5 +1,6 @@
-// Older weights: kept for others while newer ones are fetched, and fetched for
-// an engine without any while the newest can't be had.
+// Older versions: retained for peers while a newer one is fetched, and fetched
+// for an engine without weights while the target version is not available soon
+// enough.
 #include "chalkwell/rollout/first_fetch.hpp"
 #include "daemon/direct/direct_settings.hpp"
 #include "daemon/direct/weights_manager.hpp"
@@ -9,120 +10,123 @@
 
 using std::chrono::milliseconds;
 
-/// Between two looks at whether older weights would serve sooner.
+/// Interval between checks whether an older version would serve sooner.
 constexpr auto kConsiderInterval = milliseconds(200);
-/// Time of a piece on the own link while none has arrived yet.
-constexpr auto kUnknownPieceTime = milliseconds(40);
-/// Older weights are given up when they take this many times as long as on an
-/// idle link.
-constexpr int kOlderPatience = 4;
+/// Assumed transfer time of a chunk on the local link until one has arrived.
+constexpr auto kDefaultChunkTime = milliseconds(40);
+/// The fetch of an older version is abandoned when it takes this many times as
+/// long as on an idle link.
+constexpr int kOlderTimeoutFactor = 4;
 
 }  // namespace
 
-PieceSource WeightsKeeper::Source() {
-  PieceSource source;
-  source.holds_ = [this](const PieceMessage& piece) {
+ChunkProvider WeightsManager::MakeChunkProvider() {
+  ChunkProvider provider;
+  provider.holds_ = [this](const ChunkRequest& chunk) {
     const bool newer =
-        piece.version_ == HeldVersion() && held_.Has(piece.piece_);
-    return piece.model_ == model_ && (newer || older_.Holds(piece));
+        chunk.version_ == HeldVersion() && held_.Has(chunk.chunk_);
+    return chunk.model_ == model_ && (newer || older_.Holds(chunk));
   };
-  source.manifest_ = [this](std::uint64_t version) -> const WeightsManifest* {
+  provider.manifest_ = [this](std::uint64_t version) -> const WeightsManifest* {
     const bool newer =
         manifest_ && (version == 0 || manifest_->version_ == version);
     return newer ? &*manifest_ : older_.Manifest(version);
   };
-  source.copy_ = [this](const PieceMessage& piece) {
-    return older_.Copy(piece);
+  provider.find_copy_ = [this](const ChunkRequest& chunk) {
+    return older_.FindCopy(chunk);
   };
-  source.on_missing_ = [this](const PieceMessage& piece) { OnMissing(piece); };
-  return source;
+  provider.on_unreadable_ = [this](const ChunkRequest& chunk) {
+    OnChunkUnreadable(chunk);
+  };
+  return provider;
 }
 
-void WeightsKeeper::KeepServed() {
+void WeightsManager::RetainServedVersion() {
   const bool served = serving_ != 0 && HeldVersion() == serving_;
   if (served && older_.version() != serving_) {
     older_.Start(serving_, manifest_, held_);
   }
 }
 
-std::optional<core::TimePoint> WeightsKeeper::EndOf(
+std::optional<core::TimePoint> WeightsManager::ExpiryOf(
     std::uint64_t version) const {
-  return named_.ExpiryOf(version, VersionBoundOf(process_.settings()));
+  return version_bound_.ExpiryOf(version, VersionBoundOf(process_.settings()));
 }
 
-core::Duration WeightsKeeper::LinkTime(std::size_t pieces) const {
+core::Duration WeightsManager::TransferTime(std::size_t chunks) const {
   const auto rate = LinkRate(process_.settings());
-  const auto count = static_cast<int>(pieces);
-  if (piece_bytes_ == 0 || rate == 0) {
-    return kUnknownPieceTime * count;
+  const auto count = static_cast<int>(chunks);
+  if (chunk_bytes_ == 0 || rate == 0) {
+    return kDefaultChunkTime * count;
   }
-  const std::chrono::duration<double> one(static_cast<double>(piece_bytes_) /
+  const std::chrono::duration<double> one(static_cast<double>(chunk_bytes_) /
                                           static_cast<double>(rate));
   return std::chrono::duration_cast<core::Duration>(one) * count;
 }
 
-void WeightsKeeper::DropOutdated(core::TimePoint now) {
+void WeightsManager::DropExpired(core::TimePoint now) {
   const auto kept = older_.version();
-  const auto kept_end = EndOf(kept);
-  if (kept != 0 && (serving_ > kept || (kept_end && now >= *kept_end))) {
+  const auto kept_expiry = ExpiryOf(kept);
+  if (kept != 0 && (serving_ > kept || (kept_expiry && now >= *kept_expiry))) {
     older_.Clear();
     announce_due_ = true;
   }
   const bool fetching =
       phase_ == Phase::kManifest || phase_ == Phase::kFetching;
-  if (!older_first() || !fetching) {
+  if (!fetching_older() || !fetching) {
     return;
   }
-  const auto end = EndOf(goal_.version_);
-  const bool slow =
-      now - phase_since_ >= LinkTime(usual_pieces_) * kOlderPatience;
-  older_refused_ = older_refused_ || slow;
-  if (slow || (end && now >= *end)) {
+  const auto expiry = ExpiryOf(fetch_target_.version_);
+  const bool timed_out =
+      now - phase_since_ >= TransferTime(model_chunks_) * kOlderTimeoutFactor;
+  older_refused_ = older_refused_ || timed_out;
+  if (timed_out || (expiry && now >= *expiry)) {
     process_.log().Write(core::EventNumber::kFetchAbandoned,
-                         {{"for", std::to_string(wanted_.version_)}});
-    SetPhase(Phase::kSettled);
+                         {{"for", std::to_string(target_.version_)}});
+    SetPhase(Phase::kIdle);
   }
 }
 
-void WeightsKeeper::ConsiderOlder(core::TimePoint now) {
+void WeightsManager::ConsiderOlderVersion(core::TimePoint now) {
   const bool fetching =
       phase_ == Phase::kManifest || phase_ == Phase::kFetching;
-  const bool open = serving_ == 0 && wanted_.version_ != 0 && !older_first() &&
-                    fetching && !older_refused_;
-  if (!open || now - considered_at_ < kConsiderInterval) {
+  const bool eligible = serving_ == 0 && target_.version_ != 0 &&
+                        !fetching_older() && fetching && !older_refused_;
+  if (!eligible || now - considered_at_ < kConsiderInterval) {
     return;
   }
   considered_at_ = now;
-  auto seen = OfferedPieces(peers_.peers(), wanted_.version_, usual_pieces_);
-  for (std::size_t piece = 0; piece < usual_pieces_; ++piece) {
-    if (held_.Has(piece)) {
-      seen.Add(piece);
+  auto available =
+      OfferedChunks(peers_.peers(), target_.version_, model_chunks_);
+  for (std::size_t chunk = 0; chunk < model_chunks_; ++chunk) {
+    if (held_.Has(chunk)) {
+      available.Add(chunk);
     }
   }
-  progress_.OnAvailable(seen.count(), now);
+  progress_.OnAvailable(available.count(), now);
   const auto older =
-      OfferedBelow(peers_.peers(), wanted_.version_, usual_pieces_);
-  const auto end = older ? EndOf(*older) : std::nullopt;
-  if (!end || !progress_.HasRate(now)) {
+      NewestOfferedBelow(peers_.peers(), target_.version_, model_chunks_);
+  const auto expiry = older ? ExpiryOf(*older) : std::nullopt;
+  if (!expiry || !progress_.HasRate(now)) {
     return;
   }
   rollout::FirstFetchForecast forecast;
   forecast.newest_available_ = progress_.TimeLeft(now);
-  forecast.newest_transfer_ = LinkTime(usual_pieces_ - held_.count());
-  forecast.older_transfer_ = LinkTime(usual_pieces_);
-  forecast.older_expiry_ = *end - now;
+  forecast.newest_transfer_ = TransferTime(model_chunks_ - held_.count());
+  forecast.older_transfer_ = TransferTime(model_chunks_);
+  forecast.older_expiry_ = *expiry - now;
   if (!rollout::FetchOlderFirst(forecast)) {
     return;
   }
   process_.log().Write(
       core::EventNumber::kOlderWeightsFirst,
       {{"version", std::to_string(*older)},
-       {"newest", std::to_string(wanted_.version_)},
-       {"newest_pieces_out", std::to_string(seen.count())},
+       {"newest", std::to_string(target_.version_)},
+       {"newest_pieces_out", std::to_string(available.count())},
        {"usable_ms", std::to_string(std::chrono::duration_cast<milliseconds>(
                                         forecast.older_expiry_)
                                         .count())}});
-  BeginWith({model_, *older});
+  StartFetch({model_, *older});
 }
 
 }  // namespace chalkwell::daemon::direct
--- a/packages/daemon/src/daemon/direct/weights_manager_switch.cpp
+++ b/packages/daemon/src/daemon/direct/weights_manager_switch.cpp
@@ -1,4 +1,5 @@
-// The engine's staging, and the order to take up what is staged.
+// Staging of chunks at the engine, and the activation order for a staged
+// version.
 #include <utility>
 
 #include "daemon/direct/direct_settings.hpp"
@@ -9,160 +10,162 @@
 
 using std::chrono::milliseconds;
 
-/// Pieces that were compared with their digests within this are not compared
-/// again before the order.
-constexpr auto kVerifiedRecently = milliseconds(500);
-/// Once ordered, an engine begins no request on its old weights. A switch that
-/// has not begun this long before the bound begins without its turn: time to
-/// verify what is staged and to order.
-constexpr auto kSwitchTime = milliseconds(1700);
+/// Chunks whose digests were verified within this time are not verified again
+/// before the order.
+constexpr auto kVerificationValidity = milliseconds(500);
+/// An ordered engine starts no request on its old weights. If the switch has
+/// not started this long before the served version expires, it starts without a
+/// rollout slot: time to verify what is staged and to order.
+constexpr auto kSwitchLeadTime = milliseconds(1700);
 
 }  // namespace
 
-void WeightsKeeper::CheckStagedAtStart() {
-  // An engine that serves from the start may have its weights staged too: then
-  // its neighbours can have them from here.
-  if (staged_checked_ || manifest_ || usual_pieces_ == 0) {
+void WeightsManager::CheckStagedAtStart() {
+  // An engine that already serves at start may have its weights staged too; its
+  // neighbours can then fetch them from this agent.
+  if (staged_checked_ || manifest_ || model_chunks_ == 0) {
     return;
   }
   staged_checked_ = true;
   client_.read_staged_chunk_(
       model_, 0, [this](const std::optional<std::string>& bytes) {
-        if (bytes && !manifest_ && phase_ == Phase::kSettled) {
-          held_ = swarm::ChunkSet(usual_pieces_);
-          for (std::size_t piece = 0; piece < usual_pieces_; ++piece) {
-            held_.Add(piece);
+        if (bytes && !manifest_ && phase_ == Phase::kIdle) {
+          held_ = swarm::ChunkSet(model_chunks_);
+          for (std::size_t chunk = 0; chunk < model_chunks_; ++chunk) {
+            held_.Add(chunk);
           }
           announce_due_ = true;
         }
       });
 }
 
-void WeightsKeeper::ReadStaged(std::size_t piece) {
+void WeightsManager::ReadStagedChunk(std::size_t chunk) {
   client_.read_staged_chunk_(
-      model_, piece,
-      [this, job = job_, piece](const std::optional<std::string>& bytes) {
-        if (!Current(job)) {
+      model_, chunk,
+      [this, fetch_id = fetch_id_,
+       chunk](const std::optional<std::string>& bytes) {
+        if (!IsCurrentFetch(fetch_id)) {
           return;
         }
         if (bytes && core::Digest::Sha256Of(*bytes) ==
-                         manifest_->chunk_digests_[piece]) {
-          held_.Add(piece);
+                         manifest_->chunk_digests_[chunk]) {
+          held_.Add(chunk);
         }
-        const bool nothing = piece == 0 && !bytes;
-        if (nothing || piece + 1 == held_.size()) {
+        const bool not_staged = chunk == 0 && !bytes;
+        if (not_staged || chunk + 1 == held_.size()) {
           staging_ = 0;
           verified_at_ = process_.loop().Now();
           verified_all_ = held_.full();
           StartPlanner();
         } else {
-          ReadStaged(piece + 1);
+          ReadStagedChunk(chunk + 1);
         }
       });
 }
 
-void WeightsKeeper::Stage(std::size_t piece, std::string bytes) {
-  if (!older_.NeedsCopy(piece)) {
-    PutStaged(piece, std::move(bytes));
+void WeightsManager::StageChunk(std::size_t chunk, std::string bytes) {
+  if (!older_.NeedsCopy(chunk)) {
+    WriteStaged(chunk, std::move(bytes));
     return;
   }
   client_.read_staged_chunk_(
-      model_, piece,
-      [this, job = job_, piece,
+      model_, chunk,
+      [this, fetch_id = fetch_id_, chunk,
        bytes = std::move(bytes)](std::optional<std::string> served) mutable {
-        older_.OnOverwritten(piece, std::move(served));
-        if (Current(job)) {
-          PutStaged(piece, std::move(bytes));
+        older_.OnOverwritten(chunk, std::move(served));
+        if (IsCurrentFetch(fetch_id)) {
+          WriteStaged(chunk, std::move(bytes));
         }
       });
 }
 
-void WeightsKeeper::PutStaged(std::size_t piece, std::string bytes) {
-  client_.stage_chunk_(
-      model_, piece, std::move(bytes), [this, job = job_, piece](bool taken) {
-        if (!Current(job)) {
-          return;
-        }
-        const auto now = process_.loop().Now();
-        if (!taken) {
-          planner_.OnRequestFailed(piece, now);
-          process_.log().Write(core::EventNumber::kStageFailed,
-                               {{"piece", std::to_string(piece)}});
-          return;
-        }
-        held_.Add(piece);
-        planner_.OnChunkReceived(piece, now);
-        announce_due_ = true;
-        Pump();
-      });
+void WeightsManager::WriteStaged(std::size_t chunk, std::string bytes) {
+  client_.stage_chunk_(model_, chunk, std::move(bytes),
+                       [this, fetch_id = fetch_id_, chunk](bool accepted) {
+                         if (!IsCurrentFetch(fetch_id)) {
+                           return;
+                         }
+                         const auto now = process_.loop().Now();
+                         if (!accepted) {
+                           planner_.OnRequestFailed(chunk, now);
+                           process_.log().Write(
+                               core::EventNumber::kStageFailed,
+                               {{"piece", std::to_string(chunk)}});
+                           return;
+                         }
+                         held_.Add(chunk);
+                         planner_.OnChunkReceived(chunk, now);
+                         announce_due_ = true;
+                         RequestChunks();
+                       });
 }
 
-void WeightsKeeper::OnMissing(const PieceMessage& asked) {
-  if (asked.version_ != HeldVersion()) {
-    older_.Lose(asked.piece_);
+void WeightsManager::OnChunkUnreadable(const ChunkRequest& request) {
+  if (request.version_ != HeldVersion()) {
+    older_.RemoveChunk(request.chunk_);
     return;
   }
-  const std::size_t piece = asked.piece_;
-  if (!held_.Has(piece)) {
+  const std::size_t chunk = request.chunk_;
+  if (!held_.Has(chunk)) {
     return;
   }
-  held_.Remove(piece);
+  held_.Remove(chunk);
   announce_due_ = true;
   process_.log().Write(core::EventNumber::kStagedSpoilt,
-                       {{"piece", std::to_string(piece)}});
+                       {{"piece", std::to_string(chunk)}});
   if (phase_ == Phase::kFetching) {
-    planner_.OnChunkLost(piece);
+    planner_.OnChunkLost(chunk);
   } else if (phase_ == Phase::kStaged) {
     SetPhase(Phase::kFetching);
     StartPlanner();
   }
 }
 
-bool WeightsKeeper::Urgent(core::TimePoint now) const {
-  const auto end = EndOf(serving_);
-  return end && now >= *end - kSwitchTime;
+bool WeightsManager::IsUrgent(core::TimePoint now) const {
+  const auto end = ExpiryOf(serving_);
+  return end && now >= *end - kSwitchLeadTime;
 }
 
-void WeightsKeeper::TakeTurn() {
+void WeightsManager::TryStartSwitch() {
   const auto now = process_.loop().Now();
-  std::set<core::InstanceId> near{peers_.self()};
+  std::set<core::InstanceId> local_members{peers_.self()};
   for (const auto& [id, peer] : peers_.peers()) {
     if (peer.member_.domain_ != process_.domain()) {
       continue;
     }
-    near.insert(id);
-    if (peer.held_.serving_ >= goal_.version_) {
-      turns_.OnServing(id, peer.held_.serving_, now);
+    local_members.insert(id);
+    if (peer.held_.serving_ >= fetch_target_.version_) {
+      rollout_slots_.OnServing(id, peer.held_.serving_, now);
     }
   }
-  turns_.SetMembers(std::move(near));
-  const bool urgent = Urgent(now);
-  if (serving_ != 0 && !urgent && !turns_.MayDrain(now)) {
+  rollout_slots_.SetMembers(std::move(local_members));
+  const bool urgent = IsUrgent(now);
+  if (serving_ != 0 && !urgent && !rollout_slots_.MayDrain(now)) {
     return;
   }
   process_.log().Write(core::EventNumber::kTurnTaken,
-                       {{"version", std::to_string(goal_.version_)},
+                       {{"version", std::to_string(fetch_target_.version_)},
                         {"serving", std::to_string(serving_)},
                         {"urgent", urgent ? "yes" : "no"}});
   switching_ = true;
   Verify();
 }
 
-void WeightsKeeper::Verify() {
+void WeightsManager::Verify() {
   SetPhase(Phase::kVerifying);
-  spoilt_ = 0;
+  corrupt_count_ = 0;
   if (verified_all_ &&
-      process_.loop().Now() - verified_at_ < kVerifiedRecently) {
-    Order();
+      process_.loop().Now() - verified_at_ < kVerificationValidity) {
+    SendActivationOrder();
     return;
   }
   VerifyNext(0);
 }
 
-void WeightsKeeper::VerifyNext(std::size_t piece) {
-  if (piece == held_.size()) {
-    if (spoilt_ == 0) {
-      Order();
+void WeightsManager::VerifyNext(std::size_t chunk) {
+  if (chunk == held_.size()) {
+    if (corrupt_count_ == 0) {
+      SendActivationOrder();
       return;
     }
     switching_ = false;
@@ -171,40 +174,43 @@
     return;
   }
   client_.read_staged_chunk_(
-      model_, piece,
-      [this, job = job_, piece](const std::optional<std::string>& bytes) {
-        if (!Current(job)) {
+      model_, chunk,
+      [this, fetch_id = fetch_id_,
+       chunk](const std::optional<std::string>& bytes) {
+        if (!IsCurrentFetch(fetch_id)) {
           return;
         }
         const bool good = bytes && core::Digest::Sha256Of(*bytes) ==
-                                       manifest_->chunk_digests_[piece];
+                                       manifest_->chunk_digests_[chunk];
         if (!good) {
-          ++spoilt_;
-          held_.Remove(piece);
+          ++corrupt_count_;
+          held_.Remove(chunk);
           process_.log().Write(core::EventNumber::kStagedSpoilt,
-                               {{"piece", std::to_string(piece)}});
+                               {{"piece", std::to_string(chunk)}});
         }
-        VerifyNext(piece + 1);
+        VerifyNext(chunk + 1);
       });
 }
 
-void WeightsKeeper::Order() {
+void WeightsManager::SendActivationOrder() {
   SetPhase(Phase::kOrdered);
   process_.log().Write(
       core::EventNumber::kOrderSent,
-      {{"model", model_}, {"version", std::to_string(goal_.version_)}});
+      {{"model", model_}, {"version", std::to_string(fetch_target_.version_)}});
   client_.activate_(
-      model_, goal_.version_, [this, job = job_](OrderOutcome end) {
-        if (!Current(job)) {
+      model_, fetch_target_.version_,
+      [this, fetch_id = fetch_id_](OrderOutcome end) {
+        if (!IsCurrentFetch(fetch_id)) {
           return;
         }
         if (end == OrderOutcome::kRefused) {
-          process_.log().Write(core::EventNumber::kOrderRefused,
-                               {{"version", std::to_string(goal_.version_)}});
+          process_.log().Write(
+              core::EventNumber::kOrderRefused,
+              {{"version", std::to_string(fetch_target_.version_)}});
           switching_ = false;
-          const bool older = older_first();
+          const bool older = fetching_older();
           older_refused_ = older_refused_ || older;
-          SetPhase(older ? Phase::kSettled : Phase::kStaged);
+          SetPhase(older ? Phase::kIdle : Phase::kStaged);
         }
       });
 }
