--- a/packages/daemon/src/daemon/direct/endpoint_list.cpp
+++ b/packages/daemon/src/daemon/direct/endpoint_list.cpp
@@ -1,5 +1,5 @@
-// Every read is told, also one without change: that it was made keeps the
-// neighbours from reading.
+// The designated reader publishes every read, also one without changes: it
+// shows the other entries that they need not read.
 #include "daemon/direct/endpoint_list.hpp"
 
 #include <algorithm>
@@ -11,24 +11,26 @@
 namespace chalkwell::daemon::direct {
 namespace {
 
-/// Part of the bound after which an entry reads the list itself: the read, a
-/// pause of its own, and the way of a request take the rest.
-constexpr double kOldestShare = 0.6;
-/// Changed rows that one datagram carries, some 25 KB; more are read by
-/// everyone.
-constexpr std::size_t kMaxRows = 250;
-/// The order of failure domains in reading; any fixed text.
+/// Share of the drain bound after which an entry reads the list itself. The
+/// rest is for the read, a pause of the process, and a request's way to the
+/// endpoint.
+constexpr double kMaxAgeShare = 0.6;
+/// Rows that one datagram carries at most, some 25 KB. Larger changes are not
+/// published; every entry reads them from the store.
+constexpr std::size_t kMaxDeltaRows = 250;
+/// Hash key of the priority order of failure domains; any constant text.
 constexpr std::string_view kReadOrder = "read-list";
 
-membership::ReaderRoleSettings DutySettings(const EndpointListSettings& list) {
-  const auto often = list.read_interval_;
+membership::ReaderRoleSettings ReaderSettings(
+    const EndpointListSettings& list) {
+  const auto interval = list.read_interval_;
   membership::ReaderRoleSettings settings;
-  settings.reader_interval_ = often;
+  settings.reader_interval_ = interval;
   settings.max_age_ =
-      core::FromMs(core::ToMs(list.drain_bound_) * kOldestShare);
-  settings.takeover_timeout_ = often + often / 2;
-  settings.rank_delay_ = often / 4;
-  settings.standby_interval_ = std::max(settings.standby_interval_, often);
+      core::FromMs(core::ToMs(list.drain_bound_) * kMaxAgeShare);
+  settings.takeover_timeout_ = interval + interval / 2;
+  settings.rank_delay_ = interval / 4;
+  settings.standby_interval_ = std::max(settings.standby_interval_, interval);
   return settings;
 }
 
@@ -44,15 +46,16 @@
       log_(log),
       hooks_(std::move(hooks)),
       settings_(settings),
-      duty_(mesh.self().id_, DutySettings(settings)),
+      reader_role_(mesh.self().id_, ReaderSettings(settings)),
       outage_({.renewal_interval_ = settings.renewal_interval_}) {}
 
-void EndpointList::LeaveOutUnnamed(std::vector<routing::EndpointRow>& rows) {
-  std::set<core::InstanceId> unnamed;
+void EndpointList::RemoveUnknownServices(
+    std::vector<routing::EndpointRow>& rows) {
+  std::set<core::InstanceId> unknown;
   std::erase_if(rows, [&](const routing::EndpointRow& row) {
     const bool known = hooks_.is_known_service_(row.service_);
-    if (!known && unnamed.insert(row.id_).second &&
-        !unnamed_.contains(row.id_)) {
+    if (!known && unknown.insert(row.id_).second &&
+        !unknown_rows_.contains(row.id_)) {
       log_.Write(
           core::EventNumber::kDocumentRefused,
           {{"section", "endpoints"},
@@ -60,11 +63,11 @@
     }
     return !known;
   });
-  unnamed_ = std::move(unnamed);
+  unknown_rows_ = std::move(unknown);
 }
 
 void EndpointList::ApplyRead(StoreSnapshot published, bool from_store) {
-  LeaveOutUnnamed(published.endpoints_);
+  RemoveUnknownServices(published.endpoints_);
   const auto now = loop_.Now();
   const auto before = endpoints_.Rows();
   outage_.OnListReceived(published.as_of_, now);
@@ -78,86 +81,89 @@
     TellDeparted(before, after);
   }
   if (from_store) {
-    duty_.OnRead(now);
-    TellOthers(published, complete);
-    ServeWaiting();
+    reader_role_.OnRead(now);
+    PublishRead(published, complete);
+    RunWaitingIfFresh();
   }
 }
 
-bool EndpointList::Stale() const {
+bool EndpointList::IsStale() const {
   return endpoints_.has_list() &&
-         duty_.IsStale(endpoints_.as_of(), loop_.Now());
+         reader_role_.IsStale(endpoints_.as_of(), loop_.Now());
 }
 
 void EndpointList::WhenFresh(std::function<void()> task) {
-  if (!Stale()) {
+  if (!IsStale()) {
     task();
     return;
   }
-  waiting_.push_back(std::move(task));
+  waiting_tasks_.push_back(std::move(task));
   hooks_.read_();
 }
 
-// A read that was under way while the process stood still brings an old list.
-void EndpointList::ServeWaiting() {
-  if (!Stale()) {
-    RunWaiting();
-  } else if (!waiting_.empty()) {
+// A read that was in flight while the process was suspended returns an outdated
+// list.
+void EndpointList::RunWaitingIfFresh() {
+  if (!IsStale()) {
+    RunWaitingTasks();
+  } else if (!waiting_tasks_.empty()) {
     hooks_.read_();
   }
 }
 
-void EndpointList::RunWaiting() {
-  for (const auto& task : std::exchange(waiting_, {})) {
+void EndpointList::RunWaitingTasks() {
+  for (const auto& task : std::exchange(waiting_tasks_, {})) {
     task();
   }
 }
 
-void EndpointList::TellOthers(const StoreSnapshot& published, bool complete) {
+void EndpointList::PublishRead(const StoreSnapshot& published, bool complete) {
   auto change = history_.OnRead(published.revision_, published.endpoints_,
                                 complete, loop_.Now());
   change.as_of_ = published.as_of_;
-  if (duty_.IsReader(loop_.Now()) && change.rows_.size() <= kMaxRows) {
+  if (reader_role_.IsReader(loop_.Now()) &&
+      change.rows_.size() <= kMaxDeltaRows) {
     mesh_.PublishList(ToMessage(change, loop_.Now()));
   }
 }
 
 void EndpointList::OnReadFailed() {
   const auto now = loop_.Now();
-  duty_.OnReadFailed(now);
+  reader_role_.OnReadFailed(now);
   outage_.OnReadFailed();
-  if (now - tried_told_at_ >= settings_.read_interval_) {
-    tried_told_at_ = now;
+  if (now - read_failure_published_at_ >= settings_.read_interval_) {
+    read_failure_published_at_ = now;
     mesh_.PublishReadFailure();
   }
-  RunWaiting();
+  RunWaitingTasks();
 }
 
-void EndpointList::OnListMessage(const membership::Member& teller,
+void EndpointList::OnListMessage(const membership::Member& sender,
                                  const EndpointListMessage& message,
                                  core::TimePoint sent_at) {
   if (message.read_failed_) {
-    duty_.OnPeerReadFailed(loop_.Now());
+    reader_role_.OnPeerReadFailed(loop_.Now());
     outage_.OnReadFailed();
     return;
   }
   const auto before = endpoints_.Rows();
   auto change = ToChange(message, sent_at);
-  // Whoever started during an outage does not know of it.
+  // A sender that started during an outage does not know of it, and marks the
+  // list as complete.
   outage_.OnListReceived(change.as_of_, loop_.Now());
   change.complete_ =
       change.complete_ && !outage_.LeasesMayHaveExpired(loop_.Now());
   if (!endpoints_.ApplyChange(change, loop_.Now())) {
-    // What was told before was lost.
+    // An earlier delta was lost.
     hooks_.read_();
     return;
   }
   endpoints_.ConfirmAsOf(change.as_of_);
-  duty_.OnPeerRead(change.as_of_);
+  reader_role_.OnPeerRead(change.as_of_);
   if (before != endpoints_.Rows()) {
-    LogChange(teller.id_.value());
+    LogChange(sender.id_.value());
   }
-  ServeWaiting();
+  RunWaitingIfFresh();
 }
 
 void EndpointList::LogChange(const std::string& source) {
@@ -193,12 +199,12 @@
 }
 
 void EndpointList::OnDeparted(const DepartedMessage& departed) {
-  for (const auto& life : departed.leaving_) {
-    endpoints_.MarkLeaving(ToIncarnation(life));
+  for (const auto& incarnation : departed.leaving_) {
+    endpoints_.MarkLeaving(ToIncarnation(incarnation));
   }
-  // One that came back is in the next list that is read.
-  for (const auto& life : departed.removed_) {
-    endpoints_.MarkTerminated(ToIncarnation(life));
+  // An endpoint that returned is in the next list that is read.
+  for (const auto& incarnation : departed.removed_) {
+    endpoints_.MarkTerminated(ToIncarnation(incarnation));
   }
 }
 
@@ -218,12 +224,12 @@
 
 core::Duration EndpointList::Interval() {
   std::vector<core::InstanceId> readers{mesh_.self().id_};
-  for (const auto& neighbour : mesh_.LocalEntries()) {
-    readers.push_back(neighbour.id_);
+  for (const auto& member : mesh_.LocalEntries()) {
+    readers.push_back(member.id_);
   }
-  duty_.SetMembers(readers);
-  duty_.SetDomainsAhead(DomainsAhead());
-  return duty_.Interval(loop_.Now());
+  reader_role_.SetMembers(readers);
+  reader_role_.SetDomainsAhead(DomainsAhead());
+  return reader_role_.Interval(loop_.Now());
 }
 
 }  // namespace chalkwell::daemon::direct
--- a/packages/daemon/src/daemon/direct/endpoint_list.hpp
+++ b/packages/daemon/src/daemon/direct/endpoint_list.hpp
@@ -1,6 +1,6 @@
-// The published list of endpoints at an entry: one entry of the deployment
-// reads it often and tells the others what changed; endpoints that leave are
-// told at once.
+// The endpoint list at an entry. The designated reader of the deployment reads
+// the list often and publishes the changes to the other entries; any entry
+// publishes draining endpoints as soon as it finds them.
 #pragma once
 
 #include <functional>
@@ -18,68 +18,73 @@
 
 namespace chalkwell::daemon::direct {
 
-/// @brief Settings of a list.
+/// @brief Settings of an EndpointList.
 struct EndpointListSettings {
-  /// Between two reads of the one who reads for others.
+  /// Interval between two reads of the designated reader.
   core::Duration read_interval_ = std::chrono::milliseconds(600);
-  /// From the store's word that an endpoint leaves to the last request that may
-  /// reach it.
+  /// Limit from the store's announcement that an endpoint is draining to the
+  /// last request that may reach it.
   core::Duration drain_bound_ = std::chrono::milliseconds(2000);
-  /// Between two renewals of an endpoint's row.
+  /// Interval between two lease renewals of an endpoint's row.
   core::Duration renewal_interval_ = std::chrono::milliseconds(1200);
 };
 
-/// @brief Hooks of a list.
+/// @brief Hooks of an EndpointList.
 struct EndpointListHooks {
   /// Reads the list now.
   std::function<void()> read_;
-  /// Whether the rules in force name a service.
+  /// Whether the active rules define a service.
   std::function<bool(const std::string& service)> is_known_service_;
 };
 
-/// @brief Keeps an entry's table of endpoints up with the list.
+/// @brief Keeps an entry's endpoint table up to date with the list.
 class EndpointList {
  public:
   EndpointList(Loop& loop, routing::EndpointTable& endpoints, MeshNode& mesh,
                EventLog& log, EndpointListSettings settings,
                EndpointListHooks hooks);
 
-  /// @brief The store, or a peer in its place, gave the whole list.
-  /// @param from_store whether this process read it itself.
-  /// Rows of services that nobody named are left out: they may have another
-  /// writer, and one that bears a good endpoint's address would hide it.
+  /// @brief Applies a full list, read from the store or received from a peer.
+  ///
+  /// Drops rows of services that the rules do not define: they may have another
+  /// writer, and such a row with the address of a valid endpoint would hide the
+  /// latter.
+  /// @param from_store whether this process read the list itself.
   void ApplyRead(StoreSnapshot published, bool from_store);
-  /// @brief A member told what it, or another one, read.
-  /// @param sent_at when it did, by the own clock.
-  void OnListMessage(const membership::Member& teller,
+  /// @brief Applies a list message: a read of the sender or one it forwards, or
+  /// a failed read.
+  /// @param sent_at when the message was sent, by the local clock.
+  void OnListMessage(const membership::Member& sender,
                      const EndpointListMessage& message,
                      core::TimePoint sent_at);
-  /// @brief The store did not answer a read.
+  /// @brief A read of the store failed.
   void OnReadFailed();
-  /// @brief Any entry told which endpoints leave.
+  /// @brief An entry published draining or removed endpoints.
   void OnDeparted(const DepartedMessage& departed);
-  /// @brief Runs a task once the list is not older than it may be, now if it is
-  /// not: a process that stood still chooses nobody by what it believed before.
-  /// It waits for one read, also if that fails.
+  /// @brief Runs a task at once if the list is within its age limit, else after
+  /// a read: a process that was suspended must not choose an endpoint by its
+  /// outdated list. The task also runs when the read fails.
   void WhenFresh(std::function<void()> task);
-  /// @brief Time between two own reads, as of now.
+  /// @brief Current interval between two reads of this process.
   [[nodiscard]] core::Duration Interval();
 
  private:
-  /// @param complete whether no lease can have lapsed unseen.
-  void TellOthers(const StoreSnapshot& published, bool complete);
+  /// @brief Publishes a read of this process if it is the designated reader.
+  /// @param complete false when leases may have expired during a store outage.
+  void PublishRead(const StoreSnapshot& published, bool complete);
   void TellDeparted(const std::vector<routing::EndpointRow>& before,
                     const std::vector<routing::EndpointRow>& after);
-  /// @brief Other failure domains that come before the own one in reading.
+  /// @brief Number of remote failure domains that precede the local one in the
+  /// priority order of readers.
   [[nodiscard]] std::size_t DomainsAhead() const;
-  [[nodiscard]] bool Stale() const;
-  /// @brief A list was taken: what waits for a fresh one runs, or a further
-  /// read begins.
-  void ServeWaiting();
-  void RunWaiting();
-  /// @param source whose word is believed.
+  [[nodiscard]] bool IsStale() const;
+  /// @brief Runs the waiting tasks if the list is within its age limit; else
+  /// starts another read for them.
+  void RunWaitingIfFresh();
+  void RunWaitingTasks();
+  /// @param source of the applied list: "store", "peer" or a member's id.
   void LogChange(const std::string& source);
-  void LeaveOutUnnamed(std::vector<routing::EndpointRow>& rows);
+  void RemoveUnknownServices(std::vector<routing::EndpointRow>& rows);
 
   Loop& loop_;
   routing::EndpointTable& endpoints_;
@@ -87,16 +92,16 @@
   EventLog& log_;
   EndpointListHooks hooks_;
   EndpointListSettings settings_;
-  /// When a failed read was last told.
-  core::TimePoint tried_told_at_;
-  membership::ReaderRole duty_;
+  /// When a failed read was last announced.
+  core::TimePoint read_failure_published_at_;
+  membership::ReaderRole reader_role_;
   membership::StoreOutage outage_;
-  /// Tasks that wait for a read.
-  std::vector<std::function<void()>> waiting_;
-  /// The list as this process itself read it.
+  /// Tasks of WhenFresh() that wait for a read.
+  std::vector<std::function<void()>> waiting_tasks_;
+  /// Lists that this process read from the store.
   routing::ListHistory history_;
-  /// Rows left out of the last read, for the log.
-  std::set<core::InstanceId> unnamed_;
+  /// Rows of unknown services in the last list; each is logged once.
+  std::set<core::InstanceId> unknown_rows_;
 };
 
 }  // namespace chalkwell::daemon::direct
--- a/packages/daemon/src/daemon/direct/mesh_messages.cpp
+++ b/packages/daemon/src/daemon/direct/mesh_messages.cpp
@@ -1,4 +1,4 @@
-// Between wire forms and the library's types.
+// Conversions between the wire messages and the library's types.
 #include "daemon/direct/mesh_messages.hpp"
 
 #include <algorithm>
@@ -6,21 +6,21 @@
 namespace chalkwell::daemon::direct {
 namespace {
 
-/// Ages told beyond this count as this: what is so old is not believed anyway.
-constexpr auto kOldest = std::chrono::hours(1);
+/// Larger ages are clamped to this: data of this age is never used.
+constexpr auto kMaxAge = std::chrono::hours(1);
 
 }  // namespace
 
 core::Duration ToAge(std::uint64_t ms) {
-  constexpr auto kMost =
-      static_cast<std::uint64_t>(std::chrono::milliseconds(kOldest).count());
-  return std::chrono::milliseconds(std::min(ms, kMost));
+  constexpr auto kMaxAgeMs =
+      static_cast<std::uint64_t>(std::chrono::milliseconds(kMaxAge).count());
+  return std::chrono::milliseconds(std::min(ms, kMaxAgeMs));
 }
 
 std::uint64_t ToAgeMs(core::Duration age) {
-  const auto whole = std::chrono::ceil<std::chrono::milliseconds>(age);
+  const auto rounded = std::chrono::ceil<std::chrono::milliseconds>(age);
   return static_cast<std::uint64_t>(
-      std::clamp<std::chrono::milliseconds>(whole, {}, kOldest).count());
+      std::clamp<std::chrono::milliseconds>(rounded, {}, kMaxAge).count());
 }
 
 MemberMessage ToMessage(const membership::Member& member) {
@@ -58,8 +58,8 @@
              : std::optional(core::StartTime(std::chrono::milliseconds(ms)));
 }
 
-IncarnationMessage ToMessage(const routing::EndpointIncarnation& life) {
-  return {life.id_.value(), ToMs(life.started_)};
+IncarnationMessage ToMessage(const routing::EndpointIncarnation& incarnation) {
+  return {incarnation.id_.value(), ToMs(incarnation.started_)};
 }
 
 routing::EndpointIncarnation ToIncarnation(const IncarnationMessage& message) {
@@ -99,18 +99,18 @@
   change.to_ = message.to_;
   change.full_ = message.full_;
   change.complete_ = message.complete_;
-  for (const auto& told : message.rows_) {
+  for (const auto& row_message : message.rows_) {
     routing::EndpointRow row;
-    row.id_ = core::InstanceId(told.id_);
-    row.service_ = told.service_;
-    row.address_ = told.address_;
-    row.domain_ = core::FailureDomainId(told.domain_);
-    row.slots_ = told.slots_;
-    row.leaving_ = told.leaving_;
-    row.created_ = told.created_;
-    row.started_ = ToStartTime(told.started_ms_);
-    if (told.version_ > 0) {
-      row.weights_version_ = told.version_;
+    row.id_ = core::InstanceId(row_message.id_);
+    row.service_ = row_message.service_;
+    row.address_ = row_message.address_;
+    row.domain_ = core::FailureDomainId(row_message.domain_);
+    row.slots_ = row_message.slots_;
+    row.leaving_ = row_message.leaving_;
+    row.created_ = row_message.created_;
+    row.started_ = ToStartTime(row_message.started_ms_);
+    if (row_message.version_ > 0) {
+      row.weights_version_ = row_message.version_;
     }
     change.rows_.push_back(std::move(row));
   }
--- a/packages/daemon/src/daemon/direct/mesh_messages.hpp
+++ b/packages/daemon/src/daemon/direct/mesh_messages.hpp
@@ -1,5 +1,6 @@
-// What the processes of the system say to each other in datagrams. All of them
-// are arrays, to spare the names of fields; the first byte names the kind.
+// Datagrams that the processes of a deployment exchange. Messages are encoded
+// as MessagePack arrays, which carry no field names; the first byte of a
+// datagram is its DatagramKind.
 #pragma once
 
 #include <cstdint>
@@ -15,11 +16,11 @@
 
 namespace chalkwell::daemon::direct {
 
-/// @brief Kinds of datagrams, by their first byte.
+/// @brief Kind of a datagram, encoded as its first byte.
 enum class DatagramKind : char {
   /// A MeshMessage.
   kMesh = 'M',
-  /// A LoadMessage alone, the most frequent of all.
+  /// A LoadMessage without an envelope: the most frequent datagram.
   kReport = 'R',
 };
 
@@ -37,43 +38,45 @@
                  leaving_, local_members_)
 };
 
-/// @brief What an agent's engine reported.
+/// @brief Load report of an agent's engine.
 struct LoadMessage {
   /// Address of the engine, "ip:port".
   std::string endpoint_;
   std::uint32_t active_ = 0;
   std::uint32_t queued_ = 0;
   bool accepting_ = true;
-  /// 0 while the engine holds no whole weights.
+  /// 0 while the engine holds no complete weights.
   std::uint64_t version_ = 0;
-  /// Thousandths.
+  /// Slowdown of the engine, in thousandths.
   std::uint32_t slowdown_ = 1000;
-  /// By the agent's steady clock.
+  /// Send time, by the agent's steady clock.
   std::uint64_t sent_ms_ = 0;
-  /// How long the agent's link holds back what comes in, requests included.
+  /// Queueing delay of the agent's link for inbound traffic, which also delays
+  /// requests.
   std::uint32_t inbound_ms_ = 0;
-  /// Of the engine; empty when it is not known, and in most reports.
+  /// Incarnation of the engine; empty when unknown, and omitted from most
+  /// reports.
   std::string incarnation_;
-  /// Start of the engine's life; 0 when it is not told.
+  /// Start time of the engine; 0 when unknown.
   std::int64_t started_ms_ = 0;
   MSGPACK_DEFINE(endpoint_, active_, queued_, accepting_, version_, slowdown_,
                  sent_ms_, inbound_ms_, incarnation_, started_ms_)
 };
 
-/// @brief Which pieces of a version an agent can give.
+/// @brief Chunks of a version that an agent can serve to its peers.
 struct HeldChunksMessage {
   std::string model_;
   std::uint64_t version_ = 0;
   std::uint32_t chunks_ = 0;
   std::string bits_;
-  /// Version that its engine serves; 0 for none.
+  /// Version that the agent's engine serves; 0 for none.
   std::uint64_t serving_ = 0;
-  /// Whether it can give the list of the version's pieces.
+  /// Whether the agent can serve the manifest of the version.
   bool has_manifest_ = false;
-  /// Others come first in drawing pieces: its machine's link carries far less
-  /// than it is set to, or it fetches an older version first.
+  /// Other members are preferred for origin fetches: this member's link carries
+  /// far less than its configured rate, or it fetches an older version first.
   bool degraded_ = false;
-  /// Another version of which it can give pieces; 0 for none.
+  /// Another version of which the agent can serve chunks; 0 for none.
   std::uint64_t older_version_ = 0;
   std::string older_bits_;
   bool has_older_manifest_ = false;
@@ -92,92 +95,95 @@
   /// 0 for none.
   std::uint64_t version_ = 0;
   std::uint64_t created_ = 0;
-  /// 0 when it is not told.
+  /// 0 when unknown.
   std::int64_t started_ms_ = 0;
   MSGPACK_DEFINE(id_, service_, address_, domain_, slots_, leaving_, version_,
                  created_, started_ms_)
 };
 
-/// @brief What a reader of the list saw change between two of its reads.
+/// @brief The endpoint list, or its changes between two reads of one reader.
 struct EndpointListMessage {
-  /// Revisions of the list; `to_` 0 means that nothing is told.
+  /// Revisions of the list; a `to_` of 0 means that the message carries no
+  /// list.
   std::uint64_t from_ = 0;
   std::uint64_t to_ = 0;
   std::vector<EndpointRowMessage> rows_;
   std::vector<std::string> removed_;
-  /// The rows are the whole list.
+  /// The rows are the full list, not a delta.
   bool full_ = false;
-  /// Whole lists only: false when rows may be missing that are not gone.
+  /// Full lists only: false when endpoints that still run may be missing.
   bool complete_ = true;
-  /// Nothing but that a read was tried in vain.
+  /// Announces only that a read of the list failed.
   bool read_failed_ = false;
-  /// Since the store was asked for it, as the message is sent.
+  /// Time since the store was queried, at the time of sending.
   std::uint64_t age_ms_ = 0;
   MSGPACK_DEFINE(from_, to_, rows_, removed_, full_, complete_, read_failed_,
                  age_ms_)
 };
 
-/// @brief Wire form of one life of an endpoint.
+/// @brief Wire form of an endpoint incarnation.
 struct IncarnationMessage {
   std::string id_;
-  /// 0 when it is not told.
+  /// 0 when unknown.
   std::int64_t started_ms_ = 0;
   MSGPACK_DEFINE(id_, started_ms_)
 };
 
-/// @brief Endpoints that are seen to leave or to be gone.
+/// @brief Endpoints that were found draining or removed from the list.
 struct DepartedMessage {
   std::vector<IncarnationMessage> leaving_;
   std::vector<IncarnationMessage> removed_;
   MSGPACK_DEFINE(leaving_, removed_)
 };
 
-/// @brief Wire form of one crash of an endpoint.
+/// @brief Wire form of an endpoint crash.
 struct CrashMessage {
   IncarnationMessage endpoint_;
-  /// Entry that saw it.
+  /// Entry that observed the crash.
   std::string reporter_;
-  /// Since the crash, as the message is sent.
+  /// Time since the crash, at the time of sending.
   std::uint64_t age_ms_ = 0;
   bool cleared_ = false;
-  /// How long the request had been under way there.
+  /// Time that the request had been in flight at the endpoint.
   std::uint64_t elapsed_ms_ = 0;
   MSGPACK_DEFINE(endpoint_, reporter_, age_ms_, cleared_, elapsed_ms_)
 };
 
-/// @brief Values of CrashRecordMessage::trial_ms_ below 1.
+/// @brief Values of CrashRecordMessage::trial_ms_ below 1, which are not
+/// durations.
 enum class TrialChange : std::int64_t { kNone = -1, kEnded = 0 };
 
-/// @brief Endpoints that crashed while a request was under way there.
+/// @brief Endpoints that crashed while a request was in flight there.
 struct CrashRecordMessage {
-  /// Bytes of the request's digest.
+  /// Digest of the request, as bytes.
   std::string request_;
   std::vector<CrashMessage> crashes_;
-  /// The sender has an attempt of the suspected request under way, for this
-  /// long at the most; a TrialChange when not positive.
+  /// Upper limit on the remaining time of the trial (an attempt of the
+  /// suspected request) that the sender runs; a TrialChange when not positive.
   std::int64_t trial_ms_ = static_cast<std::int64_t>(TrialChange::kNone);
   MSGPACK_DEFINE(request_, crashes_, trial_ms_)
 };
 
-/// @brief One datagram.
+/// @brief Body of a mesh datagram.
 struct MeshMessage {
   MemberMessage sender_;
   std::vector<MemberMessage> rows_;
   std::vector<HeldChunksMessage> held_chunks_;
-  /// Newest weights the sender has heard of, by model.
+  /// Newest weights version known to the sender, by model.
   std::map<std::string, std::uint64_t> weights_;
-  /// Whether the sender wants an answer, to know that the other lives.
+  /// The sender requests a reply, which proves that the receiver is alive.
   bool requests_reply_ = false;
-  /// The sender wants the reports of the endpoint beside this agent for some
-  /// seconds.
+  /// The sender subscribes to the load reports of the receiving agent's engine
+  /// for a few seconds.
   bool subscribes_ = false;
   DepartedMessage departed_;
-  /// By the sender's steady clock.
+  /// Send time, by the sender's steady clock.
   std::uint64_t sent_ms_ = 0;
   EndpointListMessage list_;
-  /// Version of the rules that the sender has in force; 0 for none.
+  /// Version of the sender's active rules; 0 for none.
   std::uint64_t rules_version_ = 0;
-  /// The sender takes the rules from the store: its neighbours need not.
+  /// The sender watches the rules in the store, so that the other members of
+  /// its failure domain need not.
   bool watches_rules_ = false;
   std::vector<CrashRecordMessage> crashes_;
   MSGPACK_DEFINE(sender_, rows_, held_chunks_, weights_, requests_reply_,
@@ -185,37 +191,38 @@
                  watches_rules_, crashes_)
 };
 
-/// A pace travels in thousandths.
+/// A slowdown is encoded in thousandths.
 constexpr double kSlowdownUnit = 1000;
 
 [[nodiscard]] MemberMessage ToMessage(const membership::Member& member);
 [[nodiscard]] membership::Member ToMember(const MemberMessage& message);
 [[nodiscard]] IncarnationMessage ToMessage(
-    const routing::EndpointIncarnation& life);
+    const routing::EndpointIncarnation& incarnation);
 [[nodiscard]] routing::EndpointIncarnation ToIncarnation(
     const IncarnationMessage& message);
-/// @brief An age as it travels; any number may be told.
+/// @brief Decodes an age. A larger one than the limit of an hour is clamped.
 [[nodiscard]] core::Duration ToAge(std::uint64_t ms);
-/// @return whole milliseconds, rounded up.
+/// @return milliseconds, rounded up and clamped to the limit of ToAge().
 [[nodiscard]] std::uint64_t ToAgeMs(core::Duration age);
-/// @brief A start time on the wire; 0 for none.
+/// @brief Encodes a start time; 0 for none.
 [[nodiscard]] std::int64_t ToMs(const std::optional<core::StartTime>& started);
 [[nodiscard]] std::optional<core::StartTime> ToStartTime(std::int64_t ms);
 [[nodiscard]] EndpointListMessage ToMessage(
     const routing::EndpointListChange& change, core::TimePoint now);
-/// @param sent_at when the message was sent, by the own clock.
+/// @param sent_at when the message was sent, by the local clock.
 [[nodiscard]] routing::EndpointListChange ToChange(
     const EndpointListMessage& message, core::TimePoint sent_at);
-/// @brief The record as it is sent; it says nothing of a trial.
+/// @brief Encodes a record; the trial field is left unset.
 [[nodiscard]] CrashRecordMessage ToMessage(const routing::CrashRecord& record,
                                            core::TimePoint now);
-/// @param sent_at when the message was sent, by the own clock.
-/// @return nothing when the message names no request.
+/// @param sent_at when the message was sent, by the local clock.
+/// @return nothing when the message holds no valid request digest.
 [[nodiscard]] std::optional<routing::CrashRecord> ToRecord(
     const CrashRecordMessage& message, core::TimePoint sent_at);
-/// @brief A report as its reader believes it.
-/// @param outbound how long the agent's link held the report back; requests
-/// wait on the way in, their answers on the way out.
+/// @brief Decodes a load report.
+/// @param outbound queueing delay of the agent's link for outbound traffic, as
+/// observed for this report. The path delay of an endpoint is the sum of both
+/// directions: requests wait inbound, their responses outbound.
 [[nodiscard]] routing::LoadReport ToReport(const LoadMessage& message,
                                            core::Duration outbound);
 
--- a/packages/daemon/src/daemon/direct/mesh_node.cpp
+++ b/packages/daemon/src/daemon/direct/mesh_node.cpp
@@ -1,4 +1,4 @@
-// Rumours of members, and news for those whom the plan of spreading names.
+// Gossip of members, and announcements along the propagation plan.
 #include "daemon/direct/mesh_node.hpp"
 
 #include <random>
@@ -9,24 +9,26 @@
 namespace chalkwell::daemon::direct {
 namespace {
 
-/// Members told at each interval, and rows told to each: at 1 s and some 60
-/// bytes a row this is 2 KB a second for each process.
-constexpr std::size_t kTargets = 2;
-constexpr std::size_t kRows = 18;
-/// Silent members asked at each interval at most: rows that came together fall
-/// silent together, and there are three intervals before they are lost.
-constexpr std::size_t kAsked = 8;
-/// Rows of an answer to one who asks: a newcomer knows nobody.
-constexpr std::size_t kAnswerRows = 24;
-/// Records of crashes that gossip carries, and that an answer does: an entry
-/// that missed their publication gets them within some intervals.
-constexpr std::size_t kCrashRecords = 8;
-constexpr std::size_t kAnswerCrashRecords = 24;
-/// Seeds are greeted this often at the start, whether or not they answer.
-constexpr unsigned kGreetings = 6;
-constexpr auto kGreetingInterval = std::chrono::milliseconds(150);
-/// A delegate asks a seed after so many rounds, so that parts of a deployment
-/// that lost each other for longer than a lease find each other again.
+/// Gossip targets of each round, and member rows sent to each of them. With an
+/// interval of 1 s and some 60 bytes a row, a process sends 2 KB a second.
+constexpr std::size_t kGossipTargets = 2;
+constexpr std::size_t kGossipRows = 18;
+/// Unresponsive members probed in each round at most. Rows that were received
+/// together become unresponsive together, and three rounds remain before their
+/// leases expire.
+constexpr std::size_t kMaxProbes = 8;
+/// Member rows of a reply: more than gossip carries, since a new member knows
+/// no others.
+constexpr std::size_t kReplyRows = 24;
+/// Crash records that a gossip message and a reply carry. An entry that missed
+/// their publication receives them within a few rounds.
+constexpr std::size_t kGossipCrashRecords = 8;
+constexpr std::size_t kReplyCrashRecords = 24;
+/// Rounds at the start that ask a seed, whether or not the seeds reply.
+constexpr unsigned kStartupRounds = 6;
+constexpr auto kStartupInterval = std::chrono::milliseconds(150);
+/// Rounds after which a delegate asks a seed, so that parts of a deployment
+/// that were partitioned for longer than a lease rediscover each other.
 constexpr unsigned kSeedRounds = 5;
 
 membership::Member WithIncarnation(membership::Member member) {
@@ -46,13 +48,13 @@
       hooks_(std::move(hooks)),
       traffic_(log, metrics),
       timer_(loop),
-      seed_(std::random_device{}()) {}
+      next_seed_(std::random_device{}()) {}
 
 void MeshNode::Start() {
   socket_ = std::make_unique<UdpSocket>(
       loop_, settings_.listen_,
       [this](std::string_view bytes) { OnDatagram(bytes); });
-  Greet();
+  StartupTick();
 }
 
 void MeshNode::SetSeeds(std::vector<Address> seeds) {
@@ -68,15 +70,15 @@
   if (settings_.seeds_.empty()) {
     return;
   }
-  const auto& seed = settings_.seeds_[seed_++ % settings_.seeds_.size()];
-  auto message = Envelope();
+  const auto& seed = settings_.seeds_[next_seed_++ % settings_.seeds_.size()];
+  auto message = MakeMessage();
   message.requests_reply_ = true;
   Send(TrafficKind::kGossip,
        Address{seed.ip_, settings_.listen_.port_}.ToString(), self().domain_,
        message);
 }
 
-void MeshNode::Greet() {
+void MeshNode::StartupTick() {
   table_.RaiseHeartbeat();
   QuerySeed();
   Tick();
@@ -91,14 +93,15 @@
     }
   }
   if (IsEntry()) {
-    for (const auto& silent : table_.Unresponsive(kAsked, loop_.Now())) {
-      auto message = Envelope();
+    for (const auto& unresponsive :
+         table_.Unresponsive(kMaxProbes, loop_.Now())) {
+      auto message = MakeMessage();
       message.requests_reply_ = true;
-      SendTo(TrafficKind::kGossip, {silent}, message);
+      SendTo(TrafficKind::kGossip, {unresponsive}, message);
     }
-    for (const auto& target : table_.GossipTargets(kTargets)) {
-      auto message = GossipEnvelope(kCrashRecords);
-      for (const auto& row : table_.Sample(kRows, target.domain_)) {
+    for (const auto& target : table_.GossipTargets(kGossipTargets)) {
+      auto message = MakeGossipMessage(kGossipCrashRecords);
+      for (const auto& row : table_.Sample(kGossipRows, target.domain_)) {
         message.rows_.push_back(ToMessage(row));
       }
       SendTo(TrafficKind::kGossip, {target}, message);
@@ -109,10 +112,10 @@
   }
   metrics_.Set("members", {}, static_cast<double>(table_.Live().size()));
   traffic_.Tell(loop_.Now());
-  const bool greets =
-      (IsEntry() && ++greetings_ < kGreetings) || table_.Live().empty();
-  timer_.Once(greets ? core::Duration(kGreetingInterval) : settings_.interval_,
-              [this, greets] { greets ? Greet() : Tick(); });
+  const bool starting = (IsEntry() && ++startup_rounds_ < kStartupRounds) ||
+                        table_.Live().empty();
+  timer_.Once(starting ? core::Duration(kStartupInterval) : settings_.interval_,
+              [this, starting] { starting ? StartupTick() : Tick(); });
 }
 
 std::vector<membership::Member> MeshNode::LocalEntries() const {
@@ -126,10 +129,10 @@
 void MeshNode::AnnounceLeaving() {
   table_.SetLeaving();
   table_.RaiseHeartbeat();
-  SendTo(TrafficKind::kGossip, table_.Live(), Envelope());
+  SendTo(TrafficKind::kGossip, table_.Live(), MakeMessage());
 }
 
-MeshMessage MeshNode::Envelope() const {
+MeshMessage MeshNode::MakeMessage() const {
   MeshMessage message;
   message.sender_ = ToMessage(table_.self());
   message.sent_ms_ = static_cast<std::uint64_t>(
@@ -148,8 +151,8 @@
   return message;
 }
 
-MeshMessage MeshNode::GossipEnvelope(std::size_t crash_records) const {
-  auto message = Envelope();
+MeshMessage MeshNode::MakeGossipMessage(std::size_t crash_records) const {
+  auto message = MakeMessage();
   if (hooks_.crashes_) {
     message.crashes_ = hooks_.crashes_(crash_records);
   }
@@ -197,38 +200,38 @@
       }
       return;
   }
-  // Whatever else comes is not of this system.
+  // Datagrams of any other kind are from a foreign sender.
   metrics_.Count("datagrams_unknown_total", {});
 }
 
 membership::MergeOutcome MeshNode::Merge(const membership::Member& member) {
-  const auto end = table_.Merge(member, loop_.Now());
-  if (end == membership::MergeOutcome::kJoined) {
+  const auto outcome = table_.Merge(member, loop_.Now());
+  if (outcome == membership::MergeOutcome::kJoined) {
     LogMember(core::EventNumber::kMemberJoined, member);
   }
-  return end;
+  return outcome;
 }
 
 void MeshNode::LogMember(core::EventNumber event,
                          const membership::Member& member) {
-  // An agent knows the entries that use its engine, and these change all the
-  // time: it wrote 7,200 losses on a day on which nobody was lost.
+  // Agents do not log members: the entries that use an engine change all the
+  // time, and an agent logged 7,200 losses on a day without any.
   if (IsEntry()) {
     log_.Write(event,
                {{"member", member.id_.value()}, {"address", member.address_}});
   }
 }
 
-void MeshNode::Answer(const membership::Member& asker) {
+void MeshNode::Reply(const membership::Member& requester) {
   table_.RaiseHeartbeat();
-  const bool to_entry = asker.kind_ == membership::MemberKind::kEntry;
-  auto answer = to_entry ? GossipEnvelope(kAnswerCrashRecords) : Envelope();
+  const bool to_entry = requester.kind_ == membership::MemberKind::kEntry;
+  auto reply = to_entry ? MakeGossipMessage(kReplyCrashRecords) : MakeMessage();
   if (IsEntry()) {
-    for (const auto& row : table_.Sample(kAnswerRows, asker.domain_)) {
-      answer.rows_.push_back(ToMessage(row));
+    for (const auto& row : table_.Sample(kReplyRows, requester.domain_)) {
+      reply.rows_.push_back(ToMessage(row));
     }
   }
-  SendTo(TrafficKind::kReply, {asker}, answer);
+  SendTo(TrafficKind::kReply, {requester}, reply);
 }
 
 void MeshNode::OnMessage(const MeshMessage& message) {
@@ -238,7 +241,7 @@
   const std::chrono::milliseconds sent(message.sent_ms_);
   const auto delay = path.OnMessage(sent, now);
   inbound_.OnMessage(delay, now);
-  TakeMembers(message, sender);
+  MergeMembers(message, sender);
   if (message.subscribes_ && hooks_.on_subscribe_) {
     hooks_.on_subscribe_(sender);
   }
@@ -247,49 +250,49 @@
       hooks_.on_held_chunks_(sender, held);
     }
   }
-  TakeNews(message, sender, delay);
-  PassOn(message, sender, delay);
+  HandleAnnouncements(message, sender, delay);
+  Forward(message, sender, delay);
 }
 
-void MeshNode::TakeMembers(const MeshMessage& message,
-                           const membership::Member& sender) {
+void MeshNode::MergeMembers(const MeshMessage& message,
+                            const membership::Member& sender) {
   const bool agent = sender.kind_ == membership::MemberKind::kAgent;
   if (agent) {
     if (message.requests_reply_ && IsEntry()) {
-      Answer(sender);
+      Reply(sender);
       if (hooks_.on_agent_started_) {
         hooks_.on_agent_started_(sender.address_);
       }
     }
     return;
   }
-  // Newcomers ask some times: each time the one asked knows more.
+  // New members ask several times, since each reply may hold more members.
   const bool joined = Merge(sender) == membership::MergeOutcome::kJoined;
   if (IsEntry() && (joined || message.requests_reply_)) {
-    Answer(sender);
+    Reply(sender);
   }
   for (const auto& row : message.rows_) {
     const auto member = ToMember(row);
-    const bool near = member.domain_ == self().domain_;
+    const bool local = member.domain_ == self().domain_;
     if (Merge(member) == membership::MergeOutcome::kJoined && IsEntry() &&
-        near) {
-      // It may not know this process yet: by rumour alone members that started
-      // together knew each other only after several rounds.
-      SendTo(TrafficKind::kGossip, {member}, Envelope());
+        local) {
+      // The new member may not know this process yet. With gossip alone,
+      // members that started together needed several rounds to know each other.
+      SendTo(TrafficKind::kGossip, {member}, MakeMessage());
     }
   }
 }
 
-void MeshNode::TakeNews(const MeshMessage& message,
-                        const membership::Member& sender,
-                        core::Duration delay) {
+void MeshNode::HandleAnnouncements(const MeshMessage& message,
+                                   const membership::Member& sender,
+                                   core::Duration delay) {
   const auto& departed = message.departed_;
   if (hooks_.on_departed_ &&
       !(departed.leaving_.empty() && departed.removed_.empty())) {
     hooks_.on_departed_(departed);
   }
-  const bool lists = message.list_.to_ > 0 || message.list_.read_failed_;
-  if (hooks_.on_list_ && lists) {
+  const bool has_list = message.list_.to_ > 0 || message.list_.read_failed_;
+  if (hooks_.on_list_ && has_list) {
     hooks_.on_list_(sender, message.list_, loop_.Now() - delay);
   }
   if (hooks_.on_crashes_ && !message.crashes_.empty()) {
@@ -305,30 +308,31 @@
   }
 }
 
-void MeshNode::PassOn(const MeshMessage& message,
-                      const membership::Member& sender, core::Duration delay) {
+void MeshNode::Forward(const MeshMessage& message,
+                       const membership::Member& sender, core::Duration delay) {
   const auto& departed = message.departed_;
-  const bool departs =
+  const bool has_departed =
       !(departed.leaving_.empty() && departed.removed_.empty());
-  const bool lists = message.list_.to_ > 0;
-  if (!IsEntry() || sender.domain_ == self().domain_ || !(departs || lists)) {
+  const bool has_list = message.list_.to_ > 0;
+  if (!IsEntry() || sender.domain_ == self().domain_ ||
+      !(has_departed || has_list)) {
     return;
   }
-  auto onward = Envelope();
-  onward.departed_ = departed;
-  onward.list_ = message.list_;
-  onward.list_.age_ms_ = ToAgeMs(ToAge(message.list_.age_ms_) + delay);
+  auto forwarded = MakeMessage();
+  forwarded.departed_ = departed;
+  forwarded.list_ = message.list_;
+  forwarded.list_.age_ms_ = ToAgeMs(ToAge(message.list_.age_ms_) + delay);
   const auto targets = Plan().ForwardTargets(sender.domain_);
   if (!targets.empty()) {
-    told_domain_at_ = loop_.Now();
-    SendTo(lists ? TrafficKind::kList : TrafficKind::kDeparted, targets,
-           onward);
+    last_domain_announcement_ = loop_.Now();
+    SendTo(has_list ? TrafficKind::kList : TrafficKind::kDeparted, targets,
+           forwarded);
   }
 }
 
 void MeshNode::Subscribe(const std::string& agent,
                          const core::FailureDomainId& domain) {
-  auto message = Envelope();
+  auto message = MakeMessage();
   message.subscribes_ = true;
   Send(TrafficKind::kSubscription, agent, domain, message);
 }
@@ -343,7 +347,7 @@
 }
 
 void MeshNode::PublishDeparted(const DepartedMessage& departed) {
-  auto message = Envelope();
+  auto message = MakeMessage();
   message.departed_ = departed;
   SendTo(TrafficKind::kDeparted,
          Plan().AnnounceTargets(membership::DelegateFanout::kTwoDelegates),
@@ -351,16 +355,16 @@
 }
 
 void MeshNode::PublishList(const EndpointListMessage& list) {
-  auto message = Envelope();
+  auto message = MakeMessage();
   message.list_ = list;
-  told_domain_at_ = loop_.Now();
+  last_domain_announcement_ = loop_.Now();
   SendTo(TrafficKind::kList,
          Plan().AnnounceTargets(membership::DelegateFanout::kOneDelegate),
          message);
 }
 
 void MeshNode::PublishCrashes(const std::vector<CrashRecordMessage>& records) {
-  auto message = Envelope();
+  auto message = MakeMessage();
   message.crashes_ = records;
   SendTo(TrafficKind::kCrashes,
          Plan().AnnounceTargets(membership::DelegateFanout::kTwoDelegates),
@@ -369,25 +373,25 @@
 
 void MeshNode::ForwardCrashes(const core::FailureDomainId& from,
                               const std::vector<CrashRecordMessage>& records) {
-  auto message = Envelope();
+  auto message = MakeMessage();
   message.crashes_ = records;
   SendTo(TrafficKind::kCrashes, Plan().ForwardTargets(from), message);
 }
 
 void MeshNode::PublishReadFailure() {
-  auto message = Envelope();
+  auto message = MakeMessage();
   message.list_.read_failed_ = true;
-  told_domain_at_ = loop_.Now();
+  last_domain_announcement_ = loop_.Now();
   SendTo(TrafficKind::kList, LocalEntries(), message);
 }
 
 void MeshNode::AnnounceVersions(
     const std::vector<membership::Member>& members) {
-  SendTo(TrafficKind::kNotification, members, Envelope());
+  SendTo(TrafficKind::kNotification, members, MakeMessage());
 }
 
 void MeshNode::AnnounceVersions() {
-  told_domain_at_ = loop_.Now();
+  last_domain_announcement_ = loop_.Now();
   AnnounceVersions(
       Plan().AnnounceTargets(membership::DelegateFanout::kTwoDelegates));
 }
@@ -395,7 +399,7 @@
 void MeshNode::SendHeldChunks(const std::string& agent,
                               const core::FailureDomainId& domain,
                               const HeldChunksMessage& held) {
-  auto message = Envelope();
+  auto message = MakeMessage();
   message.held_chunks_.push_back(held);
   Send(TrafficKind::kHeldChunks, agent, domain, message);
 }
--- a/packages/daemon/src/daemon/direct/mesh_node.hpp
+++ b/packages/daemon/src/daemon/direct/mesh_node.hpp
@@ -1,7 +1,7 @@
-// The processes of the system among themselves: who lives, what endpoints
-// report, and which pieces of weights agents hold. All of it is sent as
-// datagrams; a lost one is made up for by the next. Entries are members, who
-// know each other; agents know the entries that use their endpoints.
+// Mesh of a deployment's processes: membership, load reports of endpoints, and
+// the chunks of weights that agents hold. Everything is sent as datagrams; a
+// later datagram makes up for a lost one. Entries are members and know each
+// other; an agent knows only the entries that use its endpoint.
 #pragma once
 
 #include <cstdint>
@@ -27,7 +27,7 @@
 /// @brief Settings of a node.
 struct MeshSettings {
   Address listen_;
-  /// Processes that may be known at the start; only their IP numbers count,
+  /// Addresses asked for members at the start. Only the IP address is used,
   /// since all processes of a deployment listen on the same port.
   std::vector<Address> seeds_;
   core::Duration interval_ = std::chrono::milliseconds(1000);
@@ -39,137 +39,150 @@
   std::function<void(const membership::Member& sender,
                      const HeldChunksMessage& held)>
       on_held_chunks_;
-  /// An entry wants this agent's reports.
+  /// An entry subscribed to this agent's reports.
   std::function<void(const membership::Member& entry)> on_subscribe_;
-  /// An agent that has just started, or that no entry uses, greets.
+  /// An agent that has just started, or whose endpoint no entry uses, asked
+  /// this entry for a reply.
   std::function<void(const std::string& address)> on_agent_started_;
   std::function<void(const std::string& model, std::uint64_t version)>
       on_weights_;
   std::function<void(const membership::Member& member)> on_lost_;
   std::function<void(const DepartedMessage& departed)> on_departed_;
-  /// @param sent_at when the list was told, by the own clock: datagrams may
-  /// wait on their way and before this process, which may stand still.
-  std::function<void(const membership::Member& teller,
+  /// @param sent_at when the list was sent, by the local clock. It may be well
+  /// before the call: datagrams queue in the network, and in the socket while
+  /// this process is suspended.
+  std::function<void(const membership::Member& sender,
                      const EndpointListMessage& list, core::TimePoint sent_at)>
       on_list_;
-  /// A member told which rules it has in force, 0 for none, and whether it
-  /// takes them from the store.
+  /// A member announced the version of its active rules, 0 for none, and
+  /// whether it watches them in the store.
   std::function<void(const membership::Member& member, std::uint64_t version,
                      bool watches)>
       on_rules_;
-  /// A member published endpoints that crashed under requests.
-  /// @param sent_at when it did, by the own clock.
+  /// A member published crashes of endpoints with the requests in flight there.
+  /// @param sent_at when the records were sent, by the local clock.
   std::function<void(const membership::Member& sender,
                      const std::vector<CrashRecordMessage>& records,
                      core::TimePoint sent_at)>
       on_crashes_;
-  /// Some records of crashes for another entry.
-  std::function<std::vector<CrashRecordMessage>(std::size_t most)> crashes_;
-  /// Version of the rules in force here; 0 for none.
+  /// Supplies crash records for another entry, up to a limit.
+  std::function<std::vector<CrashRecordMessage>(std::size_t max_records)>
+      crashes_;
+  /// Version of the local active rules; 0 for none.
   std::function<std::uint64_t()> rules_version_;
-  /// Whether this process takes the rules from the store.
+  /// Whether this process watches the rules in the store.
   std::function<bool()> watches_rules_;
-  /// Newest weights known here.
+  /// Newest weights versions known locally, by model.
   std::function<std::map<std::string, std::uint64_t>()> weights_;
 };
 
-/// @brief One process's place among the others.
+/// @brief One process of the mesh.
 class MeshNode {
  public:
   MeshNode(Loop& loop, membership::Member self, MeshSettings settings,
            EventLog& log, Metrics& metrics, MeshHooks hooks);
 
-  /// @brief Begins to tell and to listen.
+  /// @brief Opens the socket and starts the periodic rounds.
   void Start();
-  /// @brief Tells the members known that this process ends.
+  /// @brief Announces to all known members that this process shuts down.
   void AnnounceLeaving();
-  /// @brief Entries known: all of the own failure domain, few of each other.
+  /// @brief Known live entries: all of the local failure domain, a few of each
+  /// remote one.
   [[nodiscard]] std::vector<membership::Member> LiveMembers() const {
     return table_.Live();
   }
-  /// @brief Live entries of the own failure domain that do not leave.
+  /// @brief Live entries of the local failure domain that are not draining.
   [[nodiscard]] std::vector<membership::Member> LocalEntries() const;
-  /// @brief Live entries of the whole deployment, this one included.
+  /// @brief Number of live entries of the whole deployment, including this one.
   [[nodiscard]] std::size_t EntryCount() const {
     return table_.DeploymentSize();
   }
   [[nodiscard]] const membership::Member& self() const noexcept {
     return table_.self();
   }
-  /// @brief Where another process of the deployment hears datagrams.
-  /// @param endpoint address of the endpoint beside it, "ip:port".
+  /// @brief Mesh address of the process on the host of an endpoint.
+  /// @param endpoint address of the endpoint, "ip:port".
   [[nodiscard]] std::string MeshAddressOf(const std::string& endpoint) const;
 
-  /// @brief Asks the agent at an address for reports, for some seconds.
+  /// @brief Subscribes to the reports of the agent at an address for a few
+  /// seconds.
   /// @param domain failure domain of the agent.
   void Subscribe(const std::string& agent, const core::FailureDomainId& domain);
   /// @brief Sends a report to one subscriber.
   void SendReport(const membership::ReportTarget& entry,
                   const LoadMessage& load);
-  /// @brief Tells whoever must know which endpoints leave: the one that reads
-  /// the list first spares the others the wait for their own reading.
+  /// @brief Publishes which endpoints are draining or removed, so that no other
+  /// entry has to wait for its own next read of the list.
   void PublishDeparted(const DepartedMessage& departed);
-  /// @brief Tells whoever must know what was read of the list of endpoints.
+  /// @brief Publishes a read of the endpoint list to the local failure domain
+  /// and one delegate of each remote one.
   void PublishList(const EndpointListMessage& list);
-  /// @brief Tells the own failure domain that the list could not be read.
+  /// @brief Announces to the local failure domain that a read of the list
+  /// failed.
   void PublishReadFailure();
-  /// @brief Publishes records of crashes to the own failure domain and to the
-  /// delegates of the others.
+  /// @brief Publishes crash records to the local failure domain and to the
+  /// delegates of the remote ones.
   void PublishCrashes(const std::vector<CrashRecordMessage>& records);
-  /// @brief Forwards records that came from another failure domain, if this
-  /// entry is a delegate of its own.
+  /// @brief Forwards records from a remote failure domain, if this entry is a
+  /// delegate of the local one.
   void ForwardCrashes(const core::FailureDomainId& from,
                       const std::vector<CrashRecordMessage>& records);
-  /// @brief Tells members which rules and weights are known here.
+  /// @brief Announces the known versions of rules and weights to some members.
   void AnnounceVersions(const std::vector<membership::Member>& members);
-  /// @brief Tells whoever must know which rules and weights are known here.
+  /// @brief Announces the known versions of rules and weights to the local
+  /// failure domain and to the delegates of the remote ones.
   void AnnounceVersions();
-  /// @brief When the whole failure domain was told anything: each datagram says
-  /// which rules and weights are known here.
+  /// @brief When a message was last sent to the whole local failure domain.
+  /// Each message announces the known versions of rules and weights.
   [[nodiscard]] core::TimePoint last_domain_announcement() const noexcept {
-    return told_domain_at_;
+    return last_domain_announcement_;
   }
-  /// @brief Tells one agent what this one holds.
+  /// @brief Sends one agent the chunks that this one holds.
   void SendHeldChunks(const std::string& agent,
                       const core::FailureDomainId& domain,
                       const HeldChunksMessage& held);
   void SetSeeds(std::vector<Address> seeds);
-  /// @brief How long this machine's link holds back what comes in.
+  /// @brief Queueing delay of this machine's link for inbound traffic.
   [[nodiscard]] core::Duration InboundDelay() const {
     return inbound_.At(loop_.Now());
   }
-  /// @brief Asks a seed who is there, as at the start.
+  /// @brief Asks the next seed for members, as at the start.
   void QuerySeed();
 
  private:
   void Tick();
   void OnDatagram(std::string_view bytes);
   void OnMessage(const MeshMessage& message);
-  /// @brief Takes the sender and the rows that it told.
-  void TakeMembers(const MeshMessage& message,
-                   const membership::Member& sender);
-  /// @brief Takes what the sender knows of rules, weights and endpoints.
-  /// @param delay how long the message was under way beyond the usual.
-  void TakeNews(const MeshMessage& message, const membership::Member& sender,
-                core::Duration delay);
-  /// @brief A delegate hands on what came from another failure domain.
-  void PassOn(const MeshMessage& message, const membership::Member& sender,
-              core::Duration delay);
+  /// @brief Merges the sender and the member rows of a message.
+  void MergeMembers(const MeshMessage& message,
+                    const membership::Member& sender);
+  /// @brief Calls the hooks for what a message announces of rules, weights,
+  /// endpoints and crashes.
+  /// @param delay delay of the message beyond the minimum one-way delay.
+  void HandleAnnouncements(const MeshMessage& message,
+                           const membership::Member& sender,
+                           core::Duration delay);
+  /// @brief Forwards the endpoint changes of a message from a remote failure
+  /// domain, if this entry is a delegate.
+  void Forward(const MeshMessage& message, const membership::Member& sender,
+               core::Duration delay);
   membership::MergeOutcome Merge(const membership::Member& member);
   void LogMember(core::EventNumber event, const membership::Member& member);
-  void Answer(const membership::Member& asker);
+  void Reply(const membership::Member& requester);
   void Send(TrafficKind kind, const std::string& address,
             const core::FailureDomainId& domain, const MeshMessage& message);
   void SendTo(TrafficKind kind, const std::vector<membership::Member>& members,
               const MeshMessage& message);
-  [[nodiscard]] MeshMessage Envelope() const;
-  /// @brief An envelope with some records of crashes.
-  [[nodiscard]] MeshMessage GossipEnvelope(std::size_t crash_records) const;
+  /// @brief A message with the sender, its send time and the versions that it
+  /// announces.
+  [[nodiscard]] MeshMessage MakeMessage() const;
+  /// @brief A message with up to a number of crash records.
+  [[nodiscard]] MeshMessage MakeGossipMessage(std::size_t crash_records) const;
   [[nodiscard]] membership::PropagationPlan Plan() const;
   [[nodiscard]] bool IsEntry() const noexcept {
     return self().kind_ == membership::MemberKind::kEntry;
   }
-  void Greet();
+  void StartupTick();
 
   Loop& loop_;
   MeshSettings settings_;
@@ -183,11 +196,11 @@
   membership::LinkDelay inbound_;
   std::unique_ptr<UdpSocket> socket_;
   Timer timer_;
-  unsigned greetings_ = 0;
-  /// Seeds are greeted in turn.
-  std::size_t seed_ = 0;
-  core::TimePoint told_domain_at_;
-  /// Rounds since a seed was asked.
+  unsigned startup_rounds_ = 0;
+  /// Index of the next seed; seeds are asked round-robin.
+  std::size_t next_seed_ = 0;
+  core::TimePoint last_domain_announcement_;
+  /// Gossip rounds so far.
   unsigned rounds_ = 0;
 };
 
--- a/packages/daemon/src/daemon/direct/published_reader.cpp
+++ b/packages/daemon/src/daemon/direct/published_reader.cpp
@@ -1,4 +1,4 @@
-// One call at a time for each section.
+// Each watched or polled section has at most one call in flight.
 #include "daemon/direct/published_reader.hpp"
 
 #include <algorithm>
@@ -8,15 +8,16 @@
 namespace chalkwell::daemon::direct {
 namespace {
 
-/// Pauses after failed calls.
-constexpr core::BackoffSettings kPause{std::chrono::milliseconds(100),
-                                       std::chrono::milliseconds(1000)};
-/// Faults of one answer that are logged; the line says how many there are.
-constexpr std::size_t kMostFaults = 8;
-/// Between two lines of the log that tell how often the store was called.
-constexpr auto kTellInterval = std::chrono::seconds(10);
-/// A poll that may become due earlier is looked at this often.
-constexpr auto kPollCheck = std::chrono::milliseconds(200);
+/// Backoff after failed calls.
+constexpr core::BackoffSettings kRetryBackoff{std::chrono::milliseconds(100),
+                                              std::chrono::milliseconds(1000)};
+/// Decoding errors of one response that are logged; each log line holds the
+/// total.
+constexpr std::size_t kMaxLoggedErrors = 8;
+/// Interval between two log lines with the numbers of calls to the store.
+constexpr auto kCallLogInterval = std::chrono::seconds(10);
+/// Interval of checking whether a poll is due: its due time may move forward.
+constexpr auto kPollCheckInterval = std::chrono::milliseconds(200);
 
 std::string_view ToString(ReadOutcome end) {
   switch (end) {
@@ -43,42 +44,42 @@
       settings_(settings),
       log_(log),
       metrics_(metrics),
-      calls_(log, metrics),
+      call_count_(log, metrics),
       handler_(std::move(handler)),
-      since_(loop.Now()),
-      tell_(loop) {
-  tell_.Every(kTellInterval, [this] { calls_.LogSummary(); });
+      reachable_since_(loop.Now()),
+      call_log_timer_(loop) {
+  call_log_timer_.Every(kCallLogInterval, [this] { call_count_.LogSummary(); });
 }
 
 PublishedReader::Task::Task(Loop& loop, Section section, bool watched,
                             core::Duration wait)
     : section_(section),
       watched_(watched),
-      backoff_(kPause, std::random_device{}()),
-      wait_(wait),
+      backoff_(kRetryBackoff, std::random_device{}()),
+      watch_wait_(wait),
       timer_(loop) {}
 
 void PublishedReader::Watch(Section section) {
   const bool known = tasks_.contains(section);
-  auto& task = Start(section, true);
+  auto& task = TaskFor(section, true);
   if (known && task.active_) {
     return;
   }
   task.active_ = true;
-  if (!task.asking_) {
-    Ask(task);
+  if (!task.call_pending_) {
+    StartCall(task);
   }
 }
 
 void PublishedReader::SetWatchWait(Section section, core::Duration wait) {
-  Start(section, true).wait_ = wait;
+  TaskFor(section, true).watch_wait_ = wait;
 }
 
 void PublishedReader::Unwatch(Section section) {
-  auto& task = Start(section, true);
+  auto& task = TaskFor(section, true);
   task.active_ = false;
   task.timer_.Cancel();
-  EndCall(task);
+  CancelCallInFlight(task);
 }
 
 void PublishedReader::AdvanceTo(Section section, std::uint64_t revision) {
@@ -88,14 +89,14 @@
   }
   auto& task = found->second;
   task.revision_ = revision;
-  if (task.active_ && task.asking_) {
-    EndCall(task);
-    Ask(task);
+  if (task.active_ && task.call_pending_) {
+    CancelCallInFlight(task);
+    StartCall(task);
   }
 }
 
-void PublishedReader::EndCall(Task& task) {
-  if (std::exchange(task.asking_, false)) {
+void PublishedReader::CancelCallInFlight(Task& task) {
+  if (std::exchange(task.call_pending_, false)) {
     task.cancel_();
   }
 }
@@ -103,57 +104,57 @@
 void PublishedReader::Poll(Section section,
                            std::function<core::Duration()> interval,
                            std::function<void()> on_failed) {
-  auto& task = Start(section, false);
+  auto& task = TaskFor(section, false);
   task.interval_ = std::move(interval);
   task.on_failed_ = std::move(on_failed);
-  Ask(task);
+  StartCall(task);
 }
 
-PublishedReader::Task& PublishedReader::Start(Section section, bool watched) {
+PublishedReader::Task& PublishedReader::TaskFor(Section section, bool watched) {
   return tasks_
       .try_emplace(section, loop_, section, watched, settings_.watch_wait_)
       .first->second;
 }
 
 void PublishedReader::ReadNow(Section section,
-                              std::optional<core::Duration> longest) {
+                              std::optional<core::Duration> timeout) {
   const auto found = tasks_.find(section);
   const bool polled = found != tasks_.end() && !found->second.watched_;
   if (polled) {
-    if (!found->second.asking_) {
-      Ask(found->second);
+    if (!found->second.call_pending_) {
+      StartCall(found->second);
     }
     return;
   }
-  const auto number = ++reads_;
-  if (!reading_.emplace(section, number).second) {
+  const auto number = ++last_read_number_;
+  if (!reads_in_flight_.emplace(section, number).second) {
     return;
   }
-  calls_.OnCall(section, StoreCallCause::kSingleRead);
+  call_count_.OnCall(section, StoreCallCause::kSingleRead);
   const auto cancel = store_.read_(
       section,
       [this, section, asked_at = loop_.Now()](StoreSnapshot published) {
-        reading_.erase(section);
-        CountAnswer(section, published);
+        reads_in_flight_.erase(section);
+        CountResponse(section, published);
         if (published.outcome_ == ReadOutcome::kRead) {
           published.as_of_ = asked_at;
           handler_(section, published);
         }
       });
-  if (!longest) {
+  if (!timeout) {
     return;
   }
-  loop_.After(*longest, [this, section, number, cancel] {
-    const auto found = reading_.find(section);
-    if (found != reading_.end() && found->second == number) {
-      reading_.erase(found);
+  loop_.After(*timeout, [this, section, number, cancel] {
+    const auto found = reads_in_flight_.find(section);
+    if (found != reads_in_flight_.end() && found->second == number) {
+      reads_in_flight_.erase(found);
       cancel();
     }
   });
 }
 
-void PublishedReader::CountAnswer(Section section,
-                                  const StoreSnapshot& published) {
+void PublishedReader::CountResponse(Section section,
+                                    const StoreSnapshot& published) {
   metrics_.Count("store_answers_total",
                  {{"section", std::string(ToString(section))},
                   {"end", std::string(ToString(published.outcome_))}});
@@ -166,19 +167,19 @@
                  static_cast<double>(bytes));
 }
 
-void PublishedReader::Ask(Task& task) {
+void PublishedReader::StartCall(Task& task) {
   const bool known = task.section_ == Section::kRules && task.revision_ > 0;
   if (task.failed_ && known) {
     Probe(task);
     return;
   }
-  task.asking_ = true;
+  task.call_pending_ = true;
   task.asked_at_ = loop_.Now();
-  calls_.OnCall(task.section_, CauseOf(task));
-  task.cancel_ = Call(task, [this, &task](StoreSnapshot published) {
-    task.asking_ = false;
+  call_count_.OnCall(task.section_, CauseOf(task));
+  task.cancel_ = SendCall(task, [this, &task](StoreSnapshot published) {
+    task.call_pending_ = false;
     published.as_of_ = task.asked_at_;
-    OnAnswer(task, published);
+    OnResponse(task, published);
   });
 }
 
@@ -189,34 +190,35 @@
   return task.revision_ > 0 ? StoreCallCause::kWatch : StoreCallCause::kRead;
 }
 
-CancelCall PublishedReader::Call(Task& task, SnapshotHandler done) {
+CancelCall PublishedReader::SendCall(Task& task, SnapshotHandler done) {
   if (task.watched_ && task.revision_ > 0) {
-    return store_.watch_(task.section_, task.revision_, task.wait_,
+    return store_.watch_(task.section_, task.revision_, task.watch_wait_,
                          std::move(done));
   }
   return store_.read_(task.section_, std::move(done));
 }
 
-// Rules that are known are not read once more after a failure: entries that
-// lost the store together read 1.3 MB each through one link, which made them
-// lose it again. A watch alone would not notice for its whole wait that the
-// store takes calls and answers none, so a small read goes before it.
+// Known rules are not read again after a failure: entries that lost the store
+// together each read 1.3 MB through one shared link, which made them lose it
+// again. They are watched instead. A watch alone would not notice during its
+// whole wait that the store accepts calls without a response, so a small read
+// precedes it.
 void PublishedReader::Probe(Task& task) {
-  task.asking_ = true;
-  calls_.OnCall(Section::kWeights, StoreCallCause::kProbe);
+  task.call_pending_ = true;
+  call_count_.OnCall(Section::kWeights, StoreCallCause::kProbe);
   task.cancel_ = store_.read_(
       Section::kWeights, [this, &task](const StoreSnapshot& published) {
-        task.asking_ = false;
-        CountAnswer(Section::kWeights, published);
+        task.call_pending_ = false;
+        CountResponse(Section::kWeights, published);
         task.failed_ = published.outcome_ == ReadOutcome::kUnreachable;
         SetReachable(!task.failed_);
         Schedule(task, !task.failed_, false);
       });
 }
 
-void PublishedReader::OnAnswer(Task& task, const StoreSnapshot& published) {
-  CountAnswer(task.section_, published);
-  LogFaults(task.section_, published.decode_errors_);
+void PublishedReader::OnResponse(Task& task, const StoreSnapshot& published) {
+  CountResponse(task.section_, published);
+  LogDecodeErrors(task.section_, published.decode_errors_);
   const bool first = task.revision_ == 0;
   switch (published.outcome_) {
     case ReadOutcome::kRead:
@@ -237,8 +239,8 @@
     case ReadOutcome::kUnreachable:
       SetReachable(false);
       if (task.section_ != Section::kRules) {
-        // Read anew: these are small, and the read shows when the store is
-        // back.
+        // These sections are small, and reading them anew shows when the store
+        // is reachable again.
         task.revision_ = 0;
       }
       break;
@@ -250,15 +252,15 @@
   Schedule(task, !task.failed_, first);
 }
 
-void PublishedReader::LogFaults(Section section,
-                                const std::vector<std::string>& faults) {
-  auto& known = faults_[section];
-  std::size_t fresh = 0;
-  for (const auto& fault : faults) {
-    if (!known.contains(fault) && ++fresh <= kMostFaults) {
+void PublishedReader::LogDecodeErrors(Section section,
+                                      const std::vector<std::string>& faults) {
+  auto& known = decode_errors_[section];
+  std::size_t new_errors = 0;
+  for (const auto& error : faults) {
+    if (!known.contains(error) && ++new_errors <= kMaxLoggedErrors) {
       log_.Write(core::EventNumber::kDocumentRefused,
                  {{"section", std::string(ToString(section))},
-                  {"reason", fault},
+                  {"reason", error},
                   {"faults", std::to_string(faults.size())}});
     }
   }
@@ -275,11 +277,12 @@
     task.backoff_.OnSuccess();
   }
   if (!task.watched_) {
-    // Others may have taken the reading up meanwhile.
+    // Another entry may have become the designated reader meanwhile, which
+    // changes the interval.
     task.timer_.Once(succeeded ? core::Duration{} : wait,
                      [this, &task] { PollWhenDue(task); });
   } else if (task.active_) {
-    task.timer_.Once(wait, [this, &task] { Ask(task); });
+    task.timer_.Once(wait, [this, &task] { StartCall(task); });
   }
 }
 
@@ -287,13 +290,13 @@
   const auto due = task.asked_at_ + task.interval_();
   const auto now = loop_.Now();
   if (now >= due) {
-    if (!task.asking_) {
-      Ask(task);
+    if (!task.call_pending_) {
+      StartCall(task);
     }
     return;
   }
   // The interval may become shorter at any time.
-  task.timer_.Once(std::min<core::Duration>(due - now, kPollCheck),
+  task.timer_.Once(std::min<core::Duration>(due - now, kPollCheckInterval),
                    [this, &task] { PollWhenDue(task); });
 }
 
@@ -301,7 +304,7 @@
   if (std::exchange(reachable_, reachable) == reachable) {
     return;
   }
-  since_ = loop_.Now();
+  reachable_since_ = loop_.Now();
   log_.Write(reachable ? core::EventNumber::kPlatformReached
                        : core::EventNumber::kPlatformUnreachable);
 }
--- a/packages/daemon/src/daemon/direct/published_reader.hpp
+++ b/packages/daemon/src/daemon/direct/published_reader.hpp
@@ -1,5 +1,5 @@
-// Keeps up with the published store: a watch on rules and weights, a poll of
-// the endpoint list, both with jittered backoff while the store is away.
+// Reads the configuration store: watches rules and weights and polls the
+// endpoint list, both with jittered backoff while the store is unreachable.
 #pragma once
 
 #include <functional>
@@ -15,18 +15,19 @@
 
 namespace chalkwell::daemon::direct {
 
-/// @brief Settings of a reader.
+/// @brief Settings of a PublishedReader.
 struct PublishedReaderSettings {
-  /// How long the store may hold a watch open.
+  /// Maximum time that the store may hold a watch open.
   core::Duration watch_wait_ = std::chrono::seconds(15);
-  /// Between two reads of the endpoint list by who reads it for others.
+  /// Interval between two reads of the endpoint list by the designated reader.
   core::Duration poll_interval_ = std::chrono::milliseconds(600);
-  /// Between the first read of a section and its watch: after a start of all
-  /// processes they find each other in it, and most need not watch.
+  /// Delay between the first read of a section and its watch. When all
+  /// processes start at once they discover each other in this time, and most
+  /// need no watch.
   core::Duration first_watch_delay_ = std::chrono::milliseconds(300);
 };
 
-/// @brief Reader of the sections that a process needs.
+/// @brief Reader of the published sections that a process needs.
 class PublishedReader {
  public:
   using Handler = std::function<void(Section section, const StoreSnapshot&)>;
@@ -35,38 +36,41 @@
                   PublishedReaderSettings settings, EventLog& log,
                   Metrics& metrics, Handler handler);
 
-  /// @brief Reads a section, unless it was heard before, and watches it from
+  /// @brief Reads a section, unless it was received before, and watches it from
   /// then on.
   void Watch(Section section);
-  /// @brief How long the store may hold the next watches of a section open.
+  /// @brief Sets the maximum time that the store may hold the next watches of a
+  /// section open.
   void SetWatchWait(Section section, core::Duration wait);
   [[nodiscard]] core::Duration default_watch_wait() const noexcept {
     return settings_.watch_wait_;
   }
-  /// @brief Ends a watch and the call that is under way for it.
+  /// @brief Ends a watch and cancels its call in flight.
   void Unwatch(Section section);
-  /// @brief A section was heard elsewhere as it was at a revision: what the
-  /// store is asked for begins after it. A call under way that began before it
-  /// is ended, since it may fill the link with what is known.
+  /// @brief A section was received from elsewhere as of a revision; the next
+  /// watch starts after it. A call in flight for an earlier revision is
+  /// cancelled, since its response may fill the link with data that is known
+  /// already.
   void AdvanceTo(Section section, std::uint64_t revision);
-  /// @brief Reads a section again and again.
-  /// @param interval between two reads, asked for anew all the time, also
-  /// while reads fail.
-  /// @param on_failed called for each read that the store did not answer.
+  /// @brief Reads a section periodically.
+  /// @param interval supplies the interval between two reads; it is evaluated
+  /// anew at each check, also while reads fail.
+  /// @param on_failed called for each read that found the store unreachable.
   void Poll(Section section, std::function<core::Duration()> interval,
             std::function<void()> on_failed);
-  /// @brief Reads a section once, now: also one that is watched, since a watch
-  /// may have gone silent. One such read at a time.
-  /// @param longest the read is given up after this; none for as long as bytes
-  /// arrive.
+  /// @brief Reads a section once, immediately, also while it is watched, since
+  /// the connection of a watch may have gone silent. At most one such read per
+  /// section is in flight.
+  /// @param timeout after which the read is abandoned; without one it runs for
+  /// as long as bytes arrive.
   void ReadNow(Section section,
-               std::optional<core::Duration> longest = std::nullopt);
+               std::optional<core::Duration> timeout = std::nullopt);
 
-  /// @brief Whether the last answer of the store was one.
+  /// @brief Whether the last call reached the store.
   [[nodiscard]] bool reachable() const noexcept { return reachable_; }
-  /// @brief When the store was last lost or found.
+  /// @brief When reachable() last changed.
   [[nodiscard]] core::TimePoint reachable_since() const noexcept {
-    return since_;
+    return reachable_since_;
   }
   [[nodiscard]] core::TimePoint last_read() const noexcept {
     return last_read_;
@@ -77,17 +81,17 @@
     Task(Loop& loop, Section section, bool watched, core::Duration wait);
     Section section_;
     bool watched_;
-    /// False while nobody wants it.
+    /// False after Unwatch().
     bool active_ = true;
-    /// 0 until the section was heard whole.
+    /// 0 until the full section was received.
     std::uint64_t revision_ = 0;
     core::Backoff backoff_;
-    /// Longest wait of a watch.
-    core::Duration wait_;
+    /// Maximum time that the store may hold a watch open.
+    core::Duration watch_wait_;
     /// The last call failed.
     bool failed_ = false;
-    bool asking_ = false;
-    /// Ends the call under way.
+    bool call_pending_ = false;
+    /// Cancels the call in flight.
     CancelCall cancel_;
     core::TimePoint asked_at_;
     /// Polled sections only.
@@ -96,19 +100,20 @@
     Timer timer_;
   };
 
-  Task& Start(Section section, bool watched);
-  void Ask(Task& task);
-  [[nodiscard]] CancelCall Call(Task& task, SnapshotHandler done);
+  Task& TaskFor(Section section, bool watched);
+  void StartCall(Task& task);
+  [[nodiscard]] CancelCall SendCall(Task& task, SnapshotHandler done);
   void Probe(Task& task);
-  void EndCall(Task& task);
+  void CancelCallInFlight(Task& task);
   void PollWhenDue(Task& task);
-  void OnAnswer(Task& task, const StoreSnapshot& published);
+  void OnResponse(Task& task, const StoreSnapshot& published);
   /// @param first whether the section was read for the first time.
   void Schedule(Task& task, bool succeeded, bool first);
   [[nodiscard]] static StoreCallCause CauseOf(const Task& task);
-  /// @brief Logs values that cannot be decoded, each once until it changes.
-  void LogFaults(Section section, const std::vector<std::string>& faults);
-  void CountAnswer(Section section, const StoreSnapshot& published);
+  /// @brief Logs values that cannot be decoded; each is logged once until its
+  /// error changes or disappears.
+  void LogDecodeErrors(Section section, const std::vector<std::string>& faults);
+  void CountResponse(Section section, const StoreSnapshot& published);
   void SetReachable(bool reachable);
 
   Loop& loop_;
@@ -116,18 +121,18 @@
   PublishedReaderSettings settings_;
   EventLog& log_;
   Metrics& metrics_;
-  StoreCallCounter calls_;
+  StoreCallCounter call_count_;
   Handler handler_;
   std::map<Section, Task> tasks_;
-  /// Reads under way, by section, with their numbers.
-  std::map<Section, std::uint64_t> reading_;
-  std::uint64_t reads_ = 0;
-  /// Faults of the last answer, by section.
-  std::map<Section, std::set<std::string>> faults_;
+  /// Numbers of the one-time reads in flight, by section.
+  std::map<Section, std::uint64_t> reads_in_flight_;
+  std::uint64_t last_read_number_ = 0;
+  /// Decoding errors of the last response, by section.
+  std::map<Section, std::set<std::string>> decode_errors_;
   bool reachable_ = false;
-  core::TimePoint since_;
+  core::TimePoint reachable_since_;
   core::TimePoint last_read_;
-  Timer tell_;
+  Timer call_log_timer_;
 };
 
 }  // namespace chalkwell::daemon::direct
--- a/packages/daemon/src/daemon/direct/published_relay.cpp
+++ b/packages/daemon/src/daemon/direct/published_relay.cpp
@@ -1,4 +1,5 @@
-// What the store said travels as it was said; each process decodes it itself.
+// Sections are forwarded as received from the store; each process decodes them
+// itself.
 #include "daemon/direct/published_relay.hpp"
 
 #include <optional>
@@ -13,8 +14,8 @@
 
 constexpr std::string_view kPublishedPath = "/v1/published";
 constexpr int kOk = 200;
-/// Far more than all sections together.
-constexpr std::size_t kLongest = std::size_t{16} << 20;
+/// Size limit of a response, far above that of all sections together.
+constexpr std::size_t kMaxPackedBytes = std::size_t{16} << 20;
 
 }  // namespace
 
@@ -27,30 +28,30 @@
       handler_(std::move(handler)) {}
 
 void PublishedRelay::Store(Section section, const StoreSnapshot& published) {
-  auto& kept = kept_[section];
+  auto& stored = sections_[section];
   if (published.encoded_pages_.empty() ||
-      published.revision_ < kept.revision_) {
+      published.revision_ < stored.revision_) {
     return;
   }
-  kept = {published.revision_, published.encoded_pages_, published.as_of_};
+  stored = {published.revision_, published.encoded_pages_, published.as_of_};
 }
 
 bool PublishedRelay::Answer(const PeerCallPtr& call) {
   if (call->path() != kPublishedPath) {
     return false;
   }
-  const auto ask = Unpack<PublishedRequest>(call->body(), "peer");
-  PublishedResponse answer;
-  for (const auto& [section, kept] : kept_) {
+  const auto request = Unpack<PublishedRequest>(call->body(), "peer");
+  PublishedResponse response;
+  for (const auto& [section, stored] : sections_) {
     const auto number = static_cast<std::uint8_t>(section);
-    const auto known = ask.known_.find(number);
-    if (known == ask.known_.end() || known->second < kept.revision_) {
-      answer.revisions_[number] = kept.revision_;
-      answer.pages_[number] = kept.pages_;
-      answer.ages_ms_[number] = ToAgeMs(loop_.Now() - kept.asked_at_);
+    const auto known = request.known_.find(number);
+    if (known == request.known_.end() || known->second < stored.revision_) {
+      response.revisions_[number] = stored.revision_;
+      response.pages_[number] = stored.pages_;
+      response.ages_ms_[number] = ToAgeMs(loop_.Now() - stored.asked_at_);
     }
   }
-  const auto packed = Pack(answer);
+  const auto packed = Pack(response);
   call->Respond(kOk, Pack(DeflatedResponse{packed.size(), Deflate(packed)}));
   return true;
 }
@@ -62,49 +63,50 @@
       entries.push_back(member);
     }
   }
-  if (entries.empty() || asking_) {
+  if (entries.empty() || request_pending_) {
     return;
   }
-  const auto& member = entries[turn_++ % entries.size()];
+  const auto& member = entries[next_entry_++ % entries.size()];
   auto& connection = connections_[member.address_];
   if (connection == nullptr) {
     connection =
         std::make_unique<PeerConnection>(loop_, ParseAddress(member.address_));
   }
-  PublishedRequest ask;
-  for (const auto& [section, kept] : kept_) {
-    ask.known_[static_cast<std::uint8_t>(section)] = kept.revision_;
+  PublishedRequest request;
+  for (const auto& [section, stored] : sections_) {
+    request.known_[static_cast<std::uint8_t>(section)] = stored.revision_;
   }
-  asking_ = true;
-  connection->Ask(std::string(kPublishedPath), Pack(ask),
+  request_pending_ = true;
+  connection->Ask(std::string(kPublishedPath), Pack(request),
                   [this, peer = member.id_.value(), asked_at = loop_.Now()](
                       PeerEnd end, int status, const std::string& body) {
-                    asking_ = false;
+                    request_pending_ = false;
                     if (end == PeerEnd::kWhole && status == kOk) {
-                      OnAnswer(body, peer, asked_at);
+                      OnResponse(body, peer, asked_at);
                     }
                   });
 }
 
-void PublishedRelay::OnAnswer(const std::string& body, const std::string& peer,
-                              core::TimePoint asked_at) {
+void PublishedRelay::OnResponse(const std::string& body,
+                                const std::string& peer,
+                                core::TimePoint asked_at) {
   const auto deflated = Unpack<DeflatedResponse>(body, peer);
-  const auto packed = deflated.size_ <= kLongest
+  const auto packed = deflated.size_ <= kMaxPackedBytes
                           ? Inflate(deflated.bytes_, deflated.size_)
                           : std::nullopt;
   if (!packed) {
     throw core::Error(core::Step::kParse, peer,
                       "published sections do not inflate to their size");
   }
-  const auto answer = Unpack<PublishedResponse>(*packed, peer);
-  for (const auto& [number, pages] : answer.pages_) {
+  const auto response = Unpack<PublishedResponse>(*packed, peer);
+  for (const auto& [number, pages] : response.pages_) {
     const auto section = static_cast<Section>(number);
     auto published = store_.decode_(section, pages);
     if (published.outcome_ != ReadOutcome::kRead) {
       continue;
     }
-    const auto age = answer.ages_ms_.find(number);
-    if (age != answer.ages_ms_.end()) {
+    const auto age = response.ages_ms_.find(number);
+    if (age != response.ages_ms_.end()) {
       published.as_of_ = asked_at - ToAge(age->second);
     }
     log_.Write(core::EventNumber::kLearnedFromPeer,
--- a/packages/daemon/src/daemon/direct/published_relay.hpp
+++ b/packages/daemon/src/daemon/direct/published_relay.hpp
@@ -1,4 +1,5 @@
-// Entries that cannot reach the store learn what is published from others.
+// Exchange of published sections between entries, for those that cannot reach
+// the store.
 #pragma once
 
 #include <cstdint>
@@ -16,31 +17,31 @@
 
 namespace chalkwell::daemon::direct {
 
-/// @brief Request for sections newer than those the asker has.
+/// @brief Request for sections newer than those of the requester.
 struct PublishedRequest {
-  /// Store's revision of each section known; 0 for none.
+  /// Store revision of each known section; 0 for none.
   std::map<std::uint8_t, std::uint64_t> known_;
   MSGPACK_DEFINE(known_)
 };
 
-/// @brief Sections as the store gave them, undecoded, with their revisions.
+/// @brief Sections as received from the store, undecoded, with their revisions.
 struct PublishedResponse {
   std::map<std::uint8_t, std::uint64_t> revisions_;
   std::map<std::uint8_t, std::vector<std::string>> pages_;
-  /// Since the store was asked for them.
+  /// Time since the store was queried for each section.
   std::map<std::uint8_t, std::uint64_t> ages_ms_;
   MSGPACK_DEFINE(revisions_, pages_, ages_ms_)
 };
 
-/// @brief An answer on the wire. Lists deflate to a fifth, and all entries of a
-/// region that lost the store ask for them over one link.
+/// @brief Compressed PublishedResponse. Lists deflate to a fifth of their size,
+/// and all entries of a region that lost the store request them over one link.
 struct DeflatedResponse {
   std::uint64_t size_ = 0;
   std::string bytes_;
   MSGPACK_DEFINE(size_, bytes_)
 };
 
-/// @brief Answers others and asks them.
+/// @brief Serves published sections to peers and fetches them from peers.
 class PublishedRelay {
  public:
   using Handler = std::function<void(Section section, const StoreSnapshot&)>;
@@ -48,34 +49,35 @@
   PublishedRelay(Loop& loop, const StoreClient& store, MeshNode& mesh,
                  EventLog& log, Handler handler);
 
-  /// @brief The store answered with a whole section.
+  /// @brief Stores a full section for peers; a delta or older one is ignored.
   void Store(Section section, const StoreSnapshot& published);
-  /// @brief Asks one live entry now, unless an answer is awaited.
+  /// @brief Requests newer sections from one live entry, unless a request is in
+  /// flight.
   void Fetch();
   /// @brief Answers a peer's call.
-  /// @return false when the call is not for the relay.
+  /// @return false when the call is not a request for published sections.
   bool Answer(const PeerCallPtr& call);
 
  private:
-  struct Kept {
+  struct StoredSection {
     std::uint64_t revision_ = 0;
     std::vector<std::string> pages_;
     core::TimePoint asked_at_;
   };
 
-  /// @param asked_at when the peer was asked.
-  void OnAnswer(const std::string& body, const std::string& peer,
-                core::TimePoint asked_at);
+  /// @param asked_at when the request was sent to the peer.
+  void OnResponse(const std::string& body, const std::string& peer,
+                  core::TimePoint asked_at);
 
   Loop& loop_;
   const StoreClient& store_;
   MeshNode& mesh_;
   EventLog& log_;
   Handler handler_;
-  std::map<Section, Kept> kept_;
+  std::map<Section, StoredSection> sections_;
   std::map<std::string, std::unique_ptr<PeerConnection>> connections_;
-  bool asking_ = false;
-  std::size_t turn_ = 0;
+  bool request_pending_ = false;
+  std::size_t next_entry_ = 0;
 };
 
 }  // namespace chalkwell::daemon::direct
--- a/packages/daemon/src/daemon/direct/rules_exchange.cpp
+++ b/packages/daemon/src/daemon/direct/rules_exchange.cpp
@@ -1,4 +1,5 @@
-// Deltas are deflated too; each text is compared with its digest before use.
+// Full texts and deltas are deflated; a received text is verified against its
+// digest before use.
 #include "daemon/direct/rules_exchange.hpp"
 
 #include <utility>
@@ -14,15 +15,15 @@
 constexpr std::string_view kRulesPath = "/v1/rules";
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
-/// Documents that deltas may start from: in a series of changes a neighbour is
-/// a few versions behind.
-constexpr std::size_t kKept = 4;
-/// No document is larger: the publisher's values hold a megabyte, and several
-/// times that is far more than any entry can take.
-constexpr std::size_t kLongest = std::size_t{16} << 20;
-
-/// Wire form of a part of a delta.
-struct PartMessage {
+/// Stored documents, any of which a delta may start from: during a series of
+/// changes, peers are a few versions behind.
+constexpr std::size_t kMaxDocuments = 4;
+/// Size limit of a document. A value of the store holds a megabyte, and an
+/// entry cannot handle several times that.
+constexpr std::size_t kMaxDocumentBytes = std::size_t{16} << 20;
+
+/// Wire form of a DeltaPart.
+struct DeltaPartMessage {
   std::uint64_t offset_ = 0;
   std::uint64_t length_ = 0;
   std::string text_;
@@ -34,7 +35,7 @@
 }
 
 std::string PackDelta(const std::vector<config::DeltaPart>& delta) {
-  std::vector<PartMessage> parts;
+  std::vector<DeltaPartMessage> parts;
   parts.reserve(delta.size());
   for (const auto& part : delta) {
     parts.push_back({part.offset_, part.length_, part.text_});
@@ -44,7 +45,7 @@
 
 std::vector<config::DeltaPart> UnpackDelta(const std::string& bytes) {
   std::vector<config::DeltaPart> delta;
-  for (auto& part : Unpack<std::vector<PartMessage>>(bytes, "peer")) {
+  for (auto& part : Unpack<std::vector<DeltaPartMessage>>(bytes, "peer")) {
     delta.push_back({part.offset_, part.length_, std::move(part.text_)});
   }
   return delta;
@@ -57,57 +58,58 @@
 
 void RulesExchange::Add(RulesDocument document) {
   const auto digest = core::Digest::Of(document.text_);
-  kept_.push_front({std::move(document), digest});
-  if (kept_.size() > kKept) {
-    kept_.pop_back();
+  documents_.push_front({std::move(document), digest});
+  if (documents_.size() > kMaxDocuments) {
+    documents_.pop_back();
   }
-  answers_.clear();
+  responses_.clear();
 }
 
-const RulesExchange::Kept* RulesExchange::Find(
+const RulesExchange::StoredDocument* RulesExchange::FindByDigest(
     const std::string& digest) const {
-  for (const auto& kept : kept_) {
-    if (ToBytes(kept.digest_) == digest) {
-      return &kept;
+  for (const auto& stored : documents_) {
+    if (ToBytes(stored.digest_) == digest) {
+      return &stored;
     }
   }
   return nullptr;
 }
 
-const std::string& RulesExchange::AnswerFor(const std::string& digest) {
-  const auto* base = Find(digest);
+const std::string& RulesExchange::PackedResponseFor(const std::string& digest) {
+  const auto* base = FindByDigest(digest);
   const auto key = base == nullptr ? std::string() : digest;
-  if (const auto found = answers_.find(key); found != answers_.end()) {
+  if (const auto found = responses_.find(key); found != responses_.end()) {
     return found->second;
   }
-  const auto& [document, newest] = kept_.front();
+  const auto& [document, digest_of_newest] = documents_.front();
   const auto packed =
       base == nullptr
           ? document.text_
           : PackDelta(config::MakeDelta(base->document_.text_, document.text_));
-  const RulesResponse answer{document.version_,
-                             document.revision_,
-                             ToBytes(newest),
-                             document.text_.size(),
-                             key,
-                             packed.size(),
-                             Deflate(packed)};
-  return answers_[key] = Pack(answer);
+  const RulesResponse response{document.version_,
+                               document.revision_,
+                               ToBytes(digest_of_newest),
+                               document.text_.size(),
+                               key,
+                               packed.size(),
+                               Deflate(packed)};
+  return responses_[key] = Pack(response);
 }
 
 bool RulesExchange::Answer(const PeerCallPtr& call) {
   if (call->path() != kRulesPath) {
     return false;
   }
-  const auto ask = Unpack<RulesRequest>(call->body(), "peer");
-  if (kept_.empty() || kept_.front().document_.version_ <= ask.version_) {
+  const auto request = Unpack<RulesRequest>(call->body(), "peer");
+  if (documents_.empty() ||
+      documents_.front().document_.version_ <= request.version_) {
     call->Respond(kNotFound, "");
     return true;
   }
-  const auto& answer = AnswerFor(ask.digest_);
+  const auto& response = PackedResponseFor(request.digest_);
   metrics_.Count("rules_peer_bytes_total", {{"way", "out"}},
-                 static_cast<double>(answer.size()));
-  call->Respond(kOk, answer);
+                 static_cast<double>(response.size()));
+  call->Respond(kOk, response);
   return true;
 }
 
@@ -116,12 +118,12 @@
   if (connection == nullptr) {
     connection = std::make_unique<PeerConnection>(loop_, ParseAddress(address));
   }
-  RulesRequest ask;
-  if (!kept_.empty()) {
-    ask.version_ = kept_.front().document_.version_;
-    ask.digest_ = ToBytes(kept_.front().digest_);
+  RulesRequest request;
+  if (!documents_.empty()) {
+    request.version_ = documents_.front().document_.version_;
+    request.digest_ = ToBytes(documents_.front().digest_);
   }
-  connection->Ask(std::string(kRulesPath), Pack(ask),
+  connection->Ask(std::string(kRulesPath), Pack(request),
                   [this, done = std::move(done)](PeerEnd end, int status,
                                                  const std::string& body) {
                     if (end != PeerEnd::kWhole || status != kOk) {
@@ -135,29 +137,30 @@
 }
 
 std::optional<RulesDocument> RulesExchange::Apply(
-    const RulesResponse& answer) const {
-  if (answer.size_ > kLongest || answer.packed_size_ > kLongest) {
+    const RulesResponse& response) const {
+  if (response.size_ > kMaxDocumentBytes ||
+      response.packed_size_ > kMaxDocumentBytes) {
     return std::nullopt;
   }
-  auto packed = Inflate(answer.deflated_, answer.packed_size_);
+  auto packed = Inflate(response.deflated_, response.packed_size_);
   if (!packed) {
     return std::nullopt;
   }
-  RulesDocument document{answer.version_, answer.revision_, {}};
-  if (answer.base_.empty()) {
+  RulesDocument document{response.version_, response.revision_, {}};
+  if (response.base_.empty()) {
     document.text_ = std::move(*packed);
   } else {
-    const auto* base = Find(answer.base_);
-    auto text = base == nullptr
-                    ? std::nullopt
-                    : config::ApplyDelta(base->document_.text_,
-                                         UnpackDelta(*packed), kLongest);
+    const auto* base = FindByDigest(response.base_);
+    auto text = base == nullptr ? std::nullopt
+                                : config::ApplyDelta(base->document_.text_,
+                                                     UnpackDelta(*packed),
+                                                     kMaxDocumentBytes);
     if (!text) {
       return std::nullopt;
     }
     document.text_ = std::move(*text);
   }
-  if (ToBytes(core::Digest::Of(document.text_)) != answer.digest_) {
+  if (ToBytes(core::Digest::Of(document.text_)) != response.digest_) {
     return std::nullopt;
   }
   return document;
--- a/packages/daemon/src/daemon/direct/rules_exchange.hpp
+++ b/packages/daemon/src/daemon/direct/rules_exchange.hpp
@@ -1,5 +1,5 @@
-// Rules between entries: the newest document and those before it, told as what
-// has changed since the one that the asker holds.
+// Exchange of rules between entries. A peer responds with its newest document,
+// as a delta from the document that the requester holds where it has that one.
 #pragma once
 
 #include <cstdint>
@@ -21,71 +21,72 @@
 /// @brief One version of the rules, undecoded.
 struct RulesDocument {
   std::uint64_t version_ = 0;
-  /// Of the publisher, at which this was the newest.
+  /// Store revision at which this document was the newest.
   std::uint64_t revision_ = 0;
   std::string text_;
 };
 
-/// @brief Asks for newer rules.
+/// @brief Request for newer rules.
 struct RulesRequest {
-  /// What the asker holds; 0 and empty for nothing.
+  /// Document that the requester holds; 0 and empty for none.
   std::uint64_t version_ = 0;
   std::string digest_;
   MSGPACK_DEFINE(version_, digest_)
 };
 
-/// @brief Newer rules.
+/// @brief Response with newer rules.
 struct RulesResponse {
   std::uint64_t version_ = 0;
   std::uint64_t revision_ = 0;
-  /// Of the whole text.
+  /// Digest of the full text.
   std::string digest_;
   std::uint64_t size_ = 0;
-  /// Digest of the text that the delta starts from; empty when the deflated
-  /// bytes are the whole text.
+  /// Digest of the delta's base text; empty when the deflated bytes are the
+  /// full text.
   std::string base_;
-  /// Size before it was deflated.
+  /// Size of the deflated bytes once inflated.
   std::uint64_t packed_size_ = 0;
   std::string deflated_;
   MSGPACK_DEFINE(version_, revision_, digest_, size_, base_, packed_size_,
                  deflated_)
 };
 
-/// @brief Keeps, gives and asks for rules.
+/// @brief Stores rules documents, serves them to peers and fetches newer ones.
 class RulesExchange {
  public:
-  /// @param done the newer rules; nothing when the peer has none, or what it
-  /// said was no use.
+  /// @brief Receives the newer rules; none when the peer has none, the call
+  /// failed or its response was invalid.
   using Done = std::function<void(std::optional<RulesDocument> document)>;
 
   RulesExchange(Loop& loop, Metrics& metrics);
 
-  /// @brief A newer document is in force.
+  /// @brief Stores a newer active document.
   void Add(RulesDocument document);
   /// @brief Answers a peer's call.
-  /// @return false when the call is not for rules.
+  /// @return false when the call is not a request for rules.
   bool Answer(const PeerCallPtr& call);
-  /// @brief Asks a peer for rules newer than those kept.
+  /// @brief Fetches rules newer than the stored ones from a peer.
   void Fetch(const std::string& address, Done done);
 
  private:
-  struct Kept {
+  struct StoredDocument {
     RulesDocument document_;
     core::Digest digest_;
   };
 
-  [[nodiscard]] const Kept* Find(const std::string& digest) const;
-  [[nodiscard]] const std::string& AnswerFor(const std::string& digest);
+  [[nodiscard]] const StoredDocument* FindByDigest(
+      const std::string& digest) const;
+  [[nodiscard]] const std::string& PackedResponseFor(const std::string& digest);
   [[nodiscard]] std::optional<RulesDocument> Apply(
-      const RulesResponse& answer) const;
+      const RulesResponse& response) const;
 
   Loop& loop_;
   Metrics& metrics_;
   /// Newest first.
-  std::deque<Kept> kept_;
-  /// Packed answers of the newest document, by digest of the base: a failure
-  /// domain's members ask for the same ones.
-  std::map<std::string, std::string> answers_;
+  std::deque<StoredDocument> documents_;
+  /// Packed responses with the newest document, by digest of the base. They are
+  /// cached because the members of a failure domain request the same ones.
+  std::map<std::string, std::string> responses_;
   std::map<std::string, std::unique_ptr<PeerConnection>> connections_;
 };
 
--- a/packages/daemon/src/daemon/direct/rules_manager.hpp
+++ b/packages/daemon/src/daemon/direct/rules_manager.hpp
@@ -1,6 +1,6 @@
-// Keeps an entry's rules up with what is published: it takes them from the
-// store where that is its duty, and from other entries else. The same duty
-// decides who watches the naming of weights.
+// Keeps an entry's rules current. An entry with the watcher role watches them
+// in the store; the others fetch them from peers. The watcher role covers the
+// target version of weights as well.
 #pragma once
 
 #include <functional>
@@ -18,11 +18,11 @@
 
 namespace chalkwell::daemon::direct {
 
-/// @brief The rules of one entry.
+/// @brief Manager of an entry's rules.
 class RulesManager {
  public:
-  /// @brief Newer rules are to be in force.
-  /// @param source where they were heard, for the log.
+  /// @brief Activates newer rules.
+  /// @param source where they were received from, for the log.
   using Handler = std::function<void(const config::TrafficRules& rules,
                                      const std::string& source)>;
 
@@ -31,34 +31,35 @@
                Handler handler);
 
   void Start();
-  /// @brief The reader brought the section of rules.
+  /// @brief The reader received the rules section.
   void OnPublished(const StoreSnapshot& published);
-  /// @brief A member told which rules it has.
-  /// @param watches whether it takes them from the store.
+  /// @brief A member announced the version of its active rules.
+  /// @param watches whether the member watches the rules in the store.
   void OnVersionAnnounced(const membership::Member& member,
                           std::uint64_t version, bool watches);
   void OnMemberLost(const membership::Member& member) {
-    catch_up_.OnPeerLost(member.id_);
+    peer_selector_.OnPeerLost(member.id_);
   }
   /// @brief Answers a peer's call.
-  /// @return false when the call is not for rules.
+  /// @return false when the call is not a request for rules.
   bool Answer(const PeerCallPtr& call) { return exchange_.Answer(call); }
 
-  /// @brief Version in force; 0 for none.
+  /// @brief Version of the active rules; 0 for none.
   [[nodiscard]] std::uint64_t version() const noexcept { return version_; }
-  /// @brief Whether this entry takes the rules from the store.
-  [[nodiscard]] bool is_watcher() const noexcept { return watches_; }
+  /// @brief Whether this entry has the watcher role.
+  [[nodiscard]] bool is_watcher() const noexcept { return is_watcher_; }
 
  private:
+  /// @brief Activates rules if they are newer, and announces them.
   /// @param document the same rules, undecoded.
-  void Take(const config::TrafficRules& rules, RulesDocument document,
-            const std::string& source);
+  void Apply(const config::TrafficRules& rules, RulesDocument document,
+             const std::string& source);
   void Tick();
-  void FollowDuty(core::TimePoint now);
+  void UpdateRole(core::TimePoint now);
   void CatchUp(core::TimePoint now);
-  void AskPeer(const membership::Member& peer);
-  void OnAnswer(const core::InstanceId& peer,
-                std::optional<RulesDocument> document);
+  void FetchFromPeer(const membership::Member& peer);
+  void OnFetched(const core::InstanceId& peer,
+                 std::optional<RulesDocument> document);
 
   Loop& loop_;
   const StoreClient& store_;
@@ -66,12 +67,12 @@
   MeshNode& mesh_;
   EventLog& log_;
   Handler handler_;
-  membership::WatcherRole duty_;
-  config::RulesPeerSelector catch_up_;
+  membership::WatcherRole watcher_role_;
+  config::RulesPeerSelector peer_selector_;
   RulesExchange exchange_;
   std::uint64_t version_ = 0;
-  bool watches_ = true;
-  core::TimePoint told_at_;
+  bool is_watcher_ = true;
+  core::TimePoint announced_at_;
   core::TimePoint read_at_;
   Timer tick_;
 };
