--- a/packages/chalkwell/src/chalkwell/config/accepted_documents.cpp
+++ b/packages/chalkwell/src/chalkwell/config/accepted_documents.cpp
@@ -80,7 +80,7 @@
   return documents;
 }
 
-const bundle::Bundle* AcceptedDocuments::ActiveBundle() const noexcept {
+const bundle::Bundle* AcceptedDocuments::AcceptedBundle() const noexcept {
   return bundle_ ? &*bundle_ : nullptr;
 }
 
--- a/packages/chalkwell/src/chalkwell/config/accepted_documents.hpp
+++ b/packages/chalkwell/src/chalkwell/config/accepted_documents.hpp
@@ -103,7 +103,7 @@
   /// @brief All accepted documents, ordered by key.
   [[nodiscard]] std::vector<const Document*> All() const;
   /// @brief The accepted bundle, or null.
-  [[nodiscard]] const bundle::Bundle* ActiveBundle() const noexcept;
+  [[nodiscard]] const bundle::Bundle* AcceptedBundle() const noexcept;
   /// @brief Stamps of all accepted documents, to be sent to a peer.
   [[nodiscard]] Stamps stamps() const;
   /// @brief Accepted documents that are newer than the peer's. The list of
--- a/packages/chalkwell/src/chalkwell/config/rules_peer_selector.cpp
+++ b/packages/chalkwell/src/chalkwell/config/rules_peer_selector.cpp
@@ -58,7 +58,7 @@
                                    core::TimePoint now) const {
   const auto elapsed = now - *behind_since_;
   const auto min_delay =
-      watches ? settings_.watch_grace_
+      watches ? settings_.watch_delay_
               : (source.local_ ? core::Duration{} : settings_.remote_delay_);
   return source.version_ > version_ && now >= source.retry_at_ &&
          elapsed >= min_delay;
--- a/packages/chalkwell/src/chalkwell/config/rules_peer_selector.hpp
+++ b/packages/chalkwell/src/chalkwell/config/rules_peer_selector.hpp
@@ -15,7 +15,7 @@
 struct RulesPeerSelectorSettings {
   /// A process that watches the configuration store waits this long for the
   /// watch to deliver the rules before it asks a peer.
-  core::Duration watch_grace_ = std::chrono::milliseconds(150);
+  core::Duration watch_delay_ = std::chrono::milliseconds(150);
   /// A process that does not watch waits this long for a local peer to get
   /// rules that a remote peer announced: the local peer's watch takes 0.5 s for
   /// a megabyte, and all processes of a region share the link.
--- a/packages/chalkwell/src/chalkwell/core/error.cpp
+++ b/packages/chalkwell/src/chalkwell/core/error.cpp
@@ -27,7 +27,7 @@
       return "stage weights";
     case Step::kOrderEngine:
       return "order engine";
-    case Step::kReadPlatform:
+    case Step::kReadStore:
       return "read platform";
   }
   return "unknown";
--- a/packages/chalkwell/src/chalkwell/core/error.hpp
+++ b/packages/chalkwell/src/chalkwell/core/error.hpp
@@ -21,7 +21,7 @@
   kFetchWeights,
   kStageWeights,
   kOrderEngine,
-  kReadPlatform,
+  kReadStore,
 };
 
 /// @brief Stable lower-case name of a step, as written to logs.
--- a/packages/chalkwell/src/chalkwell/membership/message_order.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/message_order.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-bool MessageOrder::CheckLate(std::chrono::milliseconds sent) {
+bool MessageOrder::RecordAndCheckReordered(std::chrono::milliseconds sent) {
   const bool late = newest_ && sent < *newest_ && *newest_ - sent < kMaxDelay;
   if (!late) {
     newest_ = sent;
--- a/packages/chalkwell/src/chalkwell/membership/message_order.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/message_order.hpp
@@ -15,7 +15,7 @@
   /// machine boots: a time far below the newest one is taken for a reboot and
   /// is not late.
   /// @return whether a message sent later was received before.
-  bool CheckLate(std::chrono::milliseconds sent);
+  bool RecordAndCheckReordered(std::chrono::milliseconds sent);
 
  private:
   std::optional<std::chrono::milliseconds> newest_;
--- a/packages/chalkwell/src/chalkwell/membership/roster.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/roster.cpp
@@ -81,7 +81,7 @@
   }
 }
 
-std::uint64_t Roster::WindowOf(const EndpointView& view) {
+std::uint64_t Roster::MaxInFlight(const EndpointView& view) {
   if (!view.report_) {
     return 1;
   }
@@ -92,15 +92,15 @@
                                  (numerator + denominator - 1) / denominator);
 }
 
-std::optional<std::uint64_t> Roster::FreeSlots(const core::Role& role,
-                                               core::TimePoint now) const {
+std::optional<std::uint64_t> Roster::RemainingRequests(
+    const core::Role& role, core::TimePoint now) const {
   const auto available = Available(role, now);
   if (available.empty()) {
     return std::nullopt;
   }
   std::uint64_t free_slots = 0;
   for (const auto* view : available) {
-    const auto window = WindowOf(*view);
+    const auto window = MaxInFlight(*view);
     free_slots += window - std::min(window, view->in_flight_);
   }
   return free_slots;
--- a/packages/chalkwell/src/chalkwell/membership/roster.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/roster.hpp
@@ -101,10 +101,10 @@
   /// @brief Number of requests that this entry may have in flight at an
   /// endpoint: its share of the slots and a little more, so that no slot stays
   /// idle.
-  [[nodiscard]] static std::uint64_t WindowOf(const EndpointView& view);
+  [[nodiscard]] static std::uint64_t MaxInFlight(const EndpointView& view);
   /// @brief Number of requests that available endpoints of a role can still
   /// accept from this entry; std::nullopt if no endpoint is available.
-  [[nodiscard]] std::optional<std::uint64_t> FreeSlots(
+  [[nodiscard]] std::optional<std::uint64_t> RemainingRequests(
       const core::Role& role, core::TimePoint now) const;
 
   /// @brief Replaces the published list.
--- a/packages/chalkwell/src/chalkwell/rollout/activation.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/activation.cpp
@@ -31,7 +31,7 @@
 
 bool Activation::accepting(core::TimePoint now) const noexcept {
   const bool lease_valid = now - queried_at_ <= settings_.lease_;
-  return accepting_ && (lease_valid || faults_.keep_state_after_pause_);
+  return accepting_ && (lease_valid || faults_.keep_state_after_suspension_);
 }
 
 bool Activation::NeedsSwitch() const noexcept {
@@ -280,11 +280,11 @@
   return actions;
 }
 
-Actions Activation::OnPause(core::TimePoint now) {
+Actions Activation::OnSuspension(core::TimePoint now) {
   Actions actions;
   const bool awaits_reply =
       phase_ == Phase::kAwaitingReply || phase_ == Phase::kClaiming;
-  if (faults_.keep_state_after_pause_ || awaits_reply ||
+  if (faults_.keep_state_after_suspension_ || awaits_reply ||
       phase_ == Phase::kReplaced) {
     return actions;
   }
--- a/packages/chalkwell/src/chalkwell/rollout/activation.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/activation.hpp
@@ -104,7 +104,7 @@
   /// Switches to any target that differs from the engine's version.
   bool order_older_ = false;
   bool order_while_serving_ = false;
-  bool keep_state_after_pause_ = false;
+  bool keep_state_after_suspension_ = false;
   bool skip_claim_ = false;
   bool never_reclaim_ = false;
   /// A fetch is not abandoned when the engine is lost or replaced.
@@ -172,7 +172,7 @@
   /// the engine's state, queried next, decides.
   [[nodiscard]] Actions OnOrderAnswered(core::TimePoint now);
   /// @brief The process was suspended for longer than its lease.
-  [[nodiscard]] Actions OnPause(core::TimePoint now);
+  [[nodiscard]] Actions OnSuspension(core::TimePoint now);
 
  private:
   [[nodiscard]] bool NeedsSwitch() const noexcept;
--- a/packages/chalkwell/src/chalkwell/rollout/first_fetch.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/first_fetch.cpp
@@ -7,16 +7,18 @@
 
 bool FetchOlderFirst(const FirstFetchForecast& forecast,
                      const FirstFetchSettings& settings) {
-  const auto older_ready = forecast.older_transfer_ + settings.load_time_;
-  if (!forecast.newest_available_) {
-    return forecast.older_expiry_ - older_ready > settings.switch_cost_;
+  const auto older_ready = forecast.older_transfer_time_ + settings.load_time_;
+  if (!forecast.time_to_newest_available_) {
+    return forecast.time_to_older_expiry_ - older_ready > settings.switch_cost_;
   }
-  const auto newest_ready =
-      std::max(*forecast.newest_available_, forecast.newest_transfer_);
-  const auto newest_ready_after_older = std::max(
-      *forecast.newest_available_, older_ready + forecast.newest_transfer_);
+  const auto newest_ready = std::max(*forecast.time_to_newest_available_,
+                                     forecast.newest_transfer_time_);
+  const auto newest_ready_after_older =
+      std::max(*forecast.time_to_newest_available_,
+               older_ready + forecast.newest_transfer_time_);
   const auto gain =
-      std::min(forecast.older_expiry_, newest_ready_after_older) - older_ready;
+      std::min(forecast.time_to_older_expiry_, newest_ready_after_older) -
+      older_ready;
   const auto loss =
       newest_ready_after_older - newest_ready + settings.switch_cost_;
   return gain > loss;
--- a/packages/chalkwell/src/chalkwell/rollout/first_fetch.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/first_fetch.hpp
@@ -12,14 +12,14 @@
 struct FirstFetchForecast {
   /// Until the origin has sent out the newest version; empty while that is
   /// unknown, for example because the origin does not respond.
-  std::optional<core::Duration> newest_available_;
+  std::optional<core::Duration> time_to_newest_available_;
   /// Transfer time of the missing part of the newest version on this
   /// instance's link.
-  core::Duration newest_transfer_{};
+  core::Duration newest_transfer_time_{};
   /// Transfer time of the older version, of which peers hold every chunk.
-  core::Duration older_transfer_{};
+  core::Duration older_transfer_time_{};
   /// Until requests may no longer start on the older version.
-  core::Duration older_expiry_{};
+  core::Duration time_to_older_expiry_{};
 };
 
 /// @brief Settings of the decision.
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_chooser.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_chooser.cpp
@@ -32,13 +32,14 @@
   return static_cast<double>(requests) / static_cast<double>(capacity_);
 }
 
-EndpointChooser::EndpointChooser(core::FailureDomainId local_domain,
-                                 ChoiceSettings settings, std::uint64_t seed)
+AffinityChooser::AffinityChooser(core::FailureDomainId local_domain,
+                                 AffinityChooserSettings settings,
+                                 std::uint64_t seed)
     : local_domain_(std::move(local_domain)),
       settings_(settings),
       random_(seed) {}
 
-std::optional<core::InstanceId> EndpointChooser::Choose(
+std::optional<core::InstanceId> AffinityChooser::Choose(
     std::span<const Candidate> candidates, std::string_view prefix) {
   std::vector<Candidate> pool;
   std::ranges::copy_if(candidates, std::back_inserter(pool),
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_chooser.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_chooser.hpp
@@ -29,8 +29,8 @@
   [[nodiscard]] double load() const noexcept;
 };
 
-/// @brief Settings of EndpointChooser.
-struct ChoiceSettings {
+/// @brief Settings of AffinityChooser.
+struct AffinityChooserSettings {
   /// The preferred endpoint of a prefix is used while its load is at most this
   /// multiple of the mean load of the endpoints considered, plus one request.
   double affinity_bound_ = 1.25;
@@ -41,10 +41,10 @@
 
 /// @brief Chooses by prefix affinity and load. EndpointTable::Choose chooses by
 /// predicted cost instead.
-class EndpointChooser {
+class AffinityChooser {
  public:
-  EndpointChooser(core::FailureDomainId local_domain, ChoiceSettings settings,
-                  std::uint64_t seed);
+  AffinityChooser(core::FailureDomainId local_domain,
+                  AffinityChooserSettings settings, std::uint64_t seed);
 
   /// @param prefix prompt prefix that keys the backend's prefix cache; may be
   /// empty.
@@ -53,7 +53,7 @@
 
  private:
   core::FailureDomainId local_domain_;
-  ChoiceSettings settings_;
+  AffinityChooserSettings settings_;
   std::mt19937_64 random_;
 };
 
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_table.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_table.cpp
@@ -128,7 +128,7 @@
     // The next incarnation was announced before this row was written.
     return;
   }
-  incarnations_.OnRow(row.address_, row.incarnation(), row.created_);
+  incarnations_.OnRow(row.address_, row.incarnation(), row.created_revision_);
   if (StartTimesDiffer(endpoint.row_.started_, row.started_)) {
     BeginIncarnation(endpoint, std::move(row));
     return;
@@ -243,9 +243,9 @@
   added.announced_until_ = now + settings_.announced_grace_;
 }
 
-void EndpointTable::ApplyIncarnation(const std::string& address,
-                                     const EndpointIncarnation& incarnation,
-                                     core::TimePoint now) {
+void EndpointTable::ApplyAnnouncementAt(const std::string& address,
+                                        const EndpointIncarnation& incarnation,
+                                        core::TimePoint now) {
   for (const auto& [id, endpoint] : endpoints_) {
     if (endpoint.row_.address_ != address) {
       continue;
@@ -254,7 +254,7 @@
     row.id_ = incarnation.id_;
     row.started_ = incarnation.started_;
     row.leaving_ = false;
-    row.created_ = 0;
+    row.created_revision_ = 0;
     row.weights_version_.reset();
     ApplyAnnouncement(std::move(row), now);
     return;
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_table.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_table.hpp
@@ -38,7 +38,7 @@
   /// for plain services and engines that cannot serve yet.
   std::optional<std::uint64_t> weights_version_;
   /// List revision at which the row was created; 0 if unknown.
-  std::uint64_t created_ = 0;
+  std::uint64_t created_revision_ = 0;
 
   [[nodiscard]] EndpointIncarnation incarnation() const {
     return {id_, started_};
@@ -210,9 +210,9 @@
   /// @brief Like ApplyAnnouncement, for an agent that announced no row: the
   /// rest of the row is copied from the endpoint known at the address. Ignored
   /// if there is none.
-  void ApplyIncarnation(const std::string& address,
-                        const EndpointIncarnation& incarnation,
-                        core::TimePoint now);
+  void ApplyAnnouncementAt(const std::string& address,
+                           const EndpointIncarnation& incarnation,
+                           core::TimePoint now);
   /// @brief Applies a load report of the endpoint at an address; ignored if
   /// older than the last one. A report with another start time shows that its
   /// incarnation is the current one.
--- a/packages/chalkwell/src/chalkwell/routing/first_byte_timeout.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/first_byte_timeout.cpp
@@ -32,7 +32,7 @@
 core::TimePoint FirstByteDeadline(const PendingAttempt& attempt) {
   core::Duration timeout = std::max<core::Duration>(
       {attempt.target_latency_ * kTargetMultiple, kMinTimeout,
-       attempt.predicted_first_byte_ * kPredictionMultiple});
+       attempt.predicted_time_to_first_byte_ * kPredictionMultiple});
   if (!attempt.on_time_) {
     timeout = std::max<core::Duration>(timeout, kLateMinTimeout);
   }
--- a/packages/chalkwell/src/chalkwell/routing/first_byte_timeout.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/first_byte_timeout.hpp
@@ -15,7 +15,7 @@
   /// Target time to first byte, as set for its route.
   core::Duration target_latency_{};
   /// Time to first byte predicted when the endpoint was chosen.
-  core::Duration predicted_first_byte_{};
+  core::Duration predicted_time_to_first_byte_{};
   /// Whether it could still meet the target when it was sent; a late attempt
   /// has a lower priority at engines.
   bool on_time_ = true;
--- a/packages/chalkwell/src/chalkwell/routing/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/fwd.hpp
@@ -12,7 +12,7 @@
 class RetryBudget;
 class RetryJitter;
 class SlotQueue;
-class EndpointChooser;
+class AffinityChooser;
 class EndpointTable;
 struct EndpointSubsetSettings;
 struct PendingAttempt;
--- a/packages/chalkwell/src/chalkwell/routing/incarnation_table.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/incarnation_table.cpp
@@ -38,7 +38,7 @@
     state.previous_.pop_front();
   }
   state.current_ = incarnation;
-  state.created_ = 0;
+  state.created_revision_ = 0;
 }
 
 void IncarnationTable::OnRow(const std::string& address,
@@ -53,7 +53,7 @@
     current = incarnation;
   }
   if (MayBeSameIncarnation(current, incarnation)) {
-    state.created_ = created;
+    state.created_revision_ = created;
     if (!current.started_) {
       current.started_ = incarnation.started_;
     }
@@ -64,10 +64,11 @@
   // age, except with an announced incarnation whose row was not seen yet.
   const bool restarted = current.id_ == incarnation.id_ ||
                          ContainsId(state.previous_, incarnation.id_);
-  const bool newer = state.created_ > 0 && created > state.created_;
+  const bool newer =
+      state.created_revision_ > 0 && created > state.created_revision_;
   if (restarted || newer) {
     Supersede(state, incarnation);
-    state.created_ = created;
+    state.created_revision_ = created;
   }
 }
 
--- a/packages/chalkwell/src/chalkwell/routing/incarnation_table.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/incarnation_table.hpp
@@ -41,7 +41,7 @@
     /// Its id is empty while no incarnation is known.
     EndpointIncarnation current_;
     /// Revision that created the row of `current_`; 0 until its row is seen.
-    std::uint64_t created_ = 0;
+    std::uint64_t created_revision_ = 0;
     /// Superseded incarnations, newest last; at most kMaxPrevious.
     std::deque<EndpointIncarnation> previous_;
   };
--- a/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
@@ -139,7 +139,7 @@
   /// added.
   [[nodiscard]] std::size_t AttributedCrashesWith(
       const RequestDigest& request, const EndpointCrash& crash) const;
-  [[nodiscard]] std::size_t suspected_after() const noexcept {
+  [[nodiscard]] std::size_t suspected_crashes() const noexcept {
     return settings_.suspected_crashes_;
   }
   [[nodiscard]] const CrashRecord* Find(const RequestDigest& request) const;
--- a/packages/chalkwell/src/chalkwell/routing/request_tracker.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_tracker.cpp
@@ -82,7 +82,7 @@
 
 bool RequestTracker::AcceptResponseBytes(AttemptNumber attempt,
                                          std::uint64_t events) {
-  if (faults_.forward_late_answers_) {
+  if (faults_.forward_superseded_responses_) {
     forwarded_ = true;
     return !finished_;
   }
--- a/packages/chalkwell/src/chalkwell/routing/request_tracker.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_tracker.hpp
@@ -81,7 +81,7 @@
 /// @brief Injected faults, by which tests verify that their checks detect them.
 struct RequestFaults {
   bool retry_after_send_ = false;
-  bool forward_late_answers_ = false;
+  bool forward_superseded_responses_ = false;
   bool report_lost_as_not_run_ = false;
   bool resume_from_start_ = false;
   bool resume_on_other_weights_ = false;
--- a/packages/chalkwell/src/chalkwell/routing/slot_queue.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/slot_queue.cpp
@@ -6,7 +6,7 @@
 
 namespace chalkwell::routing {
 
-std::size_t SlotQueue::active_senders(core::TimePoint now) const {
+std::size_t SlotQueue::active_entries(core::TimePoint now) const {
   const auto active = std::ranges::count_if(last_offer_, [&](const auto& item) {
     return now - item.second <= limits_.entry_activity_window_;
   });
--- a/packages/chalkwell/src/chalkwell/routing/slot_queue.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/slot_queue.hpp
@@ -45,7 +45,7 @@
   [[nodiscard]] std::size_t in_use() const noexcept { return in_use_; }
   [[nodiscard]] std::size_t waiting() const noexcept { return waiting_; }
   /// @brief Number of recently active entries; at least 1.
-  [[nodiscard]] std::size_t active_senders(core::TimePoint now) const;
+  [[nodiscard]] std::size_t active_entries(core::TimePoint now) const;
 
   [[nodiscard]] SlotDecision Offer(std::uint64_t attempt,
                                    const core::InstanceId& entry,
--- a/packages/daemon/src/daemon/agent.cpp
+++ b/packages/daemon/src/daemon/agent.cpp
@@ -110,8 +110,8 @@
 
 void Agent::CheckPause() {
   if (pause_.Tick(process_.loop().Now())) {
-    process_.log().Write(core::EventNumber::kPauseNoticed);
-    Perform(activation_.OnPause(process_.loop().Now()));
+    process_.log().Write(core::EventNumber::kSuspensionDetected);
+    Perform(activation_.OnSuspension(process_.loop().Now()));
   }
 }
 
@@ -152,7 +152,7 @@
   });
   last_entry_heard_ = process_.loop().Now();
   auto first = attachment->last_;
-  first.minter_ = runs_->OpenMinter();
+  first.minter_ = runs_->RegisterIssuer();
   call->Start(200);
   call->Write(Pack(first));
 }
@@ -209,7 +209,7 @@
   }
   turns_.SetMembers(std::move(members));
   ReadOwnRow();
-  const auto* bundle = process_.config().documents().ActiveBundle();
+  const auto* bundle = process_.config().documents().AcceptedBundle();
   if (is_engine_ && bundle != nullptr && bundle->AppliesTo(role_)) {
     const rollout::Target target{bundle->version_, bundle->manifest_};
     if (target > activation_.target()) {
@@ -344,7 +344,7 @@
 void Agent::TakeTurnIfDue() {
   if (activation_.phase() == rollout::Phase::kWaitingForSlot &&
       turns_.MayDrain(process_.loop().Now())) {
-    process_.log().Write(core::EventNumber::kTurnTaken);
+    process_.log().Write(core::EventNumber::kRolloutSlotObtained);
     Perform(activation_.OnRolloutSlot());
   }
 }
@@ -377,7 +377,7 @@
 
 std::string Agent::Status() const {
   const auto [staged, chunks] = weights_->progress();
-  const auto* bundle = process_.config().documents().ActiveBundle();
+  const auto* bundle = process_.config().documents().AcceptedBundle();
   const nlohmann::json status{
       {"id", process_.id().value()},
       {"domain", process_.domain().value()},
--- a/packages/daemon/src/daemon/direct/direct_entry.cpp
+++ b/packages/daemon/src/daemon/direct/direct_entry.cpp
@@ -331,7 +331,7 @@
           weights.version_, process_.loop().Now())) {
     return;
   }
-  process_.log().Write(core::EventNumber::kWeightsNamed,
+  process_.log().Write(core::EventNumber::kVersionPublished,
                        {{"model", weights.model_},
                         {"version", std::to_string(weights.version_)}});
   // The version bound runs from the publication of the version, not from its
@@ -377,7 +377,7 @@
 
 void DirectEntry::OnLoadReport(const LoadMessage& message) {
   const auto now = process_.loop().Now();
-  if (report_orders_[message.endpoint_].CheckLate(
+  if (report_orders_[message.endpoint_].RecordAndCheckReordered(
           milliseconds(message.sent_ms_))) {
     process_.metrics().Count("reports_late_total", {});
     return;
@@ -386,8 +386,8 @@
       milliseconds(message.sent_ms_), now);
   const auto report = ToReport(message, outbound);
   if (!report.incarnation_.empty()) {
-    endpoints_.ApplyIncarnation(message.endpoint_,
-                                {report.incarnation_, report.started_}, now);
+    endpoints_.ApplyAnnouncementAt(message.endpoint_,
+                                   {report.incarnation_, report.started_}, now);
   }
   endpoints_.ApplyReport(message.endpoint_, report, now);
 }
--- a/packages/daemon/src/daemon/direct/direct_request.cpp
+++ b/packages/daemon/src/daemon/direct/direct_request.cpp
@@ -254,7 +254,7 @@
   }
   routing::PendingAttempt pending;
   pending.target_latency_ = request_.route_.target_latency_;
-  pending.predicted_first_byte_ = attempt_.choice_.time_to_first_byte_;
+  pending.predicted_time_to_first_byte_ = attempt_.choice_.time_to_first_byte_;
   pending.on_time_ = request_.on_time_;
   pending.sent_at_ = attempt_.sent_at_;
   pending.unresponsive_ =
--- a/packages/daemon/src/daemon/direct/mesh_messages.cpp
+++ b/packages/daemon/src/daemon/direct/mesh_messages.cpp
@@ -82,7 +82,7 @@
                              .slots_ = row.slots_,
                              .leaving_ = row.leaving_,
                              .version_ = row.weights_version_.value_or(0),
-                             .created_ = row.created_,
+                             .created_revision_ = row.created_revision_,
                              .started_ms_ = ToMs(row.started_)});
   }
   for (const auto& id : change.removed_) {
@@ -107,7 +107,7 @@
     row.domain_ = core::FailureDomainId(row_message.domain_);
     row.slots_ = row_message.slots_;
     row.leaving_ = row_message.leaving_;
-    row.created_ = row_message.created_;
+    row.created_revision_ = row_message.created_revision_;
     row.started_ = ToStartTime(row_message.started_ms_);
     if (row_message.version_ > 0) {
       row.weights_version_ = row_message.version_;
--- a/packages/daemon/src/daemon/direct/mesh_messages.hpp
+++ b/packages/daemon/src/daemon/direct/mesh_messages.hpp
@@ -94,11 +94,11 @@
   bool leaving_ = false;
   /// 0 for none.
   std::uint64_t version_ = 0;
-  std::uint64_t created_ = 0;
+  std::uint64_t created_revision_ = 0;
   /// 0 when unknown.
   std::int64_t started_ms_ = 0;
   MSGPACK_DEFINE(id_, service_, address_, domain_, slots_, leaving_, version_,
-                 created_, started_ms_)
+                 created_revision_, started_ms_)
 };
 
 /// @brief The endpoint list, or its changes between two reads of one reader.
--- a/packages/daemon/src/daemon/direct/published_reader.cpp
+++ b/packages/daemon/src/daemon/direct/published_reader.cpp
@@ -305,8 +305,8 @@
     return;
   }
   reachable_since_ = loop_.Now();
-  log_.Write(reachable ? core::EventNumber::kPlatformReached
-                       : core::EventNumber::kPlatformUnreachable);
+  log_.Write(reachable ? core::EventNumber::kStoreReached
+                       : core::EventNumber::kStoreUnreachable);
 }
 
 }  // namespace chalkwell::daemon::direct
--- a/packages/daemon/src/daemon/direct/quarantine_manager.cpp
+++ b/packages/daemon/src/daemon/direct/quarantine_manager.cpp
@@ -113,7 +113,7 @@
       .elapsed_ = last->elapsed_,
       .cleared_ = !crash_detector_.ProbePending(request)};
   return quarantine_.AttributedCrashesWith(request, crash) <
-         quarantine_.suspected_after();
+         quarantine_.suspected_crashes();
 }
 
 QuarantineManager::Token QuarantineManager::OnAdmitted(
--- a/packages/daemon/src/daemon/direct/rules_manager.cpp
+++ b/packages/daemon/src/daemon/direct/rules_manager.cpp
@@ -102,7 +102,7 @@
   watcher_role_.SetMembers(members);
   const bool watches = watcher_role_.IsWatcher(now);
   if (std::exchange(is_watcher_, watches) != watches) {
-    log_.Write(core::EventNumber::kWatchDuty,
+    log_.Write(core::EventNumber::kWatcherRoleChanged,
                {{"watches", watches ? "yes" : "no"},
                 {"rules", std::to_string(version_)},
                 {"neighbours", std::to_string(local_members.size())}});
--- a/packages/daemon/src/daemon/direct/weights_manager.cpp
+++ b/packages/daemon/src/daemon/direct/weights_manager.cpp
@@ -90,7 +90,7 @@
   const auto before = target_.version_;
   target_ = weights;
   version_bound_.OnVersionPublished(weights.version_, process_.loop().Now());
-  process_.log().Write(core::EventNumber::kWeightsNamed,
+  process_.log().Write(core::EventNumber::kVersionPublished,
                        {{"model", weights.model_},
                         {"version", std::to_string(weights.version_)}});
   if (phase_ != Phase::kIdle && fetch_target_.version_ == before) {
--- a/packages/daemon/src/daemon/direct/weights_manager_fetch.cpp
+++ b/packages/daemon/src/daemon/direct/weights_manager_fetch.cpp
@@ -251,7 +251,7 @@
     planner_.OnRequestFailed(chunk, process_.loop().Now());
     return;
   }
-  process_.log().Write(core::EventNumber::kOriginDrawn,
+  process_.log().Write(core::EventNumber::kOriginFetched,
                        {{"piece", std::to_string(chunk)}});
   process_.metrics().Count("origin_pieces_total", {});
   client_.fetch_chunk_(*origin_, model_, fetch_target_.version_, chunk,
--- a/packages/daemon/src/daemon/direct/weights_manager_older.cpp
+++ b/packages/daemon/src/daemon/direct/weights_manager_older.cpp
@@ -111,10 +111,10 @@
     return;
   }
   rollout::FirstFetchForecast forecast;
-  forecast.newest_available_ = progress_.TimeLeft(now);
-  forecast.newest_transfer_ = TransferTime(model_chunks_ - held_.count());
-  forecast.older_transfer_ = TransferTime(model_chunks_);
-  forecast.older_expiry_ = *expiry - now;
+  forecast.time_to_newest_available_ = progress_.TimeLeft(now);
+  forecast.newest_transfer_time_ = TransferTime(model_chunks_ - held_.count());
+  forecast.older_transfer_time_ = TransferTime(model_chunks_);
+  forecast.time_to_older_expiry_ = *expiry - now;
   if (!rollout::FetchOlderFirst(forecast)) {
     return;
   }
@@ -124,7 +124,7 @@
        {"newest", std::to_string(target_.version_)},
        {"newest_pieces_out", std::to_string(available.count())},
        {"usable_ms", std::to_string(std::chrono::duration_cast<milliseconds>(
-                                        forecast.older_expiry_)
+                                        forecast.time_to_older_expiry_)
                                         .count())}});
   StartFetch({model_, *older});
 }
--- a/packages/daemon/src/daemon/direct/weights_manager_switch.cpp
+++ b/packages/daemon/src/daemon/direct/weights_manager_switch.cpp
@@ -111,7 +111,7 @@
   }
   held_.Remove(chunk);
   announce_due_ = true;
-  process_.log().Write(core::EventNumber::kStagedSpoilt,
+  process_.log().Write(core::EventNumber::kStagedChunkCorrupt,
                        {{"piece", std::to_string(chunk)}});
   if (phase_ == Phase::kFetching) {
     planner_.OnChunkLost(chunk);
@@ -143,7 +143,7 @@
   if (serving_ != 0 && !urgent && !rollout_slots_.MayDrain(now)) {
     return;
   }
-  process_.log().Write(core::EventNumber::kTurnTaken,
+  process_.log().Write(core::EventNumber::kRolloutSlotObtained,
                        {{"version", std::to_string(fetch_target_.version_)},
                         {"serving", std::to_string(serving_)},
                         {"urgent", urgent ? "yes" : "no"}});
@@ -185,7 +185,7 @@
         if (!good) {
           ++corrupt_count_;
           held_.Remove(chunk);
-          process_.log().Write(core::EventNumber::kStagedSpoilt,
+          process_.log().Write(core::EventNumber::kStagedChunkCorrupt,
                                {{"piece", std::to_string(chunk)}});
         }
         VerifyNext(chunk + 1);
--- a/packages/daemon/src/daemon/entry.cpp
+++ b/packages/daemon/src/daemon/entry.cpp
@@ -215,7 +215,7 @@
   while (queue.waiting() > 0) {
     const auto now = process_.loop().Now();
     // Without an endpoint a request is refused at once; it does not wait.
-    const auto room = links_.roster().FreeSlots(role, now);
+    const auto room = links_.roster().RemainingRequests(role, now);
     const auto limit = queue_limits_.max_in_flight_;
     queue.SetMaxInFlight(room ? std::min(limit, queue.in_flight() + *room)
                               : limit);
@@ -288,7 +288,7 @@
   for (const auto& [key, stamp] : process_.config().documents().stamps()) {
     documents[key] = stamp.sequence_;
   }
-  const auto* bundle = process_.config().documents().ActiveBundle();
+  const auto* bundle = process_.config().documents().AcceptedBundle();
   const nlohmann::json status{
       {"id", process_.id().value()},
       {"domain", process_.domain().value()},
--- a/packages/daemon/src/daemon/entry.hpp
+++ b/packages/daemon/src/daemon/entry.hpp
@@ -50,7 +50,7 @@
 
   Process& process_;
   AgentLinks links_;
-  routing::EndpointChooser chooser_;
+  routing::AffinityChooser chooser_;
   routing::RetryBudget budget_;
   routing::QueueLimits queue_limits_;
   /// One for each role, so that none holds up another.
--- a/packages/daemon/src/daemon/platform_reader.cpp
+++ b/packages/daemon/src/daemon/platform_reader.cpp
@@ -36,7 +36,7 @@
     return;
   }
   watching_ = watching;
-  log_.Write(core::EventNumber::kWatchDuty,
+  log_.Write(core::EventNumber::kWatcherRoleChanged,
              {{"watching", watching ? "yes" : "no"}});
   if (watching && !call_) {
     Read({});
@@ -82,8 +82,8 @@
     reachable_ = succeeded;
     node_.SetReachesService(succeeded);
     log_.Write(
-        succeeded ? core::EventNumber::kPlatformReached
-                  : core::EventNumber::kPlatformUnreachable,
+        succeeded ? core::EventNumber::kStoreReached
+                  : core::EventNumber::kStoreUnreachable,
         {{"peer", address_.ToString()}, {"reason", succeeded ? "" : reason}});
   }
   heard_ = heard_ || succeeded;
--- a/packages/daemon/src/daemon/request_reader.cpp
+++ b/packages/daemon/src/daemon/request_reader.cpp
@@ -144,7 +144,7 @@
     return TicketRequest{route->role_};
   }
   const auto body = BodyOf(http);
-  const auto* bundle = config_.documents().ActiveBundle();
+  const auto* bundle = config_.documents().AcceptedBundle();
   const bool has_model = bundle != nullptr && bundle->AppliesTo(route->role_);
   if (has_model && !KnowsModel(*bundle, body)) {
     return Rejection{kNotFound, core::EventNumber::kBadRequest,
--- a/packages/daemon/src/daemon/request_runner.cpp
+++ b/packages/daemon/src/daemon/request_runner.cpp
@@ -52,7 +52,7 @@
       continue;
     }
     const bool has_room =
-        view->in_flight_ < membership::Roster::WindowOf(*view);
+        view->in_flight_ < membership::Roster::MaxInFlight(*view);
     (has_room ? candidates : full)
         .push_back({.id_ = view->instance_.id_,
                     .domain_ = view->instance_.domain_,
@@ -210,7 +210,7 @@
 void RequestRunner::OnFrame(routing::AttemptNumber attempt,
                             const RunFrame& frame) {
   if (attempt != tracker_.attempt() || tracker_.finished()) {
-    services_.log_.Write(core::EventNumber::kLateAnswerDropped,
+    services_.log_.Write(core::EventNumber::kAbandonedResponseDropped,
                          {{"request", request_.id_}});
     return;
   }
--- a/packages/daemon/src/daemon/request_runner.hpp
+++ b/packages/daemon/src/daemon/request_runner.hpp
@@ -25,7 +25,7 @@
   Loop& loop_;
   const core::InstanceId& self_;
   AgentLinks& links_;
-  routing::EndpointChooser& chooser_;
+  routing::AffinityChooser& chooser_;
   routing::RetryBudget& budget_;
   EventLog& log_;
   Metrics& metrics_;
--- a/packages/daemon/src/daemon/run_handler.cpp
+++ b/packages/daemon/src/daemon/run_handler.cpp
@@ -89,7 +89,7 @@
       slots_({.capacity_ = capacity, .max_waiting_ = capacity}) {}
 
 std::size_t RunHandler::sharers() const {
-  return slots_.active_senders(process_.loop().Now());
+  return slots_.active_entries(process_.loop().Now());
 }
 
 std::string RunHandler::ReasonToRefuse(const RunMessage& message) const {
--- a/packages/daemon/src/daemon/run_handler.hpp
+++ b/packages/daemon/src/daemon/run_handler.hpp
@@ -41,7 +41,9 @@
     return guard_.incarnation();
   }
 
-  [[nodiscard]] std::uint64_t OpenMinter() { return guard_.RegisterIssuer(); }
+  [[nodiscard]] std::uint64_t RegisterIssuer() {
+    return guard_.RegisterIssuer();
+  }
   /// @brief Entries that send here of late.
   [[nodiscard]] std::size_t sharers() const;
   /// @brief Answers /v1/run.
--- a/packages/daemon/src/daemon/swarm_members.cpp
+++ b/packages/daemon/src/daemon/swarm_members.cpp
@@ -12,7 +12,7 @@
 
 std::vector<swarm::SwarmMember> SwarmMembersOf(Process& process) {
   std::vector<swarm::SwarmMember> members;
-  const auto* bundle = process.config().documents().ActiveBundle();
+  const auto* bundle = process.config().documents().AcceptedBundle();
   for (const auto& instance : process.config().instances()) {
     const bool takes_part = instance.kind_ == config::InstanceKind::kEndpoint &&
                             instance.backend_ == config::BackendKind::kEngine &&
--- a/packages/daemon/src/daemon/weight_fetcher.cpp
+++ b/packages/daemon/src/daemon/weight_fetcher.cpp
@@ -220,7 +220,7 @@
         job->draws_.erase(index);
         if (response.ok()) {
           process_.log().Write(
-              core::EventNumber::kOriginDrawn,
+              core::EventNumber::kOriginFetched,
               {{"chunk", std::to_string(index)}, {"source", source}});
           OnBytes(job, index, std::move(response.body_), source);
         } else if (from_store) {
--- a/tests/config/accepted_documents_test.cpp
+++ b/tests/config/accepted_documents_test.cpp
@@ -68,7 +68,7 @@
   (void)right.Apply(BundleOf(5, "b"));
   (void)right.Apply(BundleOf(5, "a"));
   CHECK(left.stamps() == right.stamps());
-  CHECK(left.ActiveBundle()->manifest_ == right.ActiveBundle()->manifest_);
+  CHECK(left.AcceptedBundle()->manifest_ == right.AcceptedBundle()->manifest_);
 }
 
 TEST_CASE("publishing a list of trusted keys rotates the keys", "[config]") {
--- a/tests/config/rules_peer_selector_test.cpp
+++ b/tests/config/rules_peer_selector_test.cpp
@@ -25,15 +25,15 @@
   const auto row = GENERATE_COPY(
       Row{"local peer, by a process without a watch", kLocal, false, 0ms, true},
       Row{"local peer, while the own watch may still deliver", kLocal, true,
-          settings.watch_grace_ - 1ms, false},
+          settings.watch_delay_ - 1ms, false},
       Row{"local peer, after the own watch did not deliver", kLocal, true,
-          settings.watch_grace_, true},
+          settings.watch_delay_, true},
       Row{"remote peer, while a local peer may soon have the rules", kRemote,
           false, settings.remote_delay_ - 1ms, false},
       Row{"remote peer, when no local peer has the rules", kRemote, false,
           settings.remote_delay_, true},
       Row{"remote peer, by a process with a watch", kRemote, true,
-          settings.watch_grace_, true});
+          settings.watch_delay_, true});
   CAPTURE(row.name_);
   RulesPeerSelector catch_up(kSelf);
   catch_up.OnApplied(3, kStart);
--- a/tests/fuzz/world.cpp
+++ b/tests/fuzz/world.cpp
@@ -195,7 +195,7 @@
 void World::Offer(config::AcceptedDocuments& documents, int process,
                   const config::Document& document) {
   (void)documents.Apply(document);
-  if (const auto* bundle = documents.ActiveBundle()) {
+  if (const auto* bundle = documents.AcceptedBundle()) {
     oracle_.OnInForce(process, documents.stamps().at(config::kBundleKey),
                       published_.IsSigned(bundle->version_, bundle->manifest_));
   }
@@ -265,7 +265,7 @@
     }
   }
   oracle_.OnSettled(stamps);
-  const auto newest = agents_.back()->documents_.ActiveBundle()->manifest_;
+  const auto newest = agents_.back()->documents_.AcceptedBundle()->manifest_;
   for (const auto& engine : engines_) {
     oracle_.OnRunsEverywhere(engine->state_.manifest_ == newest);
   }
--- a/tests/fuzz/world_agents.cpp
+++ b/tests/fuzz/world_agents.cpp
@@ -25,12 +25,12 @@
 
 void World::CheckPause(const AgentPtr& agent) {
   if (agent->pause_.Tick(now_)) {
-    Perform(agent, agent->activation_.OnPause(now_));
+    Perform(agent, agent->activation_.OnSuspension(now_));
   }
 }
 
 void World::OnTarget(const AgentPtr& agent) {
-  if (const auto* bundle = agent->documents_.ActiveBundle()) {
+  if (const auto* bundle = agent->documents_.AcceptedBundle()) {
     Perform(agent,
             agent->activation_.OnTarget({bundle->version_, bundle->manifest_}));
   }
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -134,7 +134,7 @@
                             Row{8, 2, 7, 0}, Row{12, 9, 0, 2}, Row{1, 9, 0, 1},
                             Row{8, 0, 0, 10});
   Roster roster;
-  CHECK_FALSE(roster.FreeSlots(kRole, kStart).has_value());
+  CHECK_FALSE(roster.RemainingRequests(kRole, kStart).has_value());
   roster.SetInstances({Listed(false)});
   roster.OnConnected(kId, kStart);
   REQUIRE(roster.OnReport(
@@ -144,7 +144,7 @@
   for (std::uint64_t i = 0; i < row.in_flight_; ++i) {
     roster.OnRequestSent(kId, kStart);
   }
-  CHECK(roster.FreeSlots(kRole, kStart) == row.free_slots_);
+  CHECK(roster.RemainingRequests(kRole, kStart) == row.free_slots_);
 }
 
 TEST_CASE("reports of a replaced process are refused", "[membership]") {
--- a/tests/membership/message_order_test.cpp
+++ b/tests/membership/message_order_test.cpp
@@ -28,9 +28,9 @@
   CAPTURE(row.name_);
   MessageOrder order;
   for (const auto sent : row.before_) {
-    (void)order.CheckLate(sent);
+    (void)order.RecordAndCheckReordered(sent);
   }
-  CHECK(order.CheckLate(row.sent_) == row.late_);
+  CHECK(order.RecordAndCheckReordered(row.sent_) == row.late_);
 }
 
 }  // namespace
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -191,7 +191,7 @@
                      core::TimePoint) { return activation.OnEngineLost(); }},
       Row{"suspended",
           [](Activation& activation, core::TimePoint now) {
-            return activation.OnPause(now);
+            return activation.OnSuspension(now);
           }},
       Row{"lost claim", [](Activation& activation, core::TimePoint now) {
             return activation.OnEngineState({}, now, now);
--- a/tests/routing/choice_test.cpp
+++ b/tests/routing/choice_test.cpp
@@ -25,7 +25,7 @@
 
 TEST_CASE("the local domain is preferred and spills over when full",
           "[routing]") {
-  EndpointChooser chooser(core::FailureDomainId("own"), {}, 1);
+  AffinityChooser chooser(core::FailureDomainId("own"), {}, 1);
   const std::vector<Candidate> idle{At("a", "own", 2), At("b", "far", 0)};
   const std::vector<Candidate> full{At("a", "own", 10), At("b", "far", 0)};
   for (int i = 0; i < 20; ++i) {
@@ -41,7 +41,7 @@
 
 TEST_CASE("a prefix keeps its preferred endpoint until that is loaded",
           "[routing]") {
-  EndpointChooser chooser(core::FailureDomainId("own"), {}, 1);
+  AffinityChooser chooser(core::FailureDomainId("own"), {}, 1);
   std::vector<Candidate> all{At("a", "own", 1), At("b", "own", 1),
                              At("c", "own", 1)};
   const auto preferred = *chooser.Choose(all, "prefix");
--- a/tests/routing/endpoint_incarnation_test.cpp
+++ b/tests/routing/endpoint_incarnation_test.cpp
@@ -27,7 +27,7 @@
   row.service_ = "pool";
   row.address_ = kAddress;
   row.slots_ = 4;
-  row.created_ = 3;
+  row.created_revision_ = 3;
   row.started_ = At(started);
   if (version > 0) {
     row.weights_version_ = version;
@@ -161,13 +161,13 @@
     table.ApplyReport(kAddress, ReportOf(1000), kStart + 10ms);
   };
   const Message late_announcement = [](EndpointTable& table) {
-    table.ApplyIncarnation(kAddress, {kId, At(1000)}, kStart + 10ms);
+    table.ApplyAnnouncementAt(kAddress, {kId, At(1000)}, kStart + 10ms);
   };
   const Message report = [](EndpointTable& table) {
     table.ApplyReport(kAddress, ReportOf(2000), kStart + 20ms);
   };
   const Message announcement = [](EndpointTable& table) {
-    table.ApplyIncarnation(kAddress, {kId, At(2000)}, kStart + 20ms);
+    table.ApplyAnnouncementAt(kAddress, {kId, At(2000)}, kStart + 20ms);
   };
   const auto marked_by_row = GENERATE(true, false);
   const auto before = GENERATE_COPY(late_report, late_announcement);
@@ -266,7 +266,7 @@
         case Step::kReport: {
           reports.push_back(reports.back());
           const auto sent = *rc::gen::inRange<std::size_t>(0, reports.size());
-          if (!order.CheckLate(std::chrono::milliseconds(sent))) {
+          if (!order.RecordAndCheckReordered(std::chrono::milliseconds(sent))) {
             engines.table_.ApplyReport(kAddress, reports[sent], now);
           }
           break;
@@ -276,7 +276,7 @@
     // The latest report arrives, then the latest row.
     now += 1ms;
     const std::chrono::milliseconds sent(reports.size() - 1);
-    RC_ASSERT(!order.CheckLate(sent));
+    RC_ASSERT(!order.RecordAndCheckReordered(sent));
     engines.table_.ApplyReport(kAddress, reports.back(), now);
     engines.table_.ApplyList({current}, ++revision, true, now);
     const bool serves = current.weights_version_ && !current.leaving_;
--- a/tests/routing/endpoint_table_test.cpp
+++ b/tests/routing/endpoint_table_test.cpp
@@ -423,7 +423,7 @@
 EndpointRow RowAt(const std::string& id, std::uint64_t created) {
   auto row = Row(id);
   row.address_ = "shared:1";
-  row.created_ = created;
+  row.created_revision_ = created;
   return row;
 }
 
--- a/tests/routing/first_byte_timeout_test.cpp
+++ b/tests/routing/first_byte_timeout_test.cpp
@@ -23,7 +23,7 @@
       Row{"a short target", {.target_latency_ = 100ms}, 1200ms},
       Row{"a long target", {.target_latency_ = 600ms}, 1800ms},
       Row{"a long prompt",
-          {.target_latency_ = 400ms, .predicted_first_byte_ = 1s},
+          {.target_latency_ = 400ms, .predicted_time_to_first_byte_ = 1s},
           2000ms},
       Row{"a late attempt",
           {.target_latency_ = 400ms, .on_time_ = false},
--- a/tests/routing/slot_queue_test.cpp
+++ b/tests/routing/slot_queue_test.cpp
@@ -55,12 +55,12 @@
 
 TEST_CASE("recently active entries are counted, at least one", "[routing]") {
   SlotQueue slots({.entry_activity_window_ = 5s});
-  CHECK(slots.active_senders(kStart) == 1);
+  CHECK(slots.active_entries(kStart) == 1);
   (void)slots.Offer(1, kNorth, kStart);
   (void)slots.Offer(2, kSouth, kStart + 3s);
-  CHECK(slots.active_senders(kStart + 3s) == 2);
-  CHECK(slots.active_senders(kStart + 6s) == 1);
-  CHECK(slots.active_senders(kStart + 60s) == 1);
+  CHECK(slots.active_entries(kStart + 3s) == 2);
+  CHECK(slots.active_entries(kStart + 6s) == 1);
+  CHECK(slots.active_entries(kStart + 60s) == 1);
 }
 
 /// Reference model.
