--- a/packages/chalkwell/src/chalkwell/routing/endpoint_chooser.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/affinity_chooser.cpp
@@ -1,5 +1,5 @@
 // Affinity uses rendezvous hashing with bounded loads.
-#include "chalkwell/routing/endpoint_chooser.hpp"
+#include "chalkwell/routing/affinity_chooser.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/packages/daemon/src/daemon/entry.hpp
+++ b/packages/daemon/src/daemon/entry.hpp
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "chalkwell/routing/endpoint_chooser.hpp"
+#include "chalkwell/routing/affinity_chooser.hpp"
 #include "chalkwell/routing/fair_queue.hpp"
 #include "chalkwell/routing/retry_budget.hpp"
 #include "daemon/agent_links.hpp"
--- a/packages/daemon/src/daemon/request_runner.hpp
+++ b/packages/daemon/src/daemon/request_runner.hpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "chalkwell/config/published_lists.hpp"
-#include "chalkwell/routing/endpoint_chooser.hpp"
+#include "chalkwell/routing/affinity_chooser.hpp"
 #include "chalkwell/routing/execution_ticket.hpp"
 #include "chalkwell/routing/request_tracker.hpp"
 #include "chalkwell/routing/retry_budget.hpp"
--- a/tests/routing/choice_test.cpp
+++ b/tests/routing/choice_test.cpp
@@ -4,7 +4,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "chalkwell/routing/endpoint_chooser.hpp"
+#include "chalkwell/routing/affinity_chooser.hpp"
 #include "chalkwell/routing/fair_queue.hpp"
 #include "chalkwell/routing/retry_budget.hpp"
 
