--- a/packages/chalkwell/src/chalkwell/routing/affinity_chooser.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/affinity_chooser.hpp
@@ -1,5 +1,6 @@
-// Selects an endpoint by prompt-prefix affinity with bounded load, otherwise by
-// the power of two choices. Endpoints of the local failure domain come first.
+// Selects an endpoint by affinity to a prompt prefix with bounded load,
+// otherwise by the power of two choices. Endpoints of the local failure domain
+// come first.
 #pragma once
 
 #include <cstdint>
@@ -39,8 +40,8 @@
   double spillover_load_ = 1.0;
 };
 
-/// @brief Chooses by prefix affinity and load. EndpointTable::Choose chooses by
-/// predicted cost instead.
+/// @brief Chooses by prefix affinity and load. The direct path uses
+/// EndpointTable::Choose instead, which chooses by predicted cost.
 class AffinityChooser {
  public:
   AffinityChooser(core::FailureDomainId local_domain,
--- a/packages/chalkwell/src/chalkwell/routing/crash_detector.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/crash_detector.cpp
@@ -1,4 +1,4 @@
-// One loss per endpoint incarnation: a crash breaks all attempts there.
+// One record per endpoint incarnation, since a crash breaks all attempts there.
 #include "chalkwell/routing/crash_detector.hpp"
 
 #include <algorithm>
@@ -15,16 +15,18 @@
 
 }  // namespace
 
-CrashDetector::Loss* CrashDetector::Find(const EndpointIncarnation& endpoint) {
-  const auto found = std::ranges::find_if(losses_, [&](const Loss& loss) {
-    return MayBeSameIncarnation(loss.crash_.endpoint_, endpoint);
+CrashDetector::Record* CrashDetector::Find(
+    const EndpointIncarnation& endpoint) {
+  const auto found = std::ranges::find_if(records_, [&](const Record& record) {
+    return MayBeSameIncarnation(record.crash_.endpoint_, endpoint);
   });
-  return found == losses_.end() ? nullptr : &*found;
+  return found == records_.end() ? nullptr : &*found;
 }
 
 void CrashDetector::Expire(core::TimePoint now) {
-  std::erase_if(losses_, [&](const Loss& loss) {
-    return now - loss.crash_.first_loss_at_ >= settings_.confirmation_timeout_;
+  std::erase_if(records_, [&](const Record& record) {
+    return now - record.crash_.first_loss_at_ >=
+           settings_.confirmation_timeout_;
   });
 }
 
@@ -33,66 +35,66 @@
                                  const std::string& address,
                                  core::TimePoint now) {
   Expire(now);
-  auto* loss = Find(endpoint);
-  if (loss != nullptr && loss->state_ == State::kCrashed) {
+  auto* record = Find(endpoint);
+  if (record != nullptr && record->state_ == State::kCrashed) {
     return LossAction::kCrashed;
   }
-  if (loss != nullptr && loss->state_ == State::kInconclusive) {
+  if (record != nullptr && record->state_ == State::kInconclusive) {
     // A later crash can't be the cause of the earlier losses.
-    loss->crash_ = {endpoint, address, now, {attempt}};
-    loss->state_ = State::kProbing;
+    record->crash_ = {endpoint, address, now, {attempt}};
+    record->state_ = State::kProbing;
     return LossAction::kProbe;
   }
-  if (loss != nullptr) {
-    auto& attempts = loss->crash_.attempts_;
+  if (record != nullptr) {
+    auto& attempts = record->crash_.attempts_;
     if (!Contains(attempts, attempt.request_) &&
         attempts.size() < settings_.max_requests_) {
       attempts.push_back(attempt);
     }
     return LossAction::kWait;
   }
-  losses_.push_back({.crash_ = {endpoint, address, now, {attempt}},
-                     .state_ = State::kProbing});
-  if (losses_.size() > settings_.max_endpoints_) {
-    losses_.pop_front();
+  records_.push_back({.crash_ = {endpoint, address, now, {attempt}},
+                      .state_ = State::kProbing});
+  if (records_.size() > settings_.max_endpoints_) {
+    records_.pop_front();
   }
   return LossAction::kProbe;
 }
 
 SuspectedCrash CrashDetector::OnCrashed(const EndpointIncarnation& endpoint) {
-  auto* loss = Find(endpoint);
-  if (loss == nullptr || loss->state_ == State::kCrashed) {
+  auto* record = Find(endpoint);
+  if (record == nullptr || record->state_ == State::kCrashed) {
     return {.endpoint_ = endpoint,
             .address_ = "",
             .first_loss_at_ = {},
             .attempts_ = {}};
   }
-  loss->state_ = State::kCrashed;
-  return loss->crash_;
+  record->state_ = State::kCrashed;
+  return record->crash_;
 }
 
 void CrashDetector::OnInconclusive(const EndpointIncarnation& endpoint) {
-  auto* loss = Find(endpoint);
-  if (loss != nullptr && loss->state_ == State::kProbing) {
-    loss->state_ = State::kInconclusive;
+  auto* record = Find(endpoint);
+  if (record != nullptr && record->state_ == State::kProbing) {
+    record->state_ = State::kInconclusive;
   }
 }
 
 std::vector<SuspectedCrash> CrashDetector::Unconfirmed(core::TimePoint now) {
   Expire(now);
   std::vector<SuspectedCrash> waiting;
-  for (const auto& loss : losses_) {
-    if (loss.state_ == State::kInconclusive) {
-      waiting.push_back(loss.crash_);
+  for (const auto& record : records_) {
+    if (record.state_ == State::kInconclusive) {
+      waiting.push_back(record.crash_);
     }
   }
   return waiting;
 }
 
 bool CrashDetector::ProbePending(const RequestDigest& request) const {
-  return std::ranges::any_of(losses_, [&](const Loss& loss) {
-    return loss.state_ == State::kProbing &&
-           Contains(loss.crash_.attempts_, request);
+  return std::ranges::any_of(records_, [&](const Record& record) {
+    return record.state_ == State::kProbing &&
+           Contains(record.crash_.attempts_, request);
   });
 }
 
--- a/packages/chalkwell/src/chalkwell/routing/crash_detector.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/crash_detector.hpp
@@ -21,7 +21,8 @@
   kProbe,
   /// A probe of the endpoint is in flight: wait for its result.
   kWait,
-  /// The endpoint is known to have crashed.
+  /// The endpoint is known to have crashed: attribute the crash to the request
+  /// without a probe.
   kCrashed,
 };
 
@@ -45,8 +46,9 @@
 
 /// @brief Settings of CrashDetector.
 struct CrashDetectorSettings {
-  /// How long a loss waits for confirmation: a restarted endpoint is in the
-  /// published list with its new incarnation within a few seconds.
+  /// How long a record is kept after its first loss, whether the crash is
+  /// confirmed or not. A restarted endpoint is in the published list with its
+  /// new incarnation within a few seconds.
   core::Duration confirmation_timeout_ = std::chrono::seconds(10);
   /// Endpoint incarnations held, crashed or suspected; the first added is
   /// evicted.
@@ -81,18 +83,18 @@
 
  private:
   enum class State : std::uint8_t { kProbing, kInconclusive, kCrashed };
-  struct Loss {
+  struct Record {
     SuspectedCrash crash_;
     State state_ = State::kProbing;
   };
 
-  [[nodiscard]] Loss* Find(const EndpointIncarnation& endpoint);
+  [[nodiscard]] Record* Find(const EndpointIncarnation& endpoint);
   void Expire(core::TimePoint now);
 
   CrashDetectorSettings settings_;
-  /// In order of insertion; a later loss after an inconclusive probe keeps its
-  /// position.
-  std::deque<Loss> losses_;
+  /// In order of insertion. A record that is restarted after an inconclusive
+  /// probe keeps its position.
+  std::deque<Record> records_;
 };
 
 }  // namespace chalkwell::routing
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_subset.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_subset.hpp
@@ -16,17 +16,18 @@
 
 /// @brief Size limits of a subset.
 struct EndpointSubsetSettings {
-  /// Places reserved for serving endpoints of the local failure domain, which
-  /// also fill those that remote ones leave free. The least loaded of ten, by
-  /// recent reports, is hardly worse than the least loaded of all.
+  /// Places of `max_serving_` reserved for serving endpoints of the local
+  /// failure domain. Local ones also take places that remote ones leave free.
+  /// The least loaded of ten, by recent reports, is hardly worse than the least
+  /// loaded of all.
   std::size_t reserved_local_ = 10;
   /// Serving endpoints of all failure domains. Remote ones fill the places that
   /// local ones do not need and take the load when the local domain loses its
   /// endpoints.
   std::size_t max_serving_ = 16;
   /// Local endpoints that hold no weights yet, in addition, so that the entry
-  /// knows at once when they become able to serve. Remote ones are used only
-  /// while the subset is smaller than `max_serving_`.
+  /// knows at once when they become able to serve. Remote endpoints without
+  /// weights are added only while the subset is smaller than `max_serving_`.
   std::size_t max_warming_ = 6;
 };
 
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_table.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_table.hpp
@@ -22,7 +22,8 @@
 
 namespace chalkwell::routing {
 
-/// @brief One row of the published list of endpoints.
+/// @brief One row of the published list of endpoints. Each row has a lease in
+/// the configuration store.
 struct EndpointRow {
   /// Id of the endpoint, which may restart under the same id.
   core::InstanceId id_;
@@ -95,12 +96,12 @@
   /// suspended or be behind a degraded link.
   core::Duration unreported_cost_ = std::chrono::milliseconds(200);
   /// An endpoint that sent nothing for this long, while others did, is
-  /// considered suspended or partitioned and expected to remain so for the same
-  /// time again. Agents report at least every 500 ms. Without this rule, an
-  /// engine on a suspended machine appears to become idle.
+  /// considered suspended or partitioned and expected to remain so for as long
+  /// again as it has been silent. Agents report at least every 500 ms. Without
+  /// this rule, an engine on a suspended machine appears to become idle.
   core::Duration unresponsive_after_ = std::chrono::milliseconds(700);
-  /// Minimum time until a request starts that is assumed in the check of the
-  /// version constraint if the request is late or the last report is older than
+  /// The check of the version constraint assumes that a request starts no
+  /// sooner than this if it is late or the last report is older than
   /// `max_link_report_age_`: the link may delay it by more than a second.
   core::Duration unreported_delay_ = std::chrono::milliseconds(2500);
   /// An older last report may be due to a degraded link: agents report at least
@@ -156,7 +157,8 @@
   /// Profile of the engines; null for a plain service, which has no weights.
   const config::EngineProfile* engine_ = nullptr;
   double prompt_tokens_ = 0;
-  /// False for late requests, which engines serve after those on time.
+  /// False for late requests (see stream_admission.hpp), which engines serve
+  /// after those on time.
   bool on_time_ = true;
   /// Version of the weights that must generate the response; none for any.
   std::optional<std::uint64_t> weights_version_;
--- a/packages/chalkwell/src/chalkwell/routing/execution_ticket.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/execution_ticket.hpp
@@ -15,8 +15,8 @@
 /// @brief Permission for one execution.
 struct ExecutionTicket {
   core::InstanceId endpoint_;
-  /// Identifies the agent's incarnation; a later one refuses all tickets of
-  /// earlier ones.
+  /// Number of the agent's incarnation, see ExecutionGuard; a later one refuses
+  /// all tickets of earlier ones.
   std::uint64_t incarnation_ = 0;
   /// Number that the agent assigned to the connection of the issuing entry.
   std::uint64_t issuer_ = 0;
@@ -29,7 +29,8 @@
                           const ExecutionTicket&) = default;
 };
 
-/// @brief Formats the ticket as in the `Idempotency-Key` header.
+/// @brief Formats the ticket as in the `Idempotency-Key` header, with which a
+/// caller may supply the ticket of an earlier request.
 [[nodiscard]] std::string ToString(const ExecutionTicket& ticket);
 /// @return none if the text is not a ticket.
 [[nodiscard]] std::optional<ExecutionTicket> ParseTicket(std::string_view text);
--- a/packages/chalkwell/src/chalkwell/routing/fair_queue.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/fair_queue.cpp
@@ -1,4 +1,5 @@
-// Start-time fair queueing; the rate of releases bounds the queues.
+// Start-time fair queueing. A request is refused if its wait, estimated from
+// the rate of releases, would make it miss its deadline.
 #include "chalkwell/routing/fair_queue.hpp"
 
 #include <algorithm>
@@ -8,11 +9,10 @@
 
 /// The newest release interval has a weight of 1/8 in the smoothed one.
 constexpr int kSmoothing = 8;
-/// Divisors of the steps of the quantile estimate: a sample above it raises it
-/// nine times as much as one below it lowers it, so that it converges to the
-/// 90th percentile.
-constexpr int kServiceTimeRise = 18;
-constexpr int kServiceTimeFall = 162;
+/// A sample above the quantile estimate raises it by 1/18, one below lowers it
+/// by 1/162. The ratio of nine makes it converge to the 90th percentile.
+constexpr int kServiceTimeRiseDivisor = 18;
+constexpr int kServiceTimeFallDivisor = 162;
 
 }  // namespace
 
@@ -30,7 +30,8 @@
       std::ranges::count_if(accounts_, [&](const auto& entry) {
         return !entry.second.queue_.empty() && entry.first != account;
       }));
-  // Each other account with a queue starts one request per request of this one.
+  // Ignores weights: assumes that each other account with a queue starts one
+  // request per request of this one.
   return release_interval_ *
          static_cast<int>((queued + 1) * (other_accounts + 1));
 }
@@ -119,9 +120,9 @@
   if (service_time_p90_ == core::Duration{}) {
     service_time_p90_ = service_time;
   } else if (service_time > service_time_p90_) {
-    service_time_p90_ += service_time_p90_ / kServiceTimeRise;
+    service_time_p90_ += service_time_p90_ / kServiceTimeRiseDivisor;
   } else {
-    service_time_p90_ -= service_time_p90_ / kServiceTimeFall;
+    service_time_p90_ -= service_time_p90_ / kServiceTimeFallDivisor;
   }
 }
 
--- a/packages/chalkwell/src/chalkwell/routing/first_byte_timeout.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/first_byte_timeout.cpp
@@ -9,9 +9,10 @@
 
 using std::chrono::milliseconds;
 
-/// The timeout as a multiple of the target and its minimum, so that a busy
-/// endpoint is not abandoned.
+/// The timeout as a multiple of the target latency. This and the minimum keep
+/// attempts at a busy endpoint from being abandoned.
 constexpr int kTargetMultiple = 3;
+/// Minimum of the timeout.
 constexpr auto kMinTimeout = milliseconds(1200);
 /// The timeout as a multiple of the predicted time to first byte.
 constexpr int kPredictionMultiple = 2;
@@ -22,9 +23,10 @@
 /// disconnected, and the attempt at a second endpoint needs time, too.
 constexpr auto kUnresponsiveTimeout = milliseconds(500);
 /// An attempt on an older version of the weights is abandoned when it has no
-/// first byte this long after the time from which it is no longer chosen. That
-/// has to be well before the version bound, since an endpoint may go on
-/// processing a prompt after its connection was closed and begin to respond.
+/// first byte this long after `next_min_at_`, from which that version is no
+/// longer chosen. That has to be well before the version bound, since an
+/// endpoint may go on processing a prompt after its connection was closed and
+/// begin to respond.
 constexpr auto kOlderVersionGrace = milliseconds(800);
 
 }  // namespace
--- a/packages/chalkwell/src/chalkwell/routing/list_history.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/list_history.cpp
@@ -30,12 +30,12 @@
                                        bool complete, core::TimePoint now) {
   if (now - last_read_ > kMaxReadGap) {
     reads_.assign(1, Read{});
-    consecutive_complete_ = 0;
+    consecutive_complete_reads_ = 0;
   }
   last_read_ = now;
   reads_.push_back({revision, std::move(rows)});
-  consecutive_complete_ = complete ? consecutive_complete_ + 1 : 0;
-  if (consecutive_complete_ > kSpan) {
+  consecutive_complete_reads_ = complete ? consecutive_complete_reads_ + 1 : 0;
+  if (consecutive_complete_reads_ > kSpan) {
     reads_.erase(reads_.begin(), reads_.end() - kSpan - 1);
   } else if (reads_.size() > kMaxReads) {
     reads_.erase(reads_.begin() + 1);
--- a/packages/chalkwell/src/chalkwell/routing/list_history.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/list_history.hpp
@@ -25,8 +25,8 @@
   /// @param complete false if leases may have lapsed during an outage of the
   /// configuration store.
   /// @return the change to publish; the full list if the last read was longer
-  /// ago than kMaxReadGap, since others may meanwhile have published rows that
-  /// this process never saw.
+  /// ago than kMaxReadGap (1.5 s), since others may meanwhile have published
+  /// rows that this process never saw.
   EndpointListChange OnRead(std::uint64_t revision,
                             std::vector<EndpointRow> rows, bool complete,
                             core::TimePoint now);
@@ -42,7 +42,9 @@
   /// Oldest first; a change spans all of them. Starts with an empty read at
   /// revision 0.
   std::deque<Read> reads_{Read{}};
-  std::ptrdiff_t consecutive_complete_ = 0;
+  /// Complete reads since the last incomplete one or the last gap; compared
+  /// with a signed span.
+  std::ptrdiff_t consecutive_complete_reads_ = 0;
   core::TimePoint last_read_;
 };
 
--- a/packages/chalkwell/src/chalkwell/routing/request_age_estimator.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_age_estimator.hpp
@@ -16,13 +16,16 @@
 
 /// @brief Learns the time to the deadline of first attempts, by route.
 ///
-/// If callers set one fixed timeout, first attempts have equal times to the
-/// deadline, and retries have shorter, differing ones: a frequent value is that
-/// of first attempts. If timeouts vary within a range, retries fall into
-/// sparser bins of the histogram below the range. Their age is then known only
-/// up to the width of the range, and the lower bound is returned. While few
-/// requests were seen, the age is measured from the next longer frequent value,
-/// or else from the longest.
+/// The age is the usual time to the deadline of first attempts minus the time
+/// left. That usual time is found as follows:
+/// - If callers set one fixed timeout, first attempts have equal times to the
+///   deadline, and retries have shorter, differing ones: a frequent value is
+///   that of first attempts. The next longer frequent value is used.
+/// - If timeouts vary within a range, a histogram of the times is used: retries
+///   fall into sparser bins below the range. Their age is known only up to the
+///   width of the range, and its lower bound is returned.
+/// - While few requests were seen, the next longer frequent value is used, or
+///   else the longest.
 class RequestAgeEstimator {
  public:
   /// @brief Adds a request and returns its estimated age; zero for a first
--- a/packages/chalkwell/src/chalkwell/routing/request_quarantine.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_quarantine.cpp
@@ -207,7 +207,8 @@
   return attribution.count_;
 }
 
-core::Duration RequestQuarantine::DurationAfter(std::size_t crashes) const {
+core::Duration RequestQuarantine::QuarantineDuration(
+    std::size_t crashes) const {
   auto duration = settings_.initial_quarantine_;
   for (auto n = settings_.quarantined_crashes_; n < crashes; ++n) {
     duration = std::min(2 * duration, settings_.max_quarantine_);
@@ -221,8 +222,9 @@
   const bool quarantined =
       attribution.count_ >= settings_.quarantined_crashes_ &&
       attribution.last_ - attribution.first_ >= settings_.same_cause_window_;
-  return quarantined ? attribution.last_ + DurationAfter(attribution.count_)
-                     : core::TimePoint{};
+  return quarantined
+             ? attribution.last_ + QuarantineDuration(attribution.count_)
+             : core::TimePoint{};
 }
 
 Standing RequestQuarantine::StandingOf(const RequestDigest& request,
--- a/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
@@ -45,7 +45,7 @@
 /// @brief How entries treat a request.
 enum class Standing : std::uint8_t {
   kClear,
-  /// Runs one at a time and is not retried by the entry.
+  /// Runs one at a time (each run is a trial) and is not retried by the entry.
   kSuspected,
   /// Refused.
   kQuarantined,
@@ -62,8 +62,8 @@
   /// A crash within this time of the last counted one is not counted, unless
   /// the request was sent after that one and ran for `min_run_time_`: endpoints
   /// that fail together have a common cause, and a frequent request is in
-  /// flight at many of them. It is also the minimum time from the first to the
-  /// last crash of a quarantined request.
+  /// flight at many of them. A request is also quarantined only if its first
+  /// and last counted crash are at least this far apart.
   core::Duration same_cause_window_ = std::chrono::milliseconds(250);
   /// Within `same_cause_window_`, minimum time from sending a request to a
   /// crash that it can cause: it has to arrive, be parsed and be started.
@@ -178,7 +178,7 @@
   void CountIfIndependent(Attribution& attribution,
                           const EndpointCrash& crash) const;
   [[nodiscard]] Attribution AttributionOf(const RequestDigest& request) const;
-  [[nodiscard]] core::Duration DurationAfter(std::size_t crashes) const;
+  [[nodiscard]] core::Duration QuarantineDuration(std::size_t crashes) const;
 
   QuarantineSettings settings_;
   std::map<RequestDigest, Row> table_;
--- a/packages/chalkwell/src/chalkwell/routing/request_tracker.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_tracker.hpp
@@ -38,7 +38,8 @@
   kRefusedNotRun,
   /// The backend executed it and failed, or responded with other weights.
   kFailedRan,
-  /// The stream ended without a reply: it may have been executed.
+  /// It ended without a complete response from the endpoint: it may have been
+  /// executed.
   kLost,
   /// The response is complete.
   kComplete,
@@ -81,13 +82,17 @@
 /// @brief Injected faults, by which tests verify that their checks detect them.
 struct RequestFaults {
   bool retry_after_send_ = false;
+  /// Forwards responses of attempts that have ended, too.
   bool forward_superseded_responses_ = false;
   bool report_lost_as_not_run_ = false;
   bool resume_from_start_ = false;
   bool resume_on_other_weights_ = false;
   bool complete_on_loss_ = false;
+  /// Only the last attempt counts as having run or possibly run.
   bool ignore_earlier_attempts_ = false;
+  /// Responses that use other weights are forwarded.
   bool ignore_other_weights_ = false;
+  /// Ignores RequestTraits::may_have_run_before_ at the start.
   bool ignore_earlier_requests_ = false;
 };
 
--- a/packages/chalkwell/src/chalkwell/routing/stream_admission.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/stream_admission.hpp
@@ -4,8 +4,8 @@
 // together exceed the capacity of the engines. Served in order of arrival, all
 // of them would miss their target latency. A stream is on time, and goes first,
 // if less than its target latency has passed since the caller's first attempt
-// and its first event is predicted within a fixed fraction of the target from
-// now. The others are late and get the slots that are left.
+// and the predicted time from now to its first event is within a fixed fraction
+// of the target. The others are late and get the slots that are left.
 #pragma once
 
 #include <cstdint>
@@ -51,8 +51,9 @@
 
 /// @brief Whether a stream that can be on time is admitted ahead of late ones.
 /// @param first_event predicted time to the first event.
-/// @param extra_prefill prefill time beyond that of a prompt of mean length,
-/// which does not count: large requests are not refused for their size.
+/// @param extra_prefill part of `first_event` that is not counted: the prefill
+/// time beyond that of a prompt of mean length, since large requests are not
+/// refused for their size.
 [[nodiscard]] bool AdmitsOnTime(const StreamRequest& request,
                                 core::Duration first_event,
                                 core::Duration extra_prefill);
@@ -66,6 +67,7 @@
 /// @brief Scheduling priority at the engine; 0 is the most urgent. It is
 /// `priority` if the stream is on time, and less urgent if it is late.
 /// @param priority priority of the route or account, if any.
+/// @return none if the stream is on time and `priority` is none.
 [[nodiscard]] std::optional<std::uint32_t> EnginePriority(
     std::optional<std::uint32_t> priority, bool on_time);
 
