--- a/packages/daemon/src/daemon/direct/quarantine_manager.cpp
+++ b/packages/daemon/src/daemon/direct/quarantine_manager.cpp
@@ -81,7 +81,7 @@
     return std::nullopt;
   }
   const auto crashes = std::to_string(quarantine_.AttributedCrashes(request)) +
-                       " endpoint crashes attributed to the request";
+                       " endpoints crashed under it";
   if (standing == Standing::kQuarantined) {
     const auto left = quarantine_.QuarantinedUntil(request) - now;
     return QuarantineRefusal{"quarantined: " + crashes, left};
