--- a/tests/platform/foreign_rows_test.cpp
+++ b/tests/platform/foreign_rows_test.cpp
@@ -14,9 +14,9 @@
 namespace chalkwell::platform_tests {
 namespace {
 
-using daemon::direct::Published;
 using daemon::direct::ReadOutcome;
 using daemon::direct::Section;
+using daemon::direct::StoreSnapshot;
 using nlohmann::json;
 using namespace std::chrono_literals;
 
@@ -56,7 +56,7 @@
   return {{"tlsKey", key}, {"value", value}, {"rev", 5}, {"createdAt", 5}};
 }
 
-Published Decode(const json& items) {
+StoreSnapshot Decode(const json& items) {
   daemon::Loop loop;
   daemon::HttpClient http(loop, 1s);
   const auto store = platform::MakeStoreClient(http, {"127.0.0.1", 1});
