--- a/packages/chalkwell/src/chalkwell/bundle/signature.hpp
+++ b/packages/chalkwell/src/chalkwell/bundle/signature.hpp
@@ -39,8 +39,8 @@
   /// 32 bytes; for tests and demos only.
   [[nodiscard]] static KeyPair FromSeed(std::string_view seed);
   [[nodiscard]] std::string SecretToHex() const;
-  /// @return std::nullopt unless the text is 128 hexadecimal digits; otherwise
-  /// the secret is not checked.
+  /// @return std::nullopt unless the text is 128 hexadecimal digits. Whether
+  /// they are a valid secret key is not checked.
   [[nodiscard]] static std::optional<KeyPair> FromSecretHex(
       std::string_view text);
 };
--- a/packages/chalkwell/src/chalkwell/config/accepted_documents.hpp
+++ b/packages/chalkwell/src/chalkwell/config/accepted_documents.hpp
@@ -65,7 +65,8 @@
   /// Different content of the accepted version; lost the tie-break.
   kConflict,
   kMalformed,
-  /// Signed with a key that is not trusted.
+  /// Signed with a signing key that is not trusted; an unknown document key is
+  /// kMalformed.
   kUnknownKey,
   kWrongSignature,
 };
--- a/packages/chalkwell/src/chalkwell/config/published_lists.hpp
+++ b/packages/chalkwell/src/chalkwell/config/published_lists.hpp
@@ -1,6 +1,6 @@
 // Published lists of instances, client accounts and routes, and their parsers.
-// The direct path (daemon/direct) uses TrafficRules and an endpoint list
-// instead.
+// The direct path (daemon/direct), on which entries send requests straight to
+// the endpoints, uses TrafficRules and an endpoint list instead.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,8 @@
 
 namespace chalkwell::config {
 
-/// @brief Kind of process that an instance runs.
+/// @brief Kind of process that an instance runs. An entry accepts requests of
+/// callers and forwards them to endpoints.
 enum class InstanceKind : std::uint8_t { kEntry, kEndpoint };
 /// @brief Kind of backend to which an endpoint forwards requests.
 enum class BackendKind : std::uint8_t { kEngine, kService };
@@ -28,7 +29,7 @@
   core::Role role_;
   /// Endpoints only.
   BackendKind backend_ = BackendKind::kEngine;
-  /// Address of the peer listener, "ip:port".
+  /// Address of the own listener for peers, "ip:port".
   std::string peer_;
   /// The instance is draining: the platform is about to terminate it.
   bool leaving_ = false;
--- a/packages/chalkwell/src/chalkwell/config/traffic_rules.hpp
+++ b/packages/chalkwell/src/chalkwell/config/traffic_rules.hpp
@@ -1,5 +1,6 @@
 // Traffic rules that operators publish (routes, services, client accounts and
-// limits) and the lookups that each request needs.
+// limits) and the lookups that each request needs. Used on the direct path
+// (daemon/direct); other deployments use published_lists.hpp.
 #pragma once
 
 #include <cstdint>
@@ -103,6 +104,7 @@
   std::optional<EngineProfile> engine_;
   /// Set for origins of weights only: "ip:port".
   std::string origin_;
+  /// Empty if not published.
   core::FailureDomainId domain_;
 };
 
@@ -118,7 +120,8 @@
 struct CallerLimits {
   std::size_t header_bytes_ = std::size_t{16} << 10;
   std::size_t body_bytes_ = std::size_t{1} << 20;
-  /// From the first byte of a request to the end of its body.
+  /// Time limit from the first byte of a request to the end of its body, not
+  /// only of its header.
   core::Duration header_time_ = std::chrono::seconds(5);
   /// A connection without a request for this long is closed.
   core::Duration idle_time_ = std::chrono::seconds(30);
--- a/packages/chalkwell/src/chalkwell/core/identifier.hpp
+++ b/packages/chalkwell/src/chalkwell/core/identifier.hpp
@@ -36,7 +36,8 @@
 using InstanceId = Identifier<InstanceTag>;
 using FailureDomainId = Identifier<FailureDomainTag>;
 using ClientAccountId = Identifier<ClientAccountTag>;
-/// @brief Kind of work of an endpoint, to which routes and bundles refer.
+/// @brief Kind of work of an endpoint, to which routes and bundles refer; not a
+/// membership role such as watcher or reader.
 using Role = Identifier<RoleTag>;
 
 }  // namespace chalkwell::core
--- a/packages/chalkwell/src/chalkwell/membership/gossip_table.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/gossip_table.hpp
@@ -18,7 +18,7 @@
 
 namespace chalkwell::membership {
 
-/// @brief Kind of process.
+/// @brief Kind of process: an entry, or the agent process of an endpoint.
 enum class MemberKind : std::uint8_t { kEntry, kAgent };
 
 /// @brief One incarnation of a process.
@@ -47,9 +47,10 @@
   /// How long a lost row is kept as a tombstone, so that a delayed copy does
   /// not restore it; counted from its last heartbeat.
   core::Duration tombstone_retention_ = std::chrono::seconds(60);
-  /// Rows kept of each remote failure domain: those with the lowest ranks among
-  /// the received ones. The first two are the delegates of that domain; the
-  /// others replace them once they are lost, which takes a lease to detect.
+  /// Rows kept of each remote failure domain: of the received ones, those that
+  /// come first in the priority order of the watcher role. The first two are
+  /// the delegates of that domain; the others replace them once they are lost,
+  /// which takes a lease to detect.
   std::size_t remote_rows_per_domain_ = 3;
 };
 
@@ -97,9 +98,9 @@
   /// failure domains.
   [[nodiscard]] bool IsDelegate() const;
   /// @brief The own row and at most `limit` others, those sent least often
-  /// first. For a receiver in a remote failure domain, rows of its domain
-  /// precede all others, and of the local domain only those with the lowest
-  /// ranks are included.
+  /// first. A receiver in a remote failure domain gets the rows of its own
+  /// domain first. Of the local domain it gets only the rows that it would
+  /// keep.
   /// @param domain failure domain of the receiver.
   [[nodiscard]] std::vector<Member> Sample(std::size_t limit,
                                            const core::FailureDomainId& domain);
--- a/packages/chalkwell/src/chalkwell/membership/reader_role.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/reader_role.cpp
@@ -26,36 +26,36 @@
 
 void ReaderRole::OnRead(core::TimePoint now) noexcept {
   attempted_at_ = now;
-  if (!peer_read_at_) {
+  if (!last_known_read_) {
     // Every member reads once at its start; from then on the others wait for
     // the announcements of the first in rank.
-    peer_read_at_ = now;
+    last_known_read_ = now;
     discovery_until_ = now + settings_.takeover_timeout_;
   }
 }
 
 void ReaderRole::OnPeerReadFailed(core::TimePoint now) noexcept {
   peer_failed_at_ = now;
-  if (!peer_read_at_) {
-    peer_read_at_ = now;
+  if (!last_known_read_) {
+    last_known_read_ = now;
   }
 }
 
 bool ReaderRole::IsReader(core::TimePoint now) const noexcept {
-  if (rank_ == 0 || !peer_read_at_) {
+  if (rank_ == 0 || !last_known_read_) {
     return !alone_ || now >= discovery_until_.value_or(now);
   }
   const auto standbys_ahead = static_cast<int>(rank_ - 1);
   const auto announced_at =
-      std::max(*peer_read_at_, peer_failed_at_.value_or(*peer_read_at_));
+      std::max(*last_known_read_, peer_failed_at_.value_or(*last_known_read_));
   const bool no_announcement =
       now - announced_at >=
       settings_.takeover_timeout_ + settings_.rank_delay_ * standbys_ahead;
   const bool peers_fail =
-      now - *peer_read_at_ >=
+      now - *last_known_read_ >=
       settings_.takeover_timeout_ +
           settings_.failed_read_rank_delay_ * standbys_ahead;
-  return no_announcement || peers_fail || IsStale(*peer_read_at_, now);
+  return no_announcement || peers_fail || IsStale(*last_known_read_, now);
 }
 
 bool ReaderRole::IsStale(core::TimePoint as_of,
@@ -69,13 +69,14 @@
   if (!IsReader(now)) {
     return settings_.standby_interval_;
   }
-  if (!peer_read_at_ || !attempted_at_ || *peer_read_at_ <= *attempted_at_) {
+  if (!last_known_read_ || !attempted_at_ ||
+      *last_known_read_ <= *attempted_at_) {
     return settings_.reader_interval_;
   }
   // A read announced by the reader of another domain replaces the own one.
   const auto delay = settings_.reader_interval_ +
                      settings_.rank_delay_ * static_cast<int>(domains_ahead_);
-  return std::min(*peer_read_at_ - *attempted_at_ + delay,
+  return std::min(*last_known_read_ - *attempted_at_ + delay,
                   settings_.standby_interval_);
 }
 
--- a/packages/chalkwell/src/chalkwell/membership/reader_role.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/reader_role.hpp
@@ -1,8 +1,11 @@
 // Decides how often a process reads a published list itself from the
-// configuration store. One designated reader reads it for all and announces
-// each read. The first member in rank of each failure domain stands by, in a
-// fixed order of the domains, and members that receive announcements postpone
-// their own reads. The load on the store does not grow with the deployment.
+// configuration store. The first member in the priority order of each failure
+// domain is the reader of the domain. The reader of the first domain reads the
+// list for all and announces each read. The readers of the other domains
+// postpone their reads while they receive announcements, and so do all other
+// members. The load on the store does not grow with the deployment. Used for
+// the endpoint list, which is polled; for the traffic rules, which are watched,
+// see WatcherRole.
 #pragma once
 
 #include <algorithm>
@@ -33,7 +36,7 @@
   /// unreachable for all, further readers only add failing calls: after 8 s
   /// some 7 members of a failure domain read, not all.
   core::Duration failed_read_rank_delay_ = std::chrono::milliseconds(1200);
-  /// A member for which the newest announced read is older reads the list
+  /// If the newest announced read is older than this, a member reads the list
   /// itself, whatever its rank, unless the store is known to be unreachable:
   /// the list shows which endpoints are draining.
   core::Duration max_age_ = std::chrono::milliseconds(1200);
@@ -60,14 +63,15 @@
   /// @param as_of when the store was queried; the announcement of an old read
   /// does not postpone the read of this member.
   void OnPeerRead(core::TimePoint as_of) noexcept {
-    peer_read_at_ = std::max(peer_read_at_.value_or(as_of), as_of);
+    last_known_read_ = std::max(last_known_read_.value_or(as_of), as_of);
   }
   /// @brief Another member of the local failure domain announced a failed read.
   void OnPeerReadFailed(core::TimePoint now) noexcept;
   /// @brief Whether this member reads for the others: it is the first in rank
-  /// or received no announced read yet (when it knows no other member, only
-  /// after the discovery time), or announcements have ceased, or the reads of
-  /// others keep failing, or the newest announced read is too old.
+  /// or knows of no read yet, or announcements have ceased, or the reads of
+  /// others keep failing, or the newest announced read is too old. A member
+  /// that knows no other one is no reader before `discovery_until_` in the
+  /// first two cases.
   [[nodiscard]] bool IsReader(core::TimePoint now) const noexcept;
   /// @brief Whether a snapshot is too old to be used and the store is not known
   /// to be unreachable.
@@ -92,9 +96,10 @@
   std::optional<core::TimePoint> attempted_at_;
   /// Last failed one.
   std::optional<core::TimePoint> failed_at_;
-  /// Time of the newest announced read, or of the first own read or announced
-  /// failure; never decreases.
-  std::optional<core::TimePoint> peer_read_at_;
+  /// Time of the newest announced read; never decreases. Until a read is
+  /// announced, the time of the first own read or announced failure, from which
+  /// the takeover timeout counts.
+  std::optional<core::TimePoint> last_known_read_;
   /// Last announced failure of a read.
   std::optional<core::TimePoint> peer_failed_at_;
 };
--- a/packages/chalkwell/src/chalkwell/membership/roster.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/roster.cpp
@@ -8,9 +8,9 @@
 namespace chalkwell::membership {
 namespace {
 
-/// The windows of all entries exceed the slots of an endpoint by a quarter; the
-/// excess requests wait at the endpoint.
-constexpr std::uint64_t kWindowPercent = 125;
+/// The requests that all entries may have in flight exceed the slots of an
+/// endpoint by a quarter; the excess requests wait at the endpoint.
+constexpr std::uint64_t kInFlightPercent = 125;
 /// Weight of the newest request in the smoothed failure rate.
 constexpr double kSmoothing = 0.125;
 
@@ -26,7 +26,7 @@
 
 bool Roster::MayTakeWork(const EndpointView& view, core::TimePoint now) const {
   const bool within_lease = view.connected_ && view.report_ &&
-                            now - view.last_received_ <= settings_.lease_;
+                            now - view.last_report_at_ <= settings_.lease_;
   const bool leaving =
       view.report_ && (view.report_->leaving_ || view.instance_.leaving_);
   if (leaving && !faults_.ignore_leaving_) {
@@ -86,7 +86,7 @@
     return 1;
   }
   const auto sharers = std::max<std::uint64_t>(1, view.report_->sharers_);
-  const auto numerator = view.report_->capacity_ * kWindowPercent;
+  const auto numerator = view.report_->capacity_ * kInFlightPercent;
   const auto denominator = 100 * sharers;
   return std::max<std::uint64_t>(1,
                                  (numerator + denominator - 1) / denominator);
@@ -135,7 +135,7 @@
   const auto found = endpoints_.find(id);
   if (found != endpoints_.end()) {
     found->second.connected_ = true;
-    found->second.last_received_ = now;
+    found->second.last_report_at_ = now;
     found->second.probed_at_.reset();
   }
 }
@@ -164,7 +164,7 @@
     view.ready_since_ = now;
   }
   view.report_ = report;
-  view.last_received_ = now;
+  view.last_report_at_ = now;
   return true;
 }
 
--- a/packages/chalkwell/src/chalkwell/membership/roster.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/roster.hpp
@@ -18,7 +18,7 @@
 /// @brief State that an agent reports on its stream.
 struct EndpointReport {
   /// Incarnation of the agent process; a report with a lower one than the last
-  /// comes from a replaced process.
+  /// comes from a replaced process. Unlike Member::incarnation_, it is ordered.
   std::uint64_t incarnation_ = 0;
   bool ready_ = false;
   bool leaving_ = false;
@@ -40,7 +40,7 @@
   std::optional<EndpointReport> report_;
   bool connected_ = false;
   /// When the last report arrived or the stream was opened.
-  core::TimePoint last_received_;
+  core::TimePoint last_report_at_;
   /// Time of the oldest probe since the last message from the endpoint.
   std::optional<core::TimePoint> probed_at_;
   /// When it last became ready, for slow start.
@@ -93,8 +93,9 @@
   ///
   /// Endpoints that leave a probe unanswered are included only if there is no
   /// other. Endpoints with a high failure rate are included only for a trial,
-  /// unless at least half of the endpoints have one: then the cause lies
-  /// elsewhere, and excluding them would shift the whole load to a few.
+  /// unless at least half of the endpoints have a high failure rate: then the
+  /// cause lies elsewhere, and excluding them would shift the whole load to a
+  /// few.
   [[nodiscard]] std::vector<const EndpointView*> Available(
       const core::Role& role, core::TimePoint now) const;
 
--- a/packages/chalkwell/src/chalkwell/membership/store_outage.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/store_outage.hpp
@@ -1,6 +1,7 @@
-// Detects outages of the configuration store that were long enough for leases
-// to expire because their holders could not renew them: a list read afterwards
-// lacks live endpoints. Isolated failures of calls let no lease expire.
+// Detects outages of the configuration store that were long enough for the
+// leases of endpoints in the store to expire because their holders could not
+// renew them: a list read afterwards lacks live endpoints. Isolated failures of
+// calls let no lease expire.
 #pragma once
 
 #include <optional>
--- a/packages/chalkwell/src/chalkwell/membership/watcher_role.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/watcher_role.hpp
@@ -2,7 +2,8 @@
 // domain, or one if the document exceeds half of `max_bytes_per_domain_`,
 // receive it from the configuration store and forward it. The machines of a
 // region share one link to the store. The load on the store grows with the
-// number of failure domains, not with that of members.
+// number of failure domains, not with that of members. Used for the traffic
+// rules; for the endpoint list, which is polled, see ReaderRole.
 #pragma once
 
 #include <cstddef>
@@ -27,7 +28,7 @@
   /// A first read that takes this long is taken for that of a large document; a
   /// small one completes within a round trip.
   core::Duration small_read_limit_ = std::chrono::milliseconds(150);
-  /// Time between two announcements of a watcher of a large document.
+  /// Time between two announcements of a watcher.
   core::Duration announce_interval_ = std::chrono::milliseconds(700);
   /// Without an announcement by a member ahead in rank for this long, a member
   /// watches too. A little more than two announcement intervals, since
@@ -63,10 +64,11 @@
       std::span<const core::InstanceId> members, std::size_t count);
 
   [[nodiscard]] bool IsWatcher(core::TimePoint now) const;
-  /// @brief Number of members that watch while all of them announce themselves.
+  /// @brief Number of watchers without takeovers: `max_watchers_`, or fewer for
+  /// a large document.
   [[nodiscard]] std::size_t WatcherCount(core::TimePoint now) const;
-  /// @brief Whether this member has to announce that it watches, because others
-  /// rely on it.
+  /// @brief Whether this member has to announce that it watches: it does, and
+  /// there are members that watch only when announcements cease.
   [[nodiscard]] bool MustAnnounce(core::TimePoint now) const;
 
  private:
--- a/packages/chalkwell/src/chalkwell/rollout/activation.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/activation.hpp
@@ -107,7 +107,8 @@
   bool keep_state_after_suspension_ = false;
   bool skip_claim_ = false;
   bool never_reclaim_ = false;
-  /// A fetch is not abandoned when the engine is lost or replaced.
+  /// A fetch is not abandoned when the engine is lost or another process claims
+  /// it, and the engine is not queried after staging.
   bool keep_staged_over_restart_ = false;
 };
 
@@ -123,9 +124,10 @@
 /// @brief State machine of one endpoint's weights.
 ///
 /// The engine arbitrates between the processes of one endpoint. A process
-/// claims the engine with a fencing number, forwards requests only within a
-/// lease after it read its own number back, and sends no activation order until
-/// the leases of all earlier processes have expired and the engine is idle.
+/// claims the engine with a fencing number, forwards requests only while the
+/// last query that returned its own number was sent less than one lease ago,
+/// and sends no activation order until the leases of all earlier processes have
+/// expired and the engine is idle.
 ///
 /// A higher fencing number may belong to a terminated process whose claim or
 /// order arrived late. The published list decides which process reclaims the
@@ -168,8 +170,8 @@
   /// @brief This process has no running requests at the engine. To be called
   /// repeatedly while draining: the order may have to wait.
   [[nodiscard]] Actions OnDrained(core::TimePoint now);
-  /// @brief The engine replied to a claim or order, with success or failure:
-  /// the engine's state, queried next, decides.
+  /// @brief The engine replied to a claim or an activation order, with success
+  /// or failure: the engine's state, queried next, decides.
   [[nodiscard]] Actions OnOrderAnswered(core::TimePoint now);
   /// @brief The process was suspended for longer than its lease.
   [[nodiscard]] Actions OnSuspension(core::TimePoint now);
--- a/packages/chalkwell/src/chalkwell/rollout/rollout_slots.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/rollout_slots.hpp
@@ -20,9 +20,9 @@
  public:
   /// @param max_unavailable_share share of the members that may be unavailable
   /// at once, 0 to 1.
-  /// @param progress_timeout time without a member newly serving the version
-  /// after which, each time, as many members again as `max_unavailable()` may
-  /// drain, although those ahead of them have not switched.
+  /// @param progress_timeout for each such time that passes without a further
+  /// member serving the version, `max_unavailable()` more members may drain,
+  /// although those ahead of them have not switched.
   RolloutSlots(core::InstanceId self, double max_unavailable_share,
                core::Duration progress_timeout);
 
--- a/packages/chalkwell/src/chalkwell/rollout/version_bound.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/version_bound.hpp
@@ -43,7 +43,7 @@
     core::TimePoint received_at_;
   };
 
-  /// In ascending order of version; at most kMaxVersions.
+  /// In ascending order of version; at most 64 (kMaxVersions).
   std::deque<PublishedVersion> published_;
 };
 
--- a/packages/chalkwell/src/chalkwell/swarm/manifest_search.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/manifest_search.cpp
@@ -15,8 +15,8 @@
 
 void ManifestSearch::Start(core::TimePoint now) {
   started_ = now;
-  asked_at_.reset();
-  asked_.clear();
+  last_request_at_.reset();
+  asked_peers_.clear();
 }
 
 const SwarmMember* ManifestSearch::BestHolder(
@@ -27,7 +27,7 @@
     const std::pair key(
         holder.domain_ == self_.domain_,
         core::RendezvousScore(self_.id_.value(), holder.id_.value()));
-    const bool asked = asked_.contains(holder.id_);
+    const bool asked = asked_peers_.contains(holder.id_);
     if (!asked && (best == nullptr || key > best_key)) {
       best = &holder;
       best_key = key;
@@ -39,26 +39,26 @@
 std::optional<ManifestSource> ManifestSearch::Next(
     std::span<const SwarmMember> holders,
     std::optional<std::size_t> origin_rank, core::TimePoint now) {
-  if (asked_at_ && now - *asked_at_ < settings_.hedge_delay_) {
+  if (last_request_at_ && now - *last_request_at_ < settings_.hedge_delay_) {
     return std::nullopt;
   }
   if (const auto* holder = BestHolder(holders)) {
-    asked_at_ = now;
-    asked_.insert(holder->id_);
+    last_request_at_ = now;
+    asked_peers_.insert(holder->id_);
     return ManifestSource{holder->id_};
   }
   const bool ask_origin =
       origin_rank && now - started_ >= settings_.origin_rank_delay_ *
                                            static_cast<int>(*origin_rank);
   if (ask_origin) {
-    asked_at_ = now;
-    asked_.clear();
+    last_request_at_ = now;
+    asked_peers_.clear();
     return ManifestSource{};
   }
   if (!holders.empty()) {
     // All holders were asked and the origin must not be: start over.
-    asked_at_ = now;
-    asked_.clear();
+    last_request_at_ = now;
+    asked_peers_.clear();
   }
   return std::nullopt;
 }
--- a/packages/chalkwell/src/chalkwell/swarm/manifest_search.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/manifest_search.hpp
@@ -50,7 +50,7 @@
       std::span<const SwarmMember> holders,
       std::optional<std::size_t> origin_rank, core::TimePoint now);
   /// @brief A request failed: the next source may be asked at once.
-  void OnRequestFailed() noexcept { asked_at_.reset(); }
+  void OnRequestFailed() noexcept { last_request_at_.reset(); }
 
  private:
   /// @brief The preferred holder among those not asked yet, or null.
@@ -61,9 +61,9 @@
   ManifestSearchSettings settings_;
   core::TimePoint started_;
   /// Time of the last request, unless it failed.
-  std::optional<core::TimePoint> asked_at_;
+  std::optional<core::TimePoint> last_request_at_;
   /// Peers asked since the last round over all sources ended.
-  std::set<core::InstanceId> asked_;
+  std::set<core::InstanceId> asked_peers_;
 };
 
 }  // namespace chalkwell::swarm
--- a/packages/chalkwell/src/chalkwell/swarm/origin_progress.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/origin_progress.hpp
@@ -10,7 +10,8 @@
 
 namespace chalkwell::swarm {
 
-/// @brief Number of chunks of one version that some member holds, over time.
+/// @brief Number of chunks of one version that some member holds, over time,
+/// wherever the member got it.
 class OriginProgress {
  public:
   /// @brief Starts a fetch and discards earlier samples.
--- a/packages/chalkwell/src/chalkwell/swarm/planner.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/planner.hpp
@@ -27,18 +27,19 @@
   std::size_t max_peer_requests_ = 8;
   /// Maximum number of outstanding requests to the origin.
   std::size_t max_origin_requests_ = 2;
-  /// Size of the origin window: the first chunks, by index, that no member is
-  /// known to hold, without those that as many later chunks have overtaken; the
-  /// overtaken ones may be fetched too. Only these may be fetched from the
-  /// origin, by all members together, because the members share the origin's
-  /// link and connections, and chunks that it has sent can spread while it
-  /// sends the next ones. 0 means no limit.
+  /// Size of the origin window: number of chunks that no member is known to
+  /// hold, counted from the lowest index, up to which chunks may be fetched
+  /// from the origin. A chunk is skipped, that is, not counted, once this many
+  /// later chunks became available; it may still be fetched. The window applies
+  /// to the fetches by all members together, because the members share the
+  /// origin's link and connections, and chunks that it has sent can spread
+  /// while it sends the next ones. 0 means no limit.
   std::size_t origin_window_ = 0;
-  /// A member fetches a chunk from the origin in place of the members ahead of
-  /// it in the priority order when for this time per member ahead no chunk
-  /// became available and no origin request of this member failed, or when one
-  /// origin window of later chunks per member ahead became available before the
-  /// chunk.
+  /// A member with n members ahead of it in the priority order of a chunk
+  /// fetches it from the origin in their place in two cases. Either no chunk
+  /// became available and no origin request of this member failed for n times
+  /// this long, or n times `origin_window_` later chunks became available
+  /// before the chunk.
   core::Duration origin_takeover_timeout_ = std::chrono::seconds(2);
   /// Timeout of a chunk request.
   core::Duration chunk_timeout_ = std::chrono::seconds(5);
@@ -50,8 +51,9 @@
   /// local domain. The next member takes over when no chunk became available in
   /// the domain for this long. Zero: every member may import at once.
   core::Duration import_takeover_timeout_{};
-  /// The next member also takes over when the chunk has been available for this
-  /// long: the first one may be lost while others make progress.
+  /// The next member also takes over when some member of the deployment has
+  /// held the chunk for this long: the first one may be lost while others make
+  /// progress.
   core::Duration import_max_wait_ = std::chrono::milliseconds(2500);
   core::Duration failure_backoff_ = std::chrono::seconds(2);
 };
@@ -60,11 +62,12 @@
 struct SwarmMember {
   core::InstanceId id_;
   core::FailureDomainId domain_;
-  /// Its link is degraded. The member comes last in the priority order, and
-  /// chunks that only such members hold are fetched from the origin by others,
-  /// and from such a member only after `origin_takeover_timeout_`: otherwise
-  /// chunks would saturate its link, its responses to requests would wait
-  /// behind them, and all members would wait for the chunks that it fetches.
+  /// Its link is degraded. The member comes last in the priority order. Chunks
+  /// that only degraded members hold are fetched from the origin by others.
+  /// They are fetched from a degraded member only after
+  /// `origin_takeover_timeout_`. Otherwise chunks would saturate its link, its
+  /// responses to requests would wait behind them, and all members would wait
+  /// for the chunks that it fetches.
   bool degraded_ = false;
 
   friend bool operator==(const SwarmMember&, const SwarmMember&) = default;
@@ -183,15 +186,15 @@
   /// @brief First member in the priority order of a chunk.
   [[nodiscard]] const core::InstanceId& FirstInOrder(std::size_t chunk) const;
   /// @brief Whether at least one origin window of later chunks per member ahead
-  /// became available before this one, and the first member in its priority
-  /// order has no earlier chunk to fetch: the members ahead are then presumed
-  /// lost.
+  /// became available before this one, and the chunk's first member has no
+  /// earlier chunk to fetch: the members ahead are then presumed lost. A member
+  /// that has earlier chunks to fetch is busy, not lost.
   /// @param ahead number of these members.
   [[nodiscard]] bool IsSkipped(std::size_t chunk, std::size_t ahead) const;
   /// @brief First chunk after the origin window.
   [[nodiscard]] std::size_t OriginWindowEnd() const;
-  /// @brief Counts a chunk that became available as skipping the earlier ones
-  /// in the origin window that are not available.
+  /// @brief Increments the skip count of each unavailable chunk before this one
+  /// in the origin window.
   void CountSkipped(std::size_t chunk);
   [[nodiscard]] std::size_t ImportRank(std::size_t chunk) const;
   void ClearRanks();
--- a/packages/emulator/src/emulator/engine.cpp
+++ b/packages/emulator/src/emulator/engine.cpp
@@ -56,7 +56,7 @@
 
 core::Duration Engine::RunPass(std::vector<std::uint64_t>& started,
                                std::vector<std::uint64_t>& finished) {
-  const double stride = profile_.steps_per_pass_;
+  const double tokens_per_pass = profile_.steps_per_pass_;
   double prefill_budget = kMaxPrefillTokens;
   double total_prefilled = 0;
   for (auto& running : running_) {
@@ -68,7 +68,7 @@
     if (running.remaining_prompt_ > 0) {
       continue;
     }
-    running.remaining_output_ -= stride;
+    running.remaining_output_ -= tokens_per_pass;
     if (!std::exchange(running.started_, true)) {
       started.push_back(running.request_.id_);
     }
--- a/packages/emulator/src/emulator/fleet.cpp
+++ b/packages/emulator/src/emulator/fleet.cpp
@@ -204,6 +204,8 @@
   auto& entry = entries_[call.entry_];
   const auto left = call.time_budget_ - (now_ - call.first_attempt_at_);
   routing::StreamRequest request{request_class.target_, {}};
+  // Entries do not see the first attempt; they estimate the age from the time
+  // budgets left of a route's requests.
   request.age_ = entry.request_age_.AddAndEstimate(request_class.route_, left);
   if (!spec_.on_time_first_) {
     request.age_ = {};
--- a/packages/emulator/src/emulator/fleet.hpp
+++ b/packages/emulator/src/emulator/fleet.hpp
@@ -78,7 +78,8 @@
   /// Delay before the retry of an attempt made during an outage.
   core::Duration reconnect_delay_ = std::chrono::seconds(1);
   std::uint64_t seed_ = 1;
-  /// Whether entries let late requests wait for those that are on time.
+  /// Whether entries let late requests wait for those that are on time, as
+  /// estimated at admission.
   bool on_time_first_ = true;
 };
 
@@ -93,12 +94,12 @@
   std::uint32_t failed_ = 0;
   /// Requests whose first attempt was refused.
   std::uint32_t first_attempts_refused_ = 0;
-  /// Late requests that were admitted as on time.
+  /// Requests counted in `late_` that were admitted as on time.
   std::uint32_t late_admitted_on_time_ = 0;
 };
 
-/// @brief Requests per second that a deployment can serve with full engines, in
-/// its mix of classes.
+/// @brief Highest request rate, per second, that the engines can serve with all
+/// slots in use, for the given shares of the classes.
 [[nodiscard]] double MaxRequestRate(const FleetSpec& spec);
 
 /// @brief Runs the simulation.
