--- a/tests/fuzz/fuzz_main.cpp
+++ b/tests/fuzz/fuzz_main.cpp
@@ -1,15 +1,16 @@
-// Long runs of the fuzzer: fuzz_long MINUTES SEED. Prints figures and the first
-// violation with the seed that repeats it.
+// Runs simulations with successive seeds: fuzz_long MINUTES SEED. Prints the
+// first violation of each failing seed, and figures at the end. Exits with 1 if
+// there was a violation.
 #include <chrono>
 #include <cstdlib>
 #include <iostream>
 #include <string>
 
-#include "fuzz/world.hpp"
+#include "fuzz/simulation.hpp"
 
 namespace {
 
-constexpr int kStepsOfLife = 1500;
+constexpr int kStepsPerRun = 1500;
 
 }  // namespace
 
@@ -17,23 +18,24 @@
   using Clock = std::chrono::steady_clock;
   const double minutes = argc > 1 ? std::stod(argv[1]) : 1;
   std::uint64_t seed = argc > 2 ? std::stoull(argv[2]) : 1;
-  const auto begin = Clock::now();
-  const auto elapsed = [begin] {
-    return std::chrono::duration<double>(Clock::now() - begin).count();
+  const auto started_at = Clock::now();
+  const auto elapsed = [started_at] {
+    return std::chrono::duration<double>(Clock::now() - started_at).count();
   };
   std::uint64_t steps = 0;
   std::uint64_t violations = 0;
   for (; elapsed() < minutes * 60; ++seed) {
-    chalkwell::fuzz::World world(seed, {});
-    for (int step = 0; step < kStepsOfLife; ++step) {
-      world.Step();
+    chalkwell::fuzz::Simulation simulation(seed, {});
+    for (int step = 0; step < kStepsPerRun; ++step) {
+      simulation.Step();
     }
-    steps += kStepsOfLife;
-    world.Settle();
-    if (world.oracle().violations() > 0) {
-      std::cout << "seed " << seed << ": " << world.oracle().first() << "\n";
+    steps += kStepsPerRun;
+    simulation.Settle();
+    if (simulation.oracle().violations() > 0) {
+      std::cout << "seed " << seed << ": "
+                << simulation.oracle().first_violation() << "\n";
     }
-    violations += world.oracle().violations();
+    violations += simulation.oracle().violations();
   }
   std::cout << "figure fuzz_steps " << steps << "\nfigure fuzz_violations "
             << violations << "\nfigure fuzz_steps_per_second "
--- a/tests/fuzz/fuzz_test.cpp
+++ b/tests/fuzz/fuzz_test.cpp
@@ -1,76 +1,80 @@
-// Stateful fuzzing by RapidCheck: random lives of a small fleet against the
-// oracles, and the seeded faults that the oracles must catch.
+// Stateful fuzzing: the oracle must find no violation in simulations with
+// random seeds, and must detect every mutant.
 #include <rapidcheck.h>
 
 #include <catch2/catch.hpp>
 #include <iostream>
 
 #include "fuzz/mutants.hpp"
-#include "fuzz/world.hpp"
+#include "fuzz/simulation.hpp"
 
 namespace chalkwell::fuzz {
 namespace {
 
-constexpr int kStepsOfLife = 1500;
-/// Lives that CI gives each seeded fault at most.
-constexpr std::uint64_t kMutantLives = 800;
+constexpr int kStepsPerRun = 1500;
+/// Number of seeds within which each mutant must be detected.
+constexpr std::uint64_t kMaxSeedsPerMutant = 800;
 
-void Live(World& world, int steps) {
-  for (int step = 0; step < steps && world.oracle().violations() == 0; ++step) {
-    world.Step();
+void RunSteps(Simulation& simulation, int steps) {
+  for (int step = 0; step < steps && simulation.oracle().violations() == 0;
+       ++step) {
+    simulation.Step();
   }
 }
 
-TEST_CASE("every invariant holds in random lives of a fleet", "[fuzz]") {
+TEST_CASE("every invariant holds in simulations with random seeds", "[fuzz]") {
   std::uint64_t steps = 0;
-  const bool held = rc::check("no oracle objects", [&steps] {
+  const bool holds = rc::check("no invariant is violated", [&steps] {
     const auto seed = *rc::gen::arbitrary<std::uint32_t>();
-    World world(seed, {});
-    Live(world, kStepsOfLife);
-    steps += kStepsOfLife;
-    if (world.oracle().violations() == 0) {
-      world.Settle();
+    Simulation simulation(seed, {});
+    RunSteps(simulation, kStepsPerRun);
+    steps += kStepsPerRun;
+    if (simulation.oracle().violations() == 0) {
+      simulation.Settle();
     }
-    RC_LOG() << world.oracle().first();
-    RC_ASSERT(world.oracle().violations() == 0U);
+    RC_LOG() << simulation.oracle().first_violation();
+    RC_ASSERT(simulation.oracle().violations() == 0U);
   });
   std::cout << "figure fuzz_steps " << steps << "\n";
-  CHECK(held);
+  CHECK(holds);
 }
 
-/// A claim of a dead process that arrived late took the engine from all that
-/// lived (found by a long run); run with the code as it was, and as it is.
-TEST_CASE("seed 183 comes to rest on the bundle in force", "[fuzz]") {
+/// A claim of a terminated process arrives late, with a higher fencing number
+/// than that of the live process, which then gives up the engine for good.
+/// Guards against endpoints that stay at an old bundle; the faults restore the
+/// former behavior, which must still violate an invariant.
+TEST_CASE("an engine claimed by a terminated process gets the active bundle",
+          "[fuzz]") {
   constexpr std::uint64_t kSeed = 183;
-  const bool mended = GENERATE(false, true);
-  const rollout::ActivationFaults before{.never_reclaim_ = true,
+  const bool fixed = GENERATE(false, true);
+  const rollout::ActivationFaults former{.never_reclaim_ = true,
                                          .keep_staged_over_restart_ = true};
   const Faults none;
-  const Faults unmended{.activation_ = before};
-  World world(kSeed, mended ? none : unmended);
-  Live(world, kStepsOfLife);
-  world.Settle();
-  CAPTURE(world.oracle().first());
-  CHECK((world.oracle().violations() == 0) == mended);
+  const Faults with_faults{.activation_ = former};
+  Simulation simulation(kSeed, fixed ? none : with_faults);
+  RunSteps(simulation, kStepsPerRun);
+  simulation.Settle();
+  CAPTURE(simulation.oracle().first_violation());
+  CHECK((simulation.oracle().violations() == 0) == fixed);
 }
 
-TEST_CASE("each seeded fault is caught", "[fuzz][mutants]") {
+TEST_CASE("every mutant is detected", "[fuzz][mutants]") {
   const auto mutants = AllMutants();
   std::size_t caught = 0;
   for (const auto& mutant : mutants) {
     std::uint64_t seed = 1;
     bool found = false;
-    for (; seed <= kMutantLives && !found; ++seed) {
-      World world(seed, mutant.faults_);
-      Live(world, kStepsOfLife);
-      if (world.oracle().violations() == 0) {
-        world.Settle();
+    for (; seed <= kMaxSeedsPerMutant && !found; ++seed) {
+      Simulation simulation(seed, mutant.faults_);
+      RunSteps(simulation, kStepsPerRun);
+      if (simulation.oracle().violations() == 0) {
+        simulation.Settle();
       }
-      found = world.oracle().violations(mutant.invariant_) > 0;
+      found = simulation.oracle().violations(mutant.invariant_) > 0;
     }
     caught += found ? 1 : 0;
     std::cout << (found ? "caught" : "MISSED") << " after " << seed - 1
-              << " lives: " << mutant.name_ << "\n";
+              << " seeds: " << mutant.name_ << "\n";
     CHECK(found);
   }
   std::cout << "figure mutants_caught " << caught << "\nfigure mutants_total "
--- a/tests/fuzz/mutants.hpp
+++ b/tests/fuzz/mutants.hpp
@@ -1,20 +1,22 @@
-// Seeded faults, each with the invariant whose oracle must catch it.
+// Mutants: injected faults, each with the invariant that it violates.
 #pragma once
 
 #include <string>
 #include <vector>
 
-#include "fuzz/world.hpp"
+#include "fuzz/simulation.hpp"
 
 namespace chalkwell::fuzz {
 
-/// @brief One seeded fault.
+/// @brief A fault in a module under test that the oracle must detect.
 struct Mutant {
   std::string name_;
+  /// The invariant whose violation the oracle must report.
   Invariant invariant_;
   Faults faults_;
 };
 
+/// @brief All mutants; a mutant may need several injected faults.
 [[nodiscard]] std::vector<Mutant> AllMutants();
 
 }  // namespace chalkwell::fuzz
--- a/tests/fuzz/oracle.cpp
+++ b/tests/fuzz/oracle.cpp
@@ -1,4 +1,3 @@
-// The oracles.
 #include "fuzz/oracle.hpp"
 
 #include <numeric>
@@ -9,17 +8,17 @@
 
 std::string ToString(Invariant invariant) {
   switch (invariant) {
-    case kWholeWeights:
+    case kCompleteWeights:
       return "whole_weights";
-    case kOwnWholeAnswer:
+    case kCompleteOwnResponse:
       return "own_whole_answer";
-    case kNotRunIsNotRun:
+    case kNotRunIsCertain:
       return "not_run_is_not_run";
     case kAtMostOnce:
       return "at_most_once";
-    case kLeavingGetsNoWork:
+    case kNoWorkWhileDraining:
       return "leaving_gets_no_work";
-    case kPlannedStopCutsNothing:
+    case kShutdownLosesNoWork:
       return "planned_stop_cuts_nothing";
     case kConfigurationNeverReverts:
       return "configuration_never_reverts";
@@ -31,148 +30,163 @@
   return std::accumulate(counts_.begin(), counts_.end(), std::uint64_t{0});
 }
 
-void Oracle::Violate(Invariant invariant, const std::string& what) {
+void Oracle::Violate(Invariant invariant, const std::string& message) {
   ++counts_.at(static_cast<std::size_t>(invariant));
-  if (first_.empty()) {
-    first_ = ToString(invariant) + ": " + what;
+  if (first_violation_.empty()) {
+    first_violation_ = ToString(invariant) + ": " + message;
   }
 }
 
 void Oracle::OnEngineActivated(std::uint64_t version,
                                const core::Digest& /*manifest*/,
-                               bool staged_whole, std::size_t running,
-                               std::uint64_t version_before,
+                               bool staging_complete, std::size_t running,
+                               std::uint64_t previous_version,
                                bool checks_fencing, bool is_signed) {
-  if (!staged_whole) {
-    Violate(kWholeWeights, "weights that are not whole were activated");
+  if (!staging_complete) {
+    Violate(kCompleteWeights, "incomplete weights were activated");
   }
   if (!is_signed) {
     Violate(kConfigurationNeverReverts, "an unsigned bundle was activated");
   }
   if (checks_fencing && running > 0) {
-    Violate(kWholeWeights, "weights changed under running requests");
+    Violate(kCompleteWeights, "weights changed under running requests");
   }
-  if (checks_fencing && version < version_before) {
-    Violate(kConfigurationNeverReverts, "an engine went back in version");
+  if (checks_fencing && version < previous_version) {
+    Violate(kConfigurationNeverReverts, "an engine activated an older version");
   }
 }
 
 void Oracle::OnAnnounced(const core::Digest& manifest,
-                         const std::set<core::Digest>& ever_held) {
-  if (!ever_held.contains(manifest)) {
-    Violate(kWholeWeights, "weights were announced that no engine held");
+                         const std::set<core::Digest>& activated_manifests) {
+  if (!activated_manifests.contains(manifest)) {
+    Violate(kCompleteWeights,
+            "weights were announced that the engine never activated");
   }
 }
 
-void Oracle::OnHandedOn(bool knows_world) {
-  if (!knows_world) {
-    Violate(kWholeWeights, "a woken process acted on what it believed before");
+void Oracle::OnActedOnEngine(bool state_is_current) {
+  if (!state_is_current) {
+    Violate(kCompleteWeights, "a process acted on engine state past its lease");
   }
 }
 
-void Oracle::OnExecuted(std::uint64_t order, std::uint64_t request,
+void Oracle::OnExecuted(std::uint64_t operation, std::uint64_t request,
                         bool repeatable) {
   ++executions_by_request_[request];
-  const auto times = ++executions_by_order_[order];
-  if (!repeatable && times > 1) {
-    Violate(kAtMostOnce, "an order ran twice");
+  const auto executions = ++executions_by_operation_[operation];
+  if (!repeatable && executions > 1) {
+    Violate(kAtMostOnce, "a non-repeatable operation was executed twice");
   }
-  if (told_not_run_.contains(request)) {
-    Violate(kNotRunIsNotRun, "a request ran after its caller was told no");
+  if (reported_not_run_.contains(request)) {
+    Violate(kNotRunIsCertain,
+            "a request was executed after it was reported as not run");
   }
 }
 
-void Oracle::OnDelivered(std::uint64_t request, std::uint64_t answers_request,
-                         std::uint32_t attempt, std::uint64_t sequence,
-                         const core::Digest& pinned, const core::Digest& from) {
-  auto& delivery = delivered_[request];
-  if (answers_request != request) {
-    Violate(kOwnWholeAnswer, "an answer reached another caller");
+void Oracle::OnResponseDelivered(std::uint64_t request,
+                                 std::uint64_t response_request,
+                                 std::uint32_t attempt, std::uint64_t sequence,
+                                 const core::Digest& pinned_weights,
+                                 const core::Digest& source_weights) {
+  auto& delivery = deliveries_[request];
+  if (response_request != request) {
+    Violate(kCompleteOwnResponse,
+            "a response was forwarded to the caller of another request");
   }
   if (ended_.contains(request)) {
-    Violate(kOwnWholeAnswer, "bytes came after the end");
+    Violate(kCompleteOwnResponse,
+            "response data was forwarded after the outcome");
   }
-  const bool joined = delivery.next_ != 0 && attempt != delivery.attempt_;
-  if (joined && (attempt < delivery.attempt_ || pinned != delivery.weights_)) {
-    Violate(kOwnWholeAnswer,
-            "an answer went on from an earlier attempt or from other weights");
+  const bool resumed =
+      delivery.next_sequence_ != 0 && attempt != delivery.attempt_;
+  if (resumed &&
+      (attempt < delivery.attempt_ || pinned_weights != delivery.weights_)) {
+    Violate(
+        kCompleteOwnResponse,
+        "a response was resumed by an earlier attempt or with other weights");
   }
-  if (sequence != delivery.next_) {
-    Violate(kOwnWholeAnswer, "a piece is missing or repeated");
+  if (sequence != delivery.next_sequence_) {
+    Violate(kCompleteOwnResponse, "a data frame is missing or repeated");
   }
-  if (from != pinned) {
-    Violate(kWholeWeights, "an answer came from other weights than pinned");
+  if (source_weights != pinned_weights) {
+    Violate(kCompleteWeights,
+            "a response used other weights than the pinned ones");
   }
   delivery.attempt_ = attempt;
-  delivery.next_ = sequence + 1;
-  delivery.weights_ = pinned;
+  delivery.next_sequence_ = sequence + 1;
+  delivery.weights_ = pinned_weights;
 }
 
 void Oracle::OnOutcome(std::uint64_t request, routing::Outcome outcome,
-                       std::uint64_t answer_length) {
+                       std::uint64_t response_length) {
   if (!ended_.insert(request).second) {
-    Violate(kOwnWholeAnswer, "a request ended twice");
+    Violate(kCompleteOwnResponse, "a request has two outcomes");
   }
   if (outcome == routing::Outcome::kAnswered &&
-      delivered_[request].next_ != answer_length) {
-    Violate(kOwnWholeAnswer, "an answer was cut short");
+      deliveries_[request].next_sequence_ != response_length) {
+    Violate(kCompleteOwnResponse,
+            "a response reported as complete was truncated");
   }
   if (outcome == routing::Outcome::kRefusedNotRun) {
-    told_not_run_.insert(request);
+    reported_not_run_.insert(request);
     if (executions_by_request_[request] > 0) {
-      Violate(kNotRunIsNotRun, "a caller was told no, but it had run");
+      Violate(kNotRunIsCertain, "an executed request was reported as not run");
     }
   }
 }
 
-void Oracle::OnSentTo(bool known_leaving_for_long) {
-  if (known_leaving_for_long) {
-    Violate(kLeavingGetsNoWork, "an entry sent work to a leaving endpoint");
+void Oracle::OnRequestSent(bool draining_past_bound) {
+  if (draining_past_bound) {
+    Violate(kNoWorkWhileDraining,
+            "an entry sent a request to a draining endpoint");
   }
 }
 
-void Oracle::OnTakenBy(bool leaving) {
-  if (leaving) {
-    Violate(kLeavingGetsNoWork, "a leaving process took new work");
+void Oracle::OnRequestAccepted(bool draining) {
+  if (draining) {
+    Violate(kNoWorkWhileDraining, "a draining process accepted new work");
   }
 }
 
-void Oracle::OnExit(std::size_t work, bool in_time) {
-  if (work > 0 && in_time) {
-    Violate(kPlannedStopCutsNothing, "a planned stop cut work off");
+void Oracle::OnExit(std::size_t pending, bool within_limit) {
+  if (pending > 0 && within_limit) {
+    Violate(kShutdownLosesNoWork, "a graceful shutdown ended accepted work");
   }
 }
 
-void Oracle::OnInForce(int process, const config::DocumentVersion& stamp,
-                       bool is_signed) {
-  auto& held = in_force_[process];
-  if (stamp < held) {
-    Violate(kConfigurationNeverReverts, "a process went back");
+void Oracle::OnBundleActive(int process, const config::DocumentVersion& stamp,
+                            bool is_signed) {
+  auto& active = active_stamps_[process];
+  if (stamp < active) {
+    Violate(kConfigurationNeverReverts,
+            "a process replaced its bundle by an older one");
   }
   if (!is_signed) {
-    Violate(kConfigurationNeverReverts, "an unsigned bundle is in force");
+    Violate(kConfigurationNeverReverts, "an unsigned bundle is active");
   }
-  held = stamp;
+  active = stamp;
 }
 
-void Oracle::OnRunsEverywhere(bool runs_newest) {
-  if (!runs_newest) {
+void Oracle::OnEngineSettled(bool runs_active_bundle) {
+  if (!runs_active_bundle) {
     Violate(kConfigurationNeverReverts,
-            "an engine does not run the bundle in force after healing");
+            "an engine does not run the active bundle after all faults ended");
   }
 }
 
-void Oracle::OnServesAgain(bool serves) {
-  if (!serves) {
-    Violate(kConfigurationNeverReverts,
-            "an endpoint takes no work under a stale service");
+void Oracle::OnRestartedWithStaleStore(bool accepting) {
+  if (!accepting) {
+    Violate(
+        kConfigurationNeverReverts,
+        "an endpoint accepts no work while the configuration store is stale");
   }
 }
 
 void Oracle::OnSettled(const std::vector<config::DocumentVersion>& stamps) {
   for (const auto& stamp : stamps) {
     if (stamp != stamps.front()) {
-      Violate(kConfigurationNeverReverts, "processes differ after healing");
+      Violate(kConfigurationNeverReverts,
+              "active bundles differ after all faults ended");
       return;
     }
   }
--- a/tests/fuzz/world_agents.cpp
+++ b/tests/fuzz/simulation_agents.cpp
@@ -1,73 +1,73 @@
-// Agents and engines of the model.
+// Agents and engines of the simulation.
 #include <algorithm>
 #include <utility>
 
-#include "fuzz/parts.hpp"
+#include "fuzz/simulation_types.hpp"
 
 namespace chalkwell::fuzz {
 
-void World::StartAgent(std::size_t engine, std::uint64_t incarnation) {
+void Simulation::StartAgent(std::size_t engine, std::uint64_t incarnation) {
   auto agent = std::make_shared<Agent>(faults_, incarnation, engine, random_());
-  agent->id_ = next_id_++;
+  agent->id_ = next_process_++;
   agent->activation_.SetChecksFencing(engines_[engine]->checks_fencing_);
   agents_.push_back(agent);
   engines_[engine]->newest_agent_ = agent->id_;
-  engines_[engine]->newest_since_ = now_;
+  engines_[engine]->newest_agent_since_ = now_;
 }
 
-void World::ReadOwnRow(const AgentPtr& agent) {
+void Simulation::UpdateListed(const AgentPtr& agent) {
   auto& engine = *engines_[agent->engine_];
-  if (now_ - engine.newest_since_ >= kListLag) {
+  if (now_ - engine.newest_agent_since_ >= kInstanceListDelay) {
     engine.listed_agent_ = engine.newest_agent_;
   }
   agent->activation_.SetListed(engine.listed_agent_ == agent->id_);
 }
 
-void World::CheckPause(const AgentPtr& agent) {
-  if (agent->pause_.Tick(now_)) {
+void Simulation::CheckSuspension(const AgentPtr& agent) {
+  if (agent->suspension_.Tick(now_)) {
     Perform(agent, agent->activation_.OnSuspension(now_));
   }
 }
 
-void World::OnTarget(const AgentPtr& agent) {
+void Simulation::ApplyTarget(const AgentPtr& agent) {
   if (const auto* bundle = agent->documents_.AcceptedBundle()) {
     Perform(agent,
             agent->activation_.OnTarget({bundle->version_, bundle->manifest_}));
   }
 }
 
-void World::TickAgent(const AgentPtr& agent) {
-  if (agent->paused_) {
+void Simulation::TickAgent(const AgentPtr& agent) {
+  if (agent->suspended_) {
     return;
   }
-  CheckPause(agent);
-  ReadOwnRow(agent);
-  if (!agent->asking_) {
-    agent->asking_ = true;
+  CheckSuspension(agent);
+  UpdateListed(agent);
+  if (!agent->query_in_flight_) {
+    agent->query_in_flight_ = true;
     Message query;
     query.kind_ = Message::Kind::kQuery;
     query.from_ = agent->id_;
     query.engine_ = agent->engine_;
-    query.asked_at_ = now_;
+    query.queried_at_ = now_;
     Send(query);
   }
-  AskForChunk(agent);
+  FetchChunks(agent);
   if (agent->activation_.phase() == rollout::Phase::kWaitingForSlot &&
-      (Chance(30) || settling_)) {
+      (Chance(30) || fault_free_)) {
     Perform(agent, agent->activation_.OnRolloutSlot());
   }
-  if (agent->stop_.pending() == 0) {
+  if (agent->shutdown_.pending() == 0) {
     Perform(agent, agent->activation_.OnDrained(now_));
   }
-  Report(agent);
+  SendReports(agent);
 }
 
-void World::AskForChunk(const AgentPtr& agent) {
+void Simulation::FetchChunks(const AgentPtr& agent) {
   if (!agent->assembly_ ||
       agent->activation_.phase() != rollout::Phase::kFetching) {
     return;
   }
-  const auto& weights = published_.WeightsOf(agent->fetching_.manifest_);
+  const auto& weights = published_.WeightsOf(agent->fetch_target_.manifest_);
   for (std::size_t i = 0; i < weights.chunks_.size(); ++i) {
     if (agent->assembly_->held().Has(i)) {
       continue;
@@ -76,35 +76,37 @@
     chunk.kind_ = Message::Kind::kChunk;
     chunk.to_ = agent->id_;
     chunk.engine_ = agent->engine_;
-    chunk.target_ = agent->fetching_;
+    chunk.target_ = agent->fetch_target_;
     chunk.chunk_ = i;
     chunk.bytes_ = weights.bytes_[i];
-    if (!settling_ && Chance(15)) {
+    if (!fault_free_ && Chance(15)) {
+      // Corrupts the chunk.
       chunk.bytes_.back() = '#';
     }
     Send(chunk);
   }
 }
 
-void World::Report(const AgentPtr& agent) {
+void Simulation::SendReports(const AgentPtr& agent) {
   const auto id =
       core::InstanceId("endpoint-" + std::to_string(agent->engine_));
   for (const auto& entry : entries_) {
     if (!entry->alive_) {
       continue;
     }
-    auto& link = entry->links_[id];
-    const bool attach = link.agent_ != agent->id_ && Chance(20);
-    if (attach) {
-      link = {.agent_ = agent->id_,
-              .minter_ = routing::TicketIssuer(id, agent->incarnation_,
-                                               agent->guard_.RegisterIssuer()),
-              .knew_leaving_at_ = std::nullopt};
-      entry->listed_leaving_.erase(agent->engine_);
-      ListInstances(*entry);
+    auto& connection = entry->connections_[id];
+    const bool connect = connection.agent_ != agent->id_ && Chance(20);
+    if (connect) {
+      connection = {
+          .agent_ = agent->id_,
+          .issuer_ = routing::TicketIssuer(id, agent->incarnation_,
+                                           agent->guard_.RegisterIssuer()),
+          .known_draining_at_ = std::nullopt};
+      entry->listed_draining_.erase(agent->engine_);
+      UpdateInstanceList(*entry);
       entry->roster_.OnConnected(id, now_);
     }
-    if (link.agent_ != agent->id_) {
+    if (connection.agent_ != agent->id_) {
       continue;
     }
     const auto& engine = agent->activation_.engine();
@@ -116,23 +118,26 @@
     message.report_ = {
         .incarnation_ = agent->incarnation_,
         .ready_ =
-            agent->activation_.accepting(now_) && agent->stop_.accepting(),
-        .leaving_ = agent->stop_.draining(),
+            agent->activation_.accepting(now_) && agent->shutdown_.accepting(),
+        .leaving_ = agent->shutdown_.draining(),
         .manifest_ = engine ? engine->manifest_ : core::Digest{}};
     Send(message);
   }
 }
 
-void World::Perform(const AgentPtr& agent, const rollout::Actions& actions) {
+void Simulation::Perform(const AgentPtr& agent,
+                         const rollout::Actions& actions) {
   auto& engine = *engines_[agent->engine_];
-  const bool knows = agent->has_known_ && now_ - agent->knew_at_ <= kLease;
+  const bool state_is_current =
+      agent->has_engine_state_ &&
+      now_ - agent->engine_state_as_of_ <= kAgentLease;
   for (const auto& action : actions) {
     Message message;
     message.from_ = agent->id_;
     message.engine_ = agent->engine_;
     if (const auto* fetch = std::get_if<rollout::FetchWeights>(&action)) {
       const auto& weights = published_.WeightsOf(fetch->target_.manifest_);
-      agent->fetching_ = fetch->target_;
+      agent->fetch_target_ = fetch->target_;
       agent->assembly_.emplace(weights.chunks_, faults_.assembly_);
     } else if (std::holds_alternative<rollout::AbandonFetch>(action)) {
       agent->assembly_.reset();
@@ -141,32 +146,34 @@
       message.fence_ = claim->fence_;
       Send(message);
     } else if (const auto* order = std::get_if<rollout::SendOrder>(&action)) {
-      oracle_.OnHandedOn(knows);
+      oracle_.OnActedOnEngine(state_is_current);
       message.kind_ = Message::Kind::kOrder;
       message.target_ = order->target_;
       message.fence_ = order->fence_;
       Send(message);
-    } else if (const auto* news = std::get_if<rollout::Announce>(&action)) {
-      if (news->ready_) {
-        oracle_.OnAnnounced(news->serving_.manifest_, engine.ever_held_);
+    } else if (const auto* announcement =
+                   std::get_if<rollout::Announce>(&action)) {
+      if (announcement->ready_) {
+        oracle_.OnAnnounced(announcement->serving_.manifest_,
+                            engine.activated_manifests_);
       }
     }
   }
 }
 
-void World::HandleRun(const AgentPtr& agent, const Message& message) {
+void Simulation::HandleRun(const AgentPtr& agent, const Message& message) {
   Message frame = message;
   frame.kind_ = Message::Kind::kFrame;
   std::swap(frame.from_, frame.to_);
   if (message.ticket_) {
-    const auto verdict = agent->guard_.Use(*message.ticket_);
-    if (verdict == routing::TicketStatus::kResponseCached) {
+    const auto status = agent->guard_.Use(*message.ticket_);
+    if (status == routing::TicketStatus::kResponseCached) {
       const auto weights = core::Digest::FromHex(
           *agent->guard_.FindCachedResponse(*message.ticket_));
       frame.weights_ = weights.value_or(core::Digest{});
       frame.frame_ = Message::Frame::kBegin;
       Send(frame);
-      for (std::uint64_t i = 0; i < kAnswerPieces; ++i) {
+      for (std::uint64_t i = 0; i < kResponseDataFrames; ++i) {
         frame.frame_ = Message::Frame::kData;
         frame.sequence_ = i;
         Send(frame);
@@ -175,16 +182,16 @@
       Send(frame);
       return;
     }
-    if (verdict != routing::TicketStatus::kAccepted) {
+    if (status != routing::TicketStatus::kAccepted) {
       frame.frame_ = Message::Frame::kUnknown;
       Send(frame);
       return;
     }
   }
   const auto& engine = agent->activation_.engine();
-  const bool right = engine && engine->manifest_ == message.weights_;
-  if (!agent->stop_.accepting() || !agent->activation_.accepting(now_) ||
-      !right) {
+  const bool weights_match = engine && engine->manifest_ == message.weights_;
+  if (!agent->shutdown_.accepting() || !agent->activation_.accepting(now_) ||
+      !weights_match) {
     frame.frame_ = Message::Frame::kRefused;
     Send(frame);
     return;
@@ -192,10 +199,11 @@
   Execute(agent, message);
 }
 
-void World::Execute(const AgentPtr& agent, const Message& run) {
+void Simulation::Execute(const AgentPtr& agent, const Message& run) {
   auto& engine = *engines_[agent->engine_];
-  oracle_.OnTakenBy(agent->stop_.draining());
-  oracle_.OnHandedOn(agent->has_known_ && now_ - agent->knew_at_ <= kLease);
+  oracle_.OnRequestAccepted(agent->shutdown_.draining());
+  oracle_.OnActedOnEngine(agent->has_engine_state_ &&
+                          now_ - agent->engine_state_as_of_ <= kAgentLease);
   Message frame = run;
   frame.kind_ = Message::Kind::kFrame;
   std::swap(frame.from_, frame.to_);
@@ -204,16 +212,16 @@
     Send(frame);
     return;
   }
-  agent->stop_.OnWorkAccepted();
-  oracle_.OnExecuted(run.order_, run.request_, run.repeatable_);
-  engine.running_.push_back({.id_ = next_execution_++,
-                             .agent_ = agent->id_,
-                             .request_ = run.request_,
-                             .attempt_ = run.attempt_,
-                             .entry_ = run.from_,
-                             .weights_ = engine.state_.manifest_,
-                             .sent_ = run.resume_from_,
-                             .unheard_ = run.unheard_});
+  agent->shutdown_.OnWorkAccepted();
+  oracle_.OnExecuted(run.operation_, run.request_, run.repeatable_);
+  engine.executions_.push_back({.id_ = next_execution_++,
+                                .agent_ = agent->id_,
+                                .request_ = run.request_,
+                                .attempt_ = run.attempt_,
+                                .entry_ = run.from_,
+                                .weights_ = engine.state_.manifest_,
+                                .next_sequence_ = run.resume_from_,
+                                .discard_frames_ = run.discard_frames_});
   frame.frame_ = Message::Frame::kBegin;
   frame.weights_ = engine.state_.manifest_;
   Send(frame);
@@ -222,51 +230,51 @@
   }
 }
 
-void World::FinishExecution(std::size_t index) {
-  auto& engine = *engines_[index];
-  if (engine.running_.empty()) {
+void Simulation::AdvanceExecution(std::size_t engine_index) {
+  auto& engine = *engines_[engine_index];
+  if (engine.executions_.empty()) {
     return;
   }
-  const auto at = Below(engine.running_.size());
-  auto& execution = engine.running_[at];
+  const auto position = RandomBelow(engine.executions_.size());
+  auto& execution = engine.executions_[position];
   Message frame;
   frame.kind_ = Message::Kind::kFrame;
   frame.from_ = execution.agent_;
   frame.to_ = execution.entry_;
-  frame.engine_ = index;
+  frame.engine_ = engine_index;
   frame.request_ = execution.request_;
   frame.attempt_ = execution.attempt_;
-  // Each piece comes from the weights the engine holds at that moment.
+  // Each frame uses the weights that the engine holds when it is sent.
   frame.weights_ = engine.state_.manifest_;
-  frame.sequence_ = execution.sent_;
-  frame.unheard_ = execution.unheard_;
+  frame.sequence_ = execution.next_sequence_;
+  frame.discard_frames_ = execution.discard_frames_;
   const auto agent = std::ranges::find(agents_, execution.agent_, &Agent::id_);
-  const bool agent_lives = agent != agents_.end() && (*agent)->alive_;
-  const bool done = execution.sent_ >= kAnswerPieces;
+  const bool agent_alive = agent != agents_.end() && (*agent)->alive_;
+  const bool done = execution.next_sequence_ >= kResponseDataFrames;
   frame.frame_ = done ? Message::Frame::kComplete : Message::Frame::kData;
-  ++execution.sent_;
+  ++execution.next_sequence_;
   if (done) {
-    engine.running_.erase(engine.running_.begin() +
-                          static_cast<std::ptrdiff_t>(at));
+    engine.executions_.erase(engine.executions_.begin() +
+                             static_cast<std::ptrdiff_t>(position));
   }
-  if (!agent_lives) {
+  if (!agent_alive) {
     return;
   }
   if (done) {
-    (*agent)->stop_.OnWorkFinished();
+    (*agent)->shutdown_.OnWorkFinished();
   }
   Send(frame);
 }
 
-void World::HandleOrder(Engine& engine, const Message& message) {
-  Message answer = message;
-  answer.kind_ = Message::Kind::kOrderAnswer;
-  answer.to_ = message.from_;
-  Send(answer);
-  // A fencing number of 0 is an order without one, which engines take.
-  const bool old = engine.checks_fencing_ && message.fence_ != 0 &&
-                   message.fence_ <= engine.state_.fence_;
-  if (old) {
+void Simulation::HandleOrder(Engine& engine, const Message& message) {
+  Message reply = message;
+  reply.kind_ = Message::Kind::kOrderReply;
+  reply.to_ = message.from_;
+  Send(reply);
+  // An order with fencing number 0 carries none; engines accept it.
+  const bool stale = engine.checks_fencing_ && message.fence_ != 0 &&
+                     message.fence_ <= engine.state_.fence_;
+  if (stale) {
     return;
   }
   if (engine.checks_fencing_ && message.fence_ != 0) {
@@ -276,27 +284,29 @@
     return;
   }
   const auto& target = message.target_;
-  if (!engine.sealed_.contains(target.manifest_)) {
+  if (!engine.sealed_manifests_.contains(target.manifest_)) {
     return;
   }
   const auto& weights = published_.WeightsOf(target.manifest_);
-  const auto& staged = engine.staged_[target.manifest_];
-  bool whole = true;
+  const auto& staged = engine.staged_chunks_[target.manifest_];
+  bool complete = true;
   for (std::size_t i = 0; i < weights.bytes_.size(); ++i) {
-    whole = whole && staged.contains(std::to_string(i) + weights.bytes_[i]);
+    complete =
+        complete && staged.contains(std::to_string(i) + weights.bytes_[i]);
   }
   oracle_.OnEngineActivated(
-      target.version_, target.manifest_, whole,
-      engine.state_.manifest_ == target.manifest_ ? 0 : engine.running_.size(),
+      target.version_, target.manifest_, complete,
+      engine.state_.manifest_ == target.manifest_ ? 0
+                                                  : engine.executions_.size(),
       engine.state_.version_, engine.checks_fencing_,
       published_.IsSigned(target.version_, target.manifest_));
   engine.state_.version_ = target.version_;
   engine.state_.manifest_ = target.manifest_;
-  engine.ever_held_.insert(target.manifest_);
+  engine.activated_manifests_.insert(target.manifest_);
 }
 
-void World::RestartEngine(Engine& engine) {
-  for (const auto& execution : engine.running_) {
+void Simulation::RestartEngine(Engine& engine) {
+  for (const auto& execution : engine.executions_) {
     Message frame;
     frame.kind_ = Message::Kind::kFrame;
     frame.frame_ = Message::Frame::kUnknown;
@@ -308,16 +318,16 @@
     Send(frame);
     for (const auto& agent : agents_) {
       if (agent->id_ == execution.agent_) {
-        agent->stop_.OnWorkFinished();
+        agent->shutdown_.OnWorkFinished();
       }
     }
   }
-  engine.running_.clear();
-  engine.staged_.clear();
-  engine.sealed_.clear();
+  engine.executions_.clear();
+  engine.staged_chunks_.clear();
+  engine.sealed_manifests_.clear();
   engine.state_ = {};
-  engine.lagged_load_ = 0;
-  // A restarted engine refuses connections for a moment: agents notice.
+  engine.reported_load_ = 0;
+  // A restarting engine refuses connections, which its agents notice.
   for (const auto& agent : agents_) {
     if (agent->alive_ && agent->engine_ == engine.index_) {
       std::erase_if(messages_, [&](const Message& message) {
@@ -327,15 +337,15 @@
             message.kind_ == Kind::kOrder || message.kind_ == Kind::kClaim;
         return local && message.engine_ == engine.index_;
       });
-      agent->asking_ = false;
+      agent->query_in_flight_ = false;
       const auto phase = agent->activation_.phase();
       if (phase == rollout::Phase::kAwaitingReply ||
           phase == rollout::Phase::kClaiming) {
-        Message answer;
-        answer.kind_ = Message::Kind::kOrderAnswer;
-        answer.to_ = agent->id_;
-        answer.engine_ = engine.index_;
-        Send(answer);
+        Message reply;
+        reply.kind_ = Message::Kind::kOrderReply;
+        reply.to_ = agent->id_;
+        reply.engine_ = engine.index_;
+        Send(reply);
       } else {
         Perform(agent, agent->activation_.OnEngineLost());
       }
@@ -343,8 +353,8 @@
   }
 }
 
-void World::KillAgent() {
-  const auto agent = AnyAgent();
+void Simulation::KillAgent() {
+  const auto agent = RandomAgent();
   if (!agent) {
     return;
   }
@@ -363,7 +373,7 @@
   }
   StartAgent(agent->engine_, next_incarnation_++);
   if (Chance(30)) {
-    cut_.insert(agents_.back()->id_);
+    partitioned_.insert(agents_.back()->id_);
   }
 }
 
