--- a/tests/fuzz/simulation.hpp
+++ b/tests/fuzz/simulation.hpp
@@ -50,8 +50,10 @@
   /// @brief Advances the time, delivers up to three messages, and performs one
   /// random action or injects one environment fault.
   void Step();
-  /// @brief Ends all environment faults, runs until the deployment is stable
-  /// and checks that all processes agree and all endpoints accept work.
+  /// @brief Ends partitions and suspensions, starts a new agent for each
+  /// engine, runs without faults and checks that all processes agree. Then
+  /// restarts all agents while the configuration store is stale and checks that
+  /// the endpoints accept work.
   void Settle();
   [[nodiscard]] const Oracle& oracle() const noexcept { return oracle_; }
 
--- a/tests/fuzz/simulation_types.hpp
+++ b/tests/fuzz/simulation_types.hpp
@@ -9,6 +9,7 @@
 inline constexpr std::uint64_t kResponseDataFrames = 3;
 /// Lease of an agent on its engine; a longer suspension is detected.
 inline constexpr auto kAgentLease = std::chrono::seconds(1);
+/// How long an entry uses an endpoint without a new report.
 inline constexpr auto kRosterLease = std::chrono::seconds(3);
 /// Longest time that a graceful shutdown waits for accepted work.
 inline constexpr auto kShutdownLimit = std::chrono::seconds(60);
