--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -1,4 +1,4 @@
-// Translation of requests, answers and published documents, good and bad.
+// The adapter's translation of requests, responses, rules and endpoint rows.
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
 
@@ -13,13 +13,14 @@
 using daemon::HttpRequest;
 using namespace std::chrono_literals;
 
-TEST_CASE("what a caller's headers say", "[platform]") {
+TEST_CASE("request headers are decoded into key, deadline and token counts",
+          "[platform]") {
   struct Row {
     HttpHeaders headers_;
     std::string key_;
-    std::optional<core::Duration> left_;
-    double prompt_;
-    double answer_;
+    std::optional<core::Duration> time_left_;
+    double prompt_tokens_;
+    double max_output_tokens_;
   };
   const auto row = GENERATE(
       Row{{{"authorization", "Bearer abc"},
@@ -40,12 +41,14 @@
   const auto caller =
       MakeRequestCodec().read_request_({.headers_ = row.headers_});
   CHECK(caller.key_ == row.key_);
-  CHECK(caller.time_left_ == row.left_);
-  CHECK(caller.prompt_tokens_ == row.prompt_);
-  CHECK(caller.max_output_tokens_ == row.answer_);
+  CHECK(caller.time_left_ == row.time_left_);
+  CHECK(caller.prompt_tokens_ == row.prompt_tokens_);
+  CHECK(caller.max_output_tokens_ == row.max_output_tokens_);
 }
 
-TEST_CASE("what of a caller's headers reaches an endpoint", "[platform]") {
+TEST_CASE(
+    "an attempt drops forged and hop-by-hop headers and adds its own terms",
+    "[platform]") {
   const HttpRequest request{.method_ = "POST",
                             .path_ = "/a?b",
                             .headers_ = {{"host", "h"},
@@ -93,12 +96,14 @@
   CHECK(FindHeader(resumed.headers_, "tenant").empty());
 }
 
-TEST_CASE("what the head of an answer says", "[platform]") {
+TEST_CASE(
+    "response headers state whether a request ran, matched and was signed",
+    "[platform]") {
   struct Row {
     int status_;
     HttpHeaders headers_;
     bool not_run_;
-    bool other_;
+    bool mismatched_;
     bool signed_;
   };
   const auto row =
@@ -111,11 +116,11 @@
   const auto facts =
       MakeRequestCodec().read_response_(row.status_, row.headers_);
   CHECK(facts.not_run_ == row.not_run_);
-  CHECK(facts.mismatched_ == row.other_);
+  CHECK(facts.mismatched_ == row.mismatched_);
   CHECK(facts.signed_ == row.signed_);
 }
 
-TEST_CASE("an answer of our own tells when to come back", "[platform]") {
+TEST_CASE("a response of the entry itself states when to retry", "[platform]") {
   const auto headers = MakeRequestCodec().own_headers_("a1", 350ms);
   CHECK(FindHeader(headers, "retry-after") == "0.35");
   CHECK(FindHeader(headers, "attempt-id") == "a1");
@@ -151,7 +156,7 @@
             {{"name", "src"}, {"origin", "1.2.3.4:5"}, {"zone", "z"}}}}};
 }
 
-TEST_CASE("rules become typed, unknown fields are ignored", "[platform]") {
+TEST_CASE("rules are decoded, unknown fields are ignored", "[platform]") {
   auto text = Rules();
   text["new_field"] = "ignored";
   const auto rules = DecodeRules(text);
@@ -169,7 +174,7 @@
   CHECK(rules.services_.back().origin_ == "1.2.3.4:5");
 }
 
-TEST_CASE("rules that lack what they need are refused whole", "[platform]") {
+TEST_CASE("rules without a required field are rejected", "[platform]") {
   const std::string field = GENERATE("version", "routes", "services");
   auto text = Rules();
   text.erase(field);
@@ -179,7 +184,8 @@
   CHECK_THROWS_WITH(DecodeRules(route), Catch::Contains("host"));
 }
 
-TEST_CASE("rows of endpoints", "[platform]") {
+TEST_CASE("endpoint rows are decoded with weights version and draining state",
+          "[platform]") {
   struct Row {
     nlohmann::json models_;
     std::string state_;
--- a/tests/platform/crashing_request_test.cpp
+++ b/tests/platform/crashing_request_test.cpp
@@ -1,4 +1,5 @@
-// Requests that crash the endpoints that run them, at real entries.
+// Quarantine of requests that crash the endpoints that run them, with real
+// entries.
 #include <catch2/catch.hpp>
 #include <deque>
 #include <fstream>
@@ -13,14 +14,15 @@
 
 using namespace std::chrono_literals;
 
-/// Endpoints that crash until a request counts as the cause.
-constexpr int kCrashes = 3;
-constexpr int kTries = 10;
-/// Callers come back after a pause.
-constexpr auto kPause = 300ms;
-const std::string kCrashing = "boom";
+/// Crashes after which a request is quarantined.
+constexpr int kCrashLimit = 3;
+constexpr int kAttempts = 10;
+/// Pause of a caller before each attempt.
+constexpr auto kRetryPause = 300ms;
+const std::string kCrashingBody = "boom";
 
-/// Endpoints of the plain service, enough for all tries of a test.
+/// Replaces the endpoints of the plain service: two for each attempt of a test,
+/// since each crash ends one. They crash on kCrashingBody.
 class CrashingEndpoints {
  public:
   explicit CrashingEndpoints(Deployment& deployment) {
@@ -28,10 +30,10 @@
     deployment.second_.Stop();
     deployment.store_.Remove("servers/" + deployment.first_.id());
     deployment.store_.Remove("servers/" + deployment.second_.id());
-    for (int i = 0; i < 2 * kTries; ++i) {
+    for (int i = 0; i < 2 * kAttempts; ++i) {
       auto& endpoint = endpoints_.emplace_back(deployment.thread_,
                                                "i-plain-" + std::to_string(i));
-      endpoint.CrashOn(kCrashing);
+      endpoint.CrashOn(kCrashingBody);
       deployment.store_.Put("servers/" + endpoint.id(),
                             endpoint.Row("plain", "z1"));
     }
@@ -52,13 +54,13 @@
   std::deque<standins::EndpointStandin> endpoints_;
 };
 
-std::string AskCrashing(const Node& entry, const std::string& path) {
-  std::this_thread::sleep_for(kPause);
-  return Ask(entry, RequestText(path, "k1", "", kCrashing));
+std::string SendCrashingRequest(const Node& entry, const std::string& path) {
+  std::this_thread::sleep_for(kRetryPause);
+  return SendRequest(entry, RequestText(path, "k1", "", kCrashingBody));
 }
 
 struct CliResult {
-  int code_ = 0;
+  int exit_code_ = 0;
   std::string output_;
 };
 
@@ -76,8 +78,8 @@
   return {code.value_or(-1), text.str()};
 }
 
-bool Knows(const Deployment& deployment, const std::string& entry,
-           const std::string& other) {
+bool KnowsMember(const Deployment& deployment, const std::string& entry,
+                 const std::string& other) {
   return deployment.Log(entry).find("member=\"" + other + "\"") !=
          std::string::npos;
 }
@@ -94,17 +96,18 @@
       deployment.StartEntry("e2", deployment.store_.address(), &first);
   REQUIRE(Eventually([&] { return first.Ready() && second.Ready(); }));
   REQUIRE(Eventually([&] {
-    return Knows(deployment, "e1", "e2") && Knows(deployment, "e2", "e1");
+    return KnowsMember(deployment, "e1", "e2") &&
+           KnowsMember(deployment, "e2", "e1");
   }));
   std::string last;
-  for (int i = 0; i < kTries; ++i) {
-    last = AskCrashing(i % 2 == 0 ? first : second, path);
+  for (int i = 0; i < kAttempts; ++i) {
+    last = SendCrashingRequest(i % 2 == 0 ? first : second, path);
   }
-  CHECK(endpoints.crashes() == kCrashes);
+  CHECK(endpoints.crashes() == kCrashLimit);
   CHECK(Status(last) == "503");
   CHECK(last.find("retry-after") != std::string::npos);
   for (const auto* entry : {&first, &second}) {
-    CHECK(Status(Ask(*entry, RequestText(path))) == "200");
+    CHECK(Status(SendRequest(*entry, RequestText(path))) == "200");
   }
 }
 
@@ -114,18 +117,18 @@
   CrashingEndpoints endpoints(deployment);
   const auto first = deployment.StartEntry("e1", deployment.store_.address());
   REQUIRE(Eventually([&] { return first.Ready(); }));
-  for (int i = 0; i < kTries / 2; ++i) {
-    (void)AskCrashing(first, "/safe/x");
+  for (int i = 0; i < kAttempts / 2; ++i) {
+    (void)SendCrashingRequest(first, "/safe/x");
   }
   const auto second =
       deployment.StartEntry("e2", deployment.store_.address(), &first);
   REQUIRE(Eventually([&] { return second.Ready(); }));
-  REQUIRE(Eventually([&] { return Knows(deployment, "e2", "e1"); }));
-  CHECK(Status(AskCrashing(second, "/safe/x")) == "503");
-  CHECK(endpoints.crashes() == kCrashes);
+  REQUIRE(Eventually([&] { return KnowsMember(deployment, "e2", "e1"); }));
+  CHECK(Status(SendCrashingRequest(second, "/safe/x")) == "503");
+  CHECK(endpoints.crashes() == kCrashLimit);
 }
 
-TEST_CASE("an operator sees a quarantine at one entry and lifts it at another",
+TEST_CASE("a quarantine of one entry is listed and lifted at another",
           "[platform][crash]") {
   Deployment deployment;
   CrashingEndpoints endpoints(deployment);
@@ -134,13 +137,14 @@
       deployment.StartEntry("e2", deployment.store_.address(), &first);
   REQUIRE(Eventually([&] { return first.Ready() && second.Ready(); }));
   REQUIRE(Eventually([&] {
-    return Knows(deployment, "e1", "e2") && Knows(deployment, "e2", "e1");
+    return KnowsMember(deployment, "e1", "e2") &&
+           KnowsMember(deployment, "e2", "e1");
   }));
-  for (int i = 0; i < kTries / 2; ++i) {
-    (void)AskCrashing(first, "/safe/x");
+  for (int i = 0; i < kAttempts / 2; ++i) {
+    (void)SendCrashingRequest(first, "/safe/x");
   }
-  const auto listed = RunCli(deployment, {Local(second.admin_)});
-  CHECK(listed.code_ == 0);
+  const auto listed = RunCli(deployment, {LocalAddress(second.admin_port_)});
+  CHECK(listed.exit_code_ == 0);
   CHECK(listed.output_.find("quarantined") != std::string::npos);
   CHECK(listed.output_.find(" by e1 ") != std::string::npos);
   const auto content = listed.output_.substr(0, listed.output_.find(' '));
@@ -149,20 +153,22 @@
   }
   struct Row {
     std::string content_;
-    int code_;
+    int exit_code_;
   };
   for (const auto& row : {Row{"12", 2}, Row{std::string(32, '0'), 2},
                           Row{content, 0}, Row{content, 2}}) {
     CAPTURE(row.content_);
-    CHECK(RunCli(deployment, {Local(second.admin_), "--lift", row.content_})
-              .code_ == row.code_);
+    CHECK(RunCli(deployment,
+                 {LocalAddress(second.admin_port_), "--lift", row.content_})
+              .exit_code_ == row.exit_code_);
   }
-  CHECK(Status(AskCrashing(first, "/safe/x")) == "200");
+  CHECK(Status(SendCrashingRequest(first, "/safe/x")) == "200");
 }
 
-TEST_CASE("endpoints that crash without cause in a request quarantine nobody",
+TEST_CASE("endpoint crashes that no request caused quarantine no request",
           "[platform][crash]") {
-  // Many callers ask the same, and wait at endpoints that are replaced.
+  // Many callers send the same request, which is in flight at each endpoint
+  // that stops.
   constexpr int kRounds = 4;
   constexpr std::size_t kCallers = 6;
   Deployment deployment;
@@ -179,8 +185,8 @@
   for (std::size_t i = 0; i < kCallers; ++i) {
     callers.emplace_back([&] {
       while (!done) {
-        const auto answer = Ask(entry, RequestText("/safe/popular"));
-        quarantined += answer.find("crashed") != std::string::npos ? 1 : 0;
+        const auto response = SendRequest(entry, RequestText("/safe/popular"));
+        quarantined += response.find("crashed") != std::string::npos ? 1 : 0;
       }
     });
   }
@@ -196,7 +202,7 @@
     caller.join();
   }
   CHECK(quarantined == 0);
-  CHECK(Status(Ask(entry, RequestText("/safe/popular"))) == "200");
+  CHECK(Status(SendRequest(entry, RequestText("/safe/popular"))) == "200");
 }
 
 }  // namespace
--- a/tests/platform/deployment.cpp
+++ b/tests/platform/deployment.cpp
@@ -1,4 +1,4 @@
-// Settings files are written into a folder of the deployment's own.
+// Settings and log files go to a temporary folder of each deployment.
 #include "deployment.hpp"
 
 #include <fstream>
@@ -12,11 +12,11 @@
 using daemon::RawSocket;
 using namespace std::chrono_literals;
 
-/// Far longer than anything here takes: a wait that fails says so.
-constexpr auto kPatience = 20s;
+/// Far longer than anything in these tests takes.
+constexpr auto kEventuallyTimeout = 20s;
 
-nlohmann::json Route(const std::string& path, const std::string& kind,
-                     const std::string& service, int timeout_ms) {
+nlohmann::json MakeRoute(const std::string& path, const std::string& kind,
+                         const std::string& service, int timeout_ms) {
   return {{"name", path},
           {"host", "h"},
           {"pathPrefix", path},
@@ -31,32 +31,33 @@
           {"public", path == "/open/"}};
 }
 
-std::string PeerAddress(const Node& node, const Beside& beside) {
-  if (beside.seed_ == nullptr) {
-    return Local(node.peer_);
+std::string PeerAddress(const Node& node, const NodeOptions& options) {
+  if (options.seed_ == nullptr) {
+    return LocalAddress(node.peer_port_);
   }
-  return "127.0.0." + std::to_string(beside.host_) + ":" +
-         std::to_string(beside.seed_->peer_);
+  return "127.0.0." + std::to_string(options.host_number_) + ":" +
+         std::to_string(options.seed_->peer_port_);
 }
 
-std::string Seeds(const Beside& beside) {
-  return beside.seed_ == nullptr ? "" : Local(beside.seed_->peer_);
+std::string SeedsSetting(const NodeOptions& options) {
+  return options.seed_ == nullptr ? ""
+                                  : LocalAddress(options.seed_->peer_port_);
 }
 
-/// An agent that knows an entry from the start waits for it, however slow the
-/// machine is.
-std::string FactsWait(const Beside& beside) {
-  return beside.seed_ == nullptr ? "" : "\nfacts_wait_ms = 10000";
+/// An agent with a seed waits up to 10 s for the engine facts from it, so that
+/// a slow machine does not make it read the store.
+std::string FactsWaitSetting(const NodeOptions& options) {
+  return options.seed_ == nullptr ? "" : "\nfacts_wait_ms = 10000";
 }
 
 }  // namespace
 
-std::string Local(std::uint16_t port) {
+std::string LocalAddress(std::uint16_t port) {
   return "127.0.0.1:" + std::to_string(port);
 }
 
 bool Eventually(const std::function<bool()>& condition) {
-  const auto until = std::chrono::steady_clock::now() + kPatience;
+  const auto until = std::chrono::steady_clock::now() + kEventuallyTimeout;
   while (!condition()) {
     if (std::chrono::steady_clock::now() > until) {
       return false;
@@ -67,7 +68,7 @@
 }
 
 bool Node::Ready() const {
-  const RawSocket probe(ready_);
+  const RawSocket probe(ready_port_);
   probe.Send("GET /readyz HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n");
   return probe.connected() && probe.ReadUntil().starts_with("HTTP/1.1 200");
 }
@@ -90,14 +91,15 @@
 void Deployment::PutRules(StoreStandin& store, std::uint64_t version,
                           const std::vector<std::string>& keys) {
   nlohmann::json routes{
-      Route("/safe/", "idempotent", "plain", limits_.timeout_ms_),
-      Route("/open/", "idempotent", "plain", limits_.timeout_ms_),
-      Route("/once/", "non_idempotent", "plain", limits_.timeout_ms_),
-      Route("/stream/", "streaming", "plain", limits_.timeout_ms_),
-      Route("/model/", "idempotent", "pool", limits_.timeout_ms_)};
-  for (std::size_t i = 0; i < more_routes_; ++i) {
-    routes.push_back(Route("/more" + std::to_string(i) + "/", "idempotent",
-                           "plain", limits_.timeout_ms_));
+      MakeRoute("/safe/", "idempotent", "plain", limits_.request_timeout_ms_),
+      MakeRoute("/open/", "idempotent", "plain", limits_.request_timeout_ms_),
+      MakeRoute("/once/", "non_idempotent", "plain",
+                limits_.request_timeout_ms_),
+      MakeRoute("/stream/", "streaming", "plain", limits_.request_timeout_ms_),
+      MakeRoute("/model/", "idempotent", "pool", limits_.request_timeout_ms_)};
+  for (std::size_t i = 0; i < extra_routes_; ++i) {
+    routes.push_back(MakeRoute("/more" + std::to_string(i) + "/", "idempotent",
+                               "plain", limits_.request_timeout_ms_));
   }
   store.Put(
       "op/config",
@@ -109,7 +111,7 @@
           {"maxConns", 100},
           {"engine",
            {{"slots", 4},
-            {"chunks", kPieces},
+            {"chunks", kChunkCount},
             {"step_ms", 1},
             {"read_per_s", 20000},
             {"models", {{{"name", "m"}}}}}}},
@@ -117,7 +119,7 @@
        {"limits",
         {{"maxHeaderBytes", limits_.header_bytes_},
          {"maxBodyBytes", limits_.body_bytes_},
-         {"headerTimeoutMs", limits_.header_ms_},
+         {"headerTimeoutMs", limits_.header_timeout_ms_},
          {"idleTimeoutMs", 3000}}},
        {"tenants", {{{"name", "acct"}, {"apiKeys", keys}, {"priority", 2}}}}});
 }
@@ -132,22 +134,22 @@
 
 Node Deployment::StartEntry(const std::string& name, const std::string& store,
                             const Node* seed) {
-  return StartEntry(name, store, Beside{seed});
+  return StartEntry(name, store, NodeOptions{seed});
 }
 
 Node Deployment::StartEntry(const std::string& name, const std::string& store,
-                            const Beside& beside) {
+                            const NodeOptions& options) {
   Node node;
   const auto path = (folder_ / (name + ".ini")).string();
   std::ofstream(path)
       << "[instance]\nid = " << name
-      << "\ndomain = z1\n[listen]\ncaller = " << Local(node.caller_)
-      << "\nready = " << Local(node.ready_)
-      << "\npeer = " << PeerAddress(node, beside)
-      << "\nadmin = " << Local(node.admin_)
+      << "\ndomain = z1\n[listen]\ncaller = " << LocalAddress(node.caller_port_)
+      << "\nready = " << LocalAddress(node.ready_port_)
+      << "\npeer = " << PeerAddress(node, options)
+      << "\nadmin = " << LocalAddress(node.admin_port_)
       << "\n[platform]\naddress = " << store
       << "\npoll_ms = 100\nwatch_wait_ms = 60000\n[mesh]\nseeds = "
-      << Seeds(beside)
+      << SeedsSetting(options)
       << "\n[requests]\nretry_share = 0.2\n"
          "retry_reserve = 100\n[stop]\ndrain_ms = 5000\n";
   node.child_ = Child(
@@ -156,19 +158,20 @@
   return node;
 }
 
-Node Deployment::StartAgent(const std::string& name, const Beside& beside) {
+Node Deployment::StartAgent(const std::string& name,
+                            const NodeOptions& options) {
   Node node;
   const auto path = (folder_ / (name + ".ini")).string();
-  const auto engine =
-      beside.engine_.empty() ? engine_.address() : beside.engine_;
+  const auto engine = options.engine_address_.empty() ? engine_.address()
+                                                      : options.engine_address_;
   std::ofstream(path) << "[instance]\nid = " << name
                       << "\ndomain = z1\n[listen]\npeer = "
-                      << PeerAddress(node, beside)
-                      << "\nadmin = " << Local(node.admin_)
+                      << PeerAddress(node, options)
+                      << "\nadmin = " << LocalAddress(node.admin_port_)
                       << "\n[platform]\naddress = " << store_.address()
-                      << "\n[mesh]\nseeds = " << Seeds(beside)
+                      << "\n[mesh]\nseeds = " << SeedsSetting(options)
                       << "\n[endpoint]\nbackend = " << engine
-                      << FactsWait(beside)
+                      << FactsWaitSetting(options)
                       << "\nrole = pool\n[rollout]\nversion_bound_ms = "
                          "8000\n[stop]\ndrain_ms = 500\n";
   node.child_ = Child(
@@ -192,14 +195,14 @@
          body;
 }
 
-std::string Ask(const Node& node, const std::string& text) {
-  const RawSocket caller(node.caller_);
+std::string SendRequest(const Node& node, const std::string& text) {
+  const RawSocket caller(node.caller_port_);
   caller.Send(text);
   return caller.ReadUntil();
 }
 
-std::string Status(const std::string& answer) {
-  return answer.size() < 12 ? "" : answer.substr(9, 3);
+std::string Status(const std::string& response) {
+  return response.size() < 12 ? "" : response.substr(9, 3);
 }
 
 }  // namespace chalkwell::platform_tests
--- a/tests/platform/deployment.hpp
+++ b/tests/platform/deployment.hpp
@@ -1,5 +1,5 @@
-// A deployment on the users' platform in miniature: real entries and agents
-// against stand-ins of its store, endpoints and source of weights.
+// Small deployment for end-to-end tests: real entry and agent processes that
+// use fakes of the external platform's store, endpoints and weights origin.
 #pragma once
 
 #include <filesystem>
@@ -19,47 +19,53 @@
 using standins::OriginStandin;
 using standins::StoreStandin;
 
-inline constexpr std::size_t kPieces = 5;
+/// Chunks of each weights version.
+inline constexpr std::size_t kChunkCount = 5;
 
-/// @brief Address of a port on this machine.
-[[nodiscard]] std::string Local(std::uint16_t port);
+/// @brief Returns the loopback address with a port.
+[[nodiscard]] std::string LocalAddress(std::uint16_t port);
 
-/// @brief Waits until a condition holds.
-/// @return false when it does not within far more time than anything here
-/// takes.
+/// @brief Polls a condition until it holds.
+/// @return false when it still does not hold after 20 s, far longer than
+/// anything in these tests takes.
 [[nodiscard]] bool Eventually(const std::function<bool()>& condition);
 
-/// @brief One process of the system.
+/// @brief An entry or agent process and its ports; an agent uses only the peer
+/// and admin ports.
 struct Node {
-  std::uint16_t caller_ = FreePort();
-  std::uint16_t ready_ = FreePort();
-  std::uint16_t peer_ = FreePort();
-  std::uint16_t admin_ = FreePort();
+  std::uint16_t caller_port_ = FreePort();
+  std::uint16_t ready_port_ = FreePort();
+  std::uint16_t peer_port_ = FreePort();
+  std::uint16_t admin_port_ = FreePort();
   Child child_;
 
+  /// @brief Whether the readiness check responds 200.
   [[nodiscard]] bool Ready() const;
 };
 
-/// @brief Limits of callers, as published.
+/// @brief Limits on callers' requests in the published rules.
 struct CallerLimits {
   std::size_t header_bytes_ = 4096;
   std::size_t body_bytes_ = 1000;
-  int header_ms_ = 3000;
-  /// Longest time of a request, whatever its caller says.
-  int timeout_ms_ = 4000;
+  int header_timeout_ms_ = 3000;
+  /// Upper limit of a request's deadline, whatever its caller states.
+  int request_timeout_ms_ = 4000;
 };
 
-/// @brief A process that knows another one at its start: both listen for peers
-/// on one port, at addresses of their own, as on the users' machines.
-struct Beside {
+/// @brief Options of a process that is started with a seed.
+///
+/// Both listen for peers on the same port at different loopback addresses, as
+/// processes on separate machines do.
+struct NodeOptions {
   const Node* seed_ = nullptr;
-  /// Last number of its own address; the seed's is 1.
-  int host_ = 2;
-  /// Where an agent's engine listens; empty for the deployment's own.
-  std::string engine_;
+  /// N of its address 127.0.0.N; the seed has 1.
+  int host_number_ = 2;
+  /// Address of an agent's engine; empty for Deployment::engine_.
+  std::string engine_address_;
 };
 
-/// @brief A store, two endpoints of a service, one of a model.
+/// @brief Store, weights origin, two endpoints of service "plain" and one
+/// engine of service "pool", with published rules and endpoint rows.
 class Deployment {
  public:
   Deployment();
@@ -67,18 +73,27 @@
   Deployment(const Deployment&) = delete;
   Deployment& operator=(const Deployment&) = delete;
 
+  /// @brief Publishes rules.
+  /// @param keys API keys of the only client account.
   void PutRules(std::uint64_t version, const std::vector<std::string>& keys);
   void PutRules(StoreStandin& store, std::uint64_t version,
                 const std::vector<std::string>& keys);
+  /// @brief Publishes the rows of all endpoints.
   void PutRows();
   void PutRows(StoreStandin& store);
+  /// @brief Starts an entry process; does not wait until it is ready.
+  /// @param name instance id; also names its settings and log files.
+  /// @param store address of the configuration store.
   [[nodiscard]] Node StartEntry(const std::string& name,
                                 const std::string& store,
                                 const Node* seed = nullptr);
   [[nodiscard]] Node StartEntry(const std::string& name,
-                                const std::string& store, const Beside& beside);
+                                const std::string& store,
+                                const NodeOptions& options);
+  /// @brief Starts an agent process; does not wait until it is ready.
   [[nodiscard]] Node StartAgent(const std::string& name,
-                                const Beside& beside = {});
+                                const NodeOptions& options = {});
+  /// @brief Returns the log that a process has written so far.
   [[nodiscard]] std::string Log(const std::string& name) const;
 
   LoopThread thread_;
@@ -86,24 +101,27 @@
   EndpointStandin first_{thread_, "i-first"};
   EndpointStandin second_{thread_, "i-second"};
   EndpointStandin engine_{thread_, "i-engine"};
-  OriginStandin origin_{thread_, kPieces};
+  OriginStandin origin_{thread_, kChunkCount};
   std::filesystem::path folder_;
   CallerLimits limits_;
-  /// Routes beyond the five that requests take; they make the rules large.
-  std::size_t more_routes_ = 0;
-  /// Of processes started from now on; "NAME=VALUE".
+  /// Routes in addition to the five that tests use, to make the rules large.
+  std::size_t extra_routes_ = 0;
+  /// Environment of processes started from now on, as "NAME=VALUE".
   std::vector<std::string> environment_;
 };
 
-/// @brief Text of a caller's request.
-/// @param body four characters.
+/// @brief Returns a POST request as sent on the wire.
+/// @param extra header lines, each with its line end.
+/// @param body exactly four bytes: the content length is fixed.
 [[nodiscard]] std::string RequestText(const std::string& path,
                                       const std::string& key = "k1",
                                       const std::string& extra = "",
                                       const std::string& body = "body");
-/// @brief What an entry answers to a request.
-[[nodiscard]] std::string Ask(const Node& node, const std::string& text);
-/// @brief Status of an answer; empty when nothing was answered.
-[[nodiscard]] std::string Status(const std::string& answer);
+/// @brief Sends a request to an entry and reads the response until the
+/// connection closes.
+[[nodiscard]] std::string SendRequest(const Node& node,
+                                      const std::string& text);
+/// @brief Returns the status code of a response; empty without a status line.
+[[nodiscard]] std::string Status(const std::string& response);
 
 }  // namespace chalkwell::platform_tests
--- a/tests/platform/foreign_rows_test.cpp
+++ b/tests/platform/foreign_rows_test.cpp
@@ -1,5 +1,5 @@
-// Rows of the published list that have another writer: a bad one names no
-// endpoint, hides no good one, holds back no revision and ends nothing.
+// Endpoint rows that another writer put into the store: a malformed row is
+// skipped and reported, and affects neither the other rows nor the revision.
 #include <catch2/catch.hpp>
 #include <functional>
 #include <nlohmann/json.hpp>
@@ -64,10 +64,11 @@
   return store.decode_(Section::kEndpoints, {page.dump()});
 }
 
-TEST_CASE("a row of another writer names no endpoint", "[platform]") {
+TEST_CASE("a malformed row is skipped and the other rows are decoded",
+          "[platform]") {
   struct Row {
     std::string name_;
-    std::function<void(json&)> spoil_;
+    std::function<void(json&)> corrupt_;
   };
   const auto row = GENERATE(
       Row{"no service", [](json& value) { value.erase("service"); }},
@@ -84,20 +85,22 @@
       Row{"an unknown state", [](json& value) { value["state"] = "warming"; }},
       Row{"a state that is a list",
           [](json& value) { value["state"] = {"ready"}; }},
-      Row{"a start that is text", [](json& value) { value["born"] = "now"; }},
-      Row{"a start with a fraction", [](json& value) { value["born"] = 1.5; }},
+      Row{"a start time that is text",
+          [](json& value) { value["born"] = "now"; }},
+      Row{"a start time with a fraction",
+          [](json& value) { value["born"] = 1.5; }},
       Row{"models that are text", [](json& value) { value["models"] = "m"; }},
       Row{"a model without a version",
           [](json& value) { value["models"][0].erase("version"); }},
       Row{"a version below zero",
           [](json& value) { value["models"][0]["version"] = -1; }},
-      Row{"no object at all", [](json& value) { value = 7; }});
+      Row{"not an object", [](json& value) { value = 7; }});
   CAPTURE(row.name_);
-  auto spoilt = GoodRow();
-  row.spoil_(spoilt);
+  auto corrupt = GoodRow();
+  row.corrupt_(corrupt);
   const auto published =
       Decode({Item("servers/i-1", Base64(GoodRow().dump())),
-              Item("servers/i-2", Base64(spoilt.dump())),
+              Item("servers/i-2", Base64(corrupt.dump())),
               Item("servers/i-3", Base64(GoodRow().dump()))});
   CHECK(published.outcome_ == ReadOutcome::kRead);
   CHECK(published.revision_ == 42);
@@ -106,7 +109,7 @@
   CHECK(published.decode_errors_[0].starts_with("servers/i-2: "));
 }
 
-TEST_CASE("bytes that cannot be read name no endpoint", "[platform]") {
+TEST_CASE("a row that cannot be parsed is skipped and reported", "[platform]") {
   const auto value =
       GENERATE(std::string("%%%"), Base64("{\"service\":"), Base64("\xff\xfe"),
                Base64(""), Base64("null"), std::string("e30"));
@@ -118,7 +121,7 @@
   CHECK(published.decode_errors_.size() == 1);
 }
 
-/// Changes one thing of a document, at any depth.
+/// Replaces or removes one value of a document, at any depth.
 void Mutate(json& value, std::mt19937& random) {
   const auto pick = [&](std::size_t count) {
     return std::uniform_int_distribution<std::size_t>(0, count - 1)(random);
@@ -151,15 +154,15 @@
   value = kValues[pick(kValues.size())];
 }
 
-TEST_CASE("whatever a row holds, the others are read", "[platform]") {
+TEST_CASE("no content of a row prevents decoding of the others", "[platform]") {
   for (std::uint32_t seed = 0; seed < 3000; ++seed) {
     CAPTURE(seed);
     std::mt19937 random(seed);
-    auto spoilt = GoodRow();
+    auto corrupt = GoodRow();
     for (std::uint32_t change = 0; change <= seed % 4; ++change) {
-      Mutate(spoilt, random);
+      Mutate(corrupt, random);
     }
-    auto text = spoilt.dump();
+    auto text = corrupt.dump();
     if (seed % 5 == 0 && !text.empty()) {
       text[random() % text.size()] = static_cast<char>(random());
     }
@@ -174,8 +177,9 @@
   }
 }
 
-TEST_CASE("a row of an unknown service hides no endpoint", "[platform]") {
-  // It bears the address of a good one, and came to be after it.
+TEST_CASE("a row of an unknown service hides no endpoint at its address",
+          "[platform]") {
+  // The row has the address of a valid endpoint and a later revision.
   Deployment deployment;
   const auto entry = deployment.StartEntry("e1", deployment.store_.address());
   REQUIRE(Eventually([&] { return entry.Ready(); }));
@@ -186,7 +190,7 @@
     return deployment.Log("e1").find("no such service") != std::string::npos;
   }));
   for (int i = 0; i < 5; ++i) {
-    CHECK(Status(Ask(entry, RequestText("/safe/x"))) == "200");
+    CHECK(Status(SendRequest(entry, RequestText("/safe/x"))) == "200");
   }
   const auto log = deployment.Log("e1");
   CHECK(log.find("no such service") == log.rfind("no such service"));
--- a/tests/platform/names_test.cpp
+++ b/tests/platform/names_test.cpp
@@ -1,4 +1,5 @@
-// The names of the users' platform stand in platform/ and its tests only.
+// Names of the external platform's interface occur only in platform/ and its
+// tests.
 #include <array>
 #include <catch2/catch.hpp>
 #include <filesystem>
@@ -10,8 +11,8 @@
 namespace chalkwell {
 namespace {
 
-/// Headers, paths, keys and fields that no other part may name.
-constexpr auto kNames =
+/// Headers, paths, keys and fields that no other folder may contain.
+constexpr auto kPlatformNames =
     std::to_array<const char*>({"attempt-id",       "Attempt-Id",
                                 "response-seal",    "Response-Seal",
                                 "expect-instance",  "Expect-Instance",
@@ -37,21 +38,21 @@
                                 "maxConns",         "op/config",
                                 "op/version",       "servers/"});
 
-/// Whether a text has a name, other than as the product's own "x-" header or
-/// command-line option.
-bool Has(const std::string& text, const std::string& name) {
+/// Whether a text contains a name other than as the product's own "x-" header
+/// or command-line option.
+bool ContainsName(const std::string& text, const std::string& name) {
   for (auto at = text.find(name); at != std::string::npos;
        at = text.find(name, at + 1)) {
     const auto before = at >= 2 ? text.substr(at - 2, 2) : std::string();
-    const bool own = before == "x-" || before == "--";
-    if (!own) {
+    const bool own_name = before == "x-" || before == "--";
+    if (!own_name) {
       return true;
     }
   }
   return false;
 }
 
-std::vector<std::filesystem::path> SourcesOf(const std::string& folder) {
+std::vector<std::filesystem::path> SourceFiles(const std::string& folder) {
   std::vector<std::filesystem::path> files;
   const std::filesystem::path root(CHALKWELL_SOURCES);
   for (const auto& entry :
@@ -63,33 +64,34 @@
   return files;
 }
 
-TEST_CASE("only the adapter knows the platform's names", "[platform]") {
+TEST_CASE("names of the platform occur only in its adapter", "[platform]") {
   const std::string folder =
       GENERATE("packages", "bench", "scripts", "examples");
-  for (const auto& path : SourcesOf(folder)) {
+  for (const auto& path : SourceFiles(folder)) {
     std::ifstream file(path);
     std::stringstream text;
     text << file.rdbuf();
     const auto content = text.str();
-    for (const auto* name : kNames) {
-      INFO(path << " names " << name);
-      CHECK_FALSE(Has(content, name));
+    for (const auto* name : kPlatformNames) {
+      INFO(path << " contains " << name);
+      CHECK_FALSE(ContainsName(content, name));
     }
   }
 }
 
-TEST_CASE("the list finds what it looks for", "[platform]") {
+TEST_CASE("the search finds platform names and ignores the product's own",
+          "[platform]") {
   bool found = false;
-  for (const auto& path : SourcesOf("platform")) {
+  for (const auto& path : SourceFiles("platform")) {
     std::ifstream file(path);
     std::stringstream text;
     text << file.rdbuf();
-    found = found || Has(text.str(), "response-seal");
+    found = found || ContainsName(text.str(), "response-seal");
   }
   CHECK(found);
-  CHECK(Has("name: deadline-ms", "deadline-ms"));
-  CHECK_FALSE(Has("name: x-deadline-ms", "deadline-ms"));
-  CHECK_FALSE(Has("load --deadline-ms 5", "deadline-ms"));
+  CHECK(ContainsName("name: deadline-ms", "deadline-ms"));
+  CHECK_FALSE(ContainsName("name: x-deadline-ms", "deadline-ms"));
+  CHECK_FALSE(ContainsName("load --deadline-ms 5", "deadline-ms"));
 }
 
 }  // namespace
--- a/tests/platform/standins.cpp
+++ b/tests/platform/standins.cpp
@@ -1,4 +1,5 @@
-// The platform's pages, played small.
+// Paths, query parameters and message fields are those of the platform's
+// published interface.
 #include "standins.hpp"
 
 #include <sodium.h>
@@ -18,14 +19,15 @@
 using daemon::HttpHeaders;
 using daemon::HttpLimits;
 
-constexpr std::uint64_t kEvents = 6;
-/// From the head of the answer of a request that crashes its endpoint to the
+constexpr std::uint64_t kStreamEvents = 6;
+/// From sending the response head of a request that crashes its endpoint to the
 /// crash.
 constexpr std::chrono::milliseconds kCrashDelay(20);
-/// From the end of its connection to that of all others and of the listener.
-constexpr std::chrono::milliseconds kListenerDelay(10);
+/// From closing that request's connection to closing the listener and all other
+/// connections.
+constexpr std::chrono::milliseconds kListenerCloseDelay(10);
 
-std::unique_ptr<daemon::Http1Server> Serve(
+std::unique_ptr<daemon::Http1Server> StartServer(
     LoopThread& thread, daemon::HttpHandler handler,
     const daemon::Address& listen = kAnyPort) {
   std::unique_ptr<daemon::Http1Server> server;
@@ -43,7 +45,7 @@
   return "127.0.0.1:" + std::to_string(server.port());
 }
 
-std::string Query(const std::string& path, const std::string& name) {
+std::string QueryParameter(const std::string& path, const std::string& name) {
   const auto at = path.find(name + "=");
   if (at == std::string::npos) {
     return "";
@@ -71,7 +73,7 @@
   exchange->Respond(200, {{"content-type", "application/json"}}, body.dump());
 }
 
-std::string Event(std::uint64_t id) {
+std::string FormatEvent(std::uint64_t id) {
   return "id: " + std::to_string(id) + "\ndata: token-" + std::to_string(id) +
          "\n\n";
 }
@@ -79,7 +81,7 @@
 }  // namespace
 
 LoopThread::LoopThread() {
-  // A peer that is killed while it is written to is no reason to end.
+  // Writing to a peer that was killed must not end this process.
   std::signal(SIGPIPE, SIG_IGN);
   poll_ = std::make_unique<daemon::Timer>(loop_);
   poll_->Every(std::chrono::milliseconds(1), [this] {
@@ -116,20 +118,20 @@
 }
 
 StoreStandin::StoreStandin(LoopThread& thread, const daemon::Address& listen,
-                           std::size_t page)
+                           std::size_t page_size)
     : thread_(thread),
-      page_(page),
-      server_(Serve(
+      page_size_(page_size),
+      server_(StartServer(
           thread, [this](const HttpExchangePtr& exchange) { OnCall(exchange); },
           listen)) {}
 
-// Callers may hang up just now, which the loop notices: what it touches is
-// destroyed on it.
+// A caller may disconnect concurrently and its abort handler runs on the loop:
+// whatever the handlers use is destroyed on the loop too.
 StoreStandin::~StoreStandin() {
   thread_.Do([this] {
     server_.reset();
     watches_.clear();
-    silent_.clear();
+    dropped_watches_.clear();
     alive_.reset();
   });
 }
@@ -139,7 +141,7 @@
 void StoreStandin::Put(const std::string& key, const nlohmann::json& value) {
   thread_.Do([&] {
     items_[key] = {value.dump(), ++revision_};
-    WakeWatches();
+    NotifyWatches();
   });
 }
 
@@ -150,61 +152,60 @@
   });
 }
 
-int StoreStandin::Told(const std::string& prefix) const {
-  int told = 0;
+int StoreStandin::ResponsesWithValues(const std::string& prefix) const {
+  int count = 0;
   thread_.Do([&] {
-    const auto found = told_.find(prefix);
-    told = found == told_.end() ? 0 : found->second;
+    const auto found = responses_with_values_.find(prefix);
+    count = found == responses_with_values_.end() ? 0 : found->second;
   });
-  return told;
+  return count;
 }
 
-int StoreStandin::Watching(const std::string& prefix) const {
-  std::ptrdiff_t watching = 0;
-  thread_.Do([&] {
-    watching = std::ranges::count(watches_, prefix, &Watch::prefix_);
-  });
-  return static_cast<int>(watching);
+int StoreStandin::WaitingWatches(const std::string& prefix) const {
+  std::ptrdiff_t count = 0;
+  thread_.Do(
+      [&] { count = std::ranges::count(watches_, prefix, &Watch::prefix_); });
+  return static_cast<int>(count);
 }
 
 void StoreStandin::OnCall(const HttpExchangePtr& exchange) {
   ++calls_;
   const auto& path = exchange->request().path_;
-  if (busy_ || random_() % 1000 < busy_share_) {
+  if (busy_ || random_() % 1000 < rejected_per_mille_) {
     exchange->Respond(503, {}, "");
   } else if (path.starts_with("/kv-range") &&
              delay_.load() > std::chrono::milliseconds(0)) {
     thread_.loop().After(delay_.load(),
                          [this, exchange, alive = std::weak_ptr<int>(alive_)] {
                            if (!alive.expired()) {
-                             AnswerRange(exchange);
+                             RespondToRange(exchange);
                            }
                          });
   } else if (path.starts_with("/kv-range")) {
-    AnswerRange(exchange);
+    RespondToRange(exchange);
   } else if (path.starts_with("/kv-watch")) {
-    if (forget_.exchange(false)) {
+    if (history_compacted_.exchange(false)) {
       exchange->Respond(410, {}, "");
       return;
     }
     if (watches_silent_) {
-      silent_.push_back(exchange);
+      dropped_watches_.push_back(exchange);
       return;
     }
-    const Watch watch{exchange, Query(path, "pathPrefix"),
-                      NumberOr(Query(path, "afterRev"), 0)};
-    if (AnswerWatch(watch)) {
+    const Watch watch{exchange, QueryParameter(path, "pathPrefix"),
+                      NumberOr(QueryParameter(path, "afterRev"), 0)};
+    if (TryRespondToWatch(watch)) {
       return;
     }
     watches_.push_back(watch);
-    // A caller that hung up waits no more.
+    // Drops the watch when its caller disconnects.
     exchange->OnAbort([this, aborted = exchange.get()] {
       std::erase_if(watches_, [aborted](const Watch& waiting) {
         return waiting.exchange_.get() == aborted;
       });
     });
     const auto wait =
-        std::chrono::milliseconds(NumberOr(Query(path, "waitMs"), 0));
+        std::chrono::milliseconds(NumberOr(QueryParameter(path, "waitMs"), 0));
     thread_.loop().After(wait, [this, exchange] {
       const auto erased = std::erase_if(watches_, [&](const Watch& waiting) {
         return waiting.exchange_ == exchange;
@@ -219,17 +220,17 @@
   }
 }
 
-void StoreStandin::AnswerRange(const HttpExchangePtr& exchange) {
+void StoreStandin::RespondToRange(const HttpExchangePtr& exchange) {
   const auto& path = exchange->request().path_;
-  const auto prefix = Query(path, "pathPrefix");
-  const auto after = Query(path, "afterRev");
+  const auto prefix = QueryParameter(path, "pathPrefix");
+  const auto after = QueryParameter(path, "afterRev");
   auto items = nlohmann::json::array();
   bool more = false;
   for (const auto& [key, item] : items_) {
     if (!key.starts_with(prefix) || key <= after) {
       continue;
     }
-    if (items.size() == page_) {
+    if (items.size() == page_size_) {
       more = true;
       break;
     }
@@ -237,12 +238,12 @@
                      {"value", ToBase64(item.value_)},
                      {"rev", item.revision_}});
   }
-  told_[prefix] += items.empty() ? 0 : 1;
+  responses_with_values_[prefix] += items.empty() ? 0 : 1;
   RespondJson(exchange,
               {{"items", items}, {"morePages", more}, {"asOf", revision_}});
 }
 
-bool StoreStandin::AnswerWatch(const Watch& watch) {
+bool StoreStandin::TryRespondToWatch(const Watch& watch) {
   auto events = nlohmann::json::array();
   for (const auto& [key, item] : items_) {
     if (key.starts_with(watch.prefix_) && item.revision_ > watch.after_) {
@@ -254,14 +255,15 @@
   if (events.empty()) {
     return false;
   }
-  ++told_[watch.prefix_];
+  ++responses_with_values_[watch.prefix_];
   RespondJson(watch.exchange_, {{"events", events}, {"asOf", revision_}});
   return true;
 }
 
-void StoreStandin::WakeWatches() {
-  std::erase_if(watches_,
-                [this](const Watch& watch) { return AnswerWatch(watch); });
+void StoreStandin::NotifyWatches() {
+  std::erase_if(watches_, [this](const Watch& watch) {
+    return TryRespondToWatch(watch);
+  });
 }
 
 EndpointStandin::EndpointStandin(LoopThread& thread, std::string id,
@@ -276,7 +278,7 @@
 }
 
 void EndpointStandin::Start() {
-  server_ = Serve(
+  server_ = StartServer(
       thread_, [this](const HttpExchangePtr& exchange) { OnCall(exchange); },
       listen_);
   listen_.port_ = server_->port();
@@ -285,7 +287,7 @@
 void EndpointStandin::Stop() {
   thread_.Do([this] {
     server_.reset();
-    held_.clear();
+    hanging_.clear();
   });
 }
 
@@ -310,7 +312,7 @@
 }
 
 std::string EndpointStandin::address() const {
-  return named_.empty() ? listen_.ToString() : named_;
+  return advertised_address_.empty() ? listen_.ToString() : advertised_address_;
 }
 
 void EndpointStandin::SetId(const std::string& id) {
@@ -329,8 +331,8 @@
   nlohmann::json row{
       {"service", service}, {"addr", address()}, {"zone", zone}, {"slots", 4},
       {"state", state},     {"models", models},  {"seq", 1}};
-  if (born_ > 0) {
-    row["born"] = born_.load();
+  if (start_time_ms_ > 0) {
+    row["born"] = start_time_ms_.load();
   }
   return row;
 }
@@ -345,30 +347,31 @@
   return staged_;
 }
 
-void EndpointStandin::Spoil(std::size_t piece) {
+void EndpointStandin::CorruptChunk(std::size_t chunk) {
   const std::lock_guard lock(mutex_);
-  staged_.at(piece) += "spoilt";
+  staged_.at(chunk) += "spoilt";
 }
 
 void EndpointStandin::OnCall(const HttpExchangePtr& exchange) {
   const auto& path = exchange->request().path_;
   if (path == "/report") {
-    Report(exchange);
+    HandleReport(exchange);
   } else if (path == "/order") {
-    Order(exchange);
+    HandleOrder(exchange);
   } else if (path.starts_with("/stage-get/")) {
-    StageGet(exchange);
+    HandleStageGet(exchange);
   } else if (path.starts_with("/stage-put/")) {
     const std::lock_guard lock(mutex_);
-    staged_[NumberOr(Query(path, "sampleSize"), 0)] = exchange->request().body_;
+    staged_[NumberOr(QueryParameter(path, "sampleSize"), 0)] =
+        exchange->request().body_;
     exchange->Respond(200, {}, "");
   } else {
-    Run(exchange);
+    HandleRequest(exchange);
   }
 }
 
-void EndpointStandin::Report(const HttpExchangePtr& exchange) const {
-  ++reports_;
+void EndpointStandin::HandleReport(const HttpExchangePtr& exchange) const {
+  ++report_queries_;
   auto models = nlohmann::json::array();
   if (version_ > 0) {
     models.push_back({{"name", "m"}, {"version", version_.load()}});
@@ -376,24 +379,24 @@
   nlohmann::json report{{"stage", "both"},    {"models", models},
                         {"busySlots", false}, {"seq", orders_.load()},
                         {"queued", 0},        {"active", 0}};
-  if (born_ > 0) {
-    report["born"] = born_.load();
+  if (start_time_ms_ > 0) {
+    report["born"] = start_time_ms_.load();
   }
   RespondJson(exchange, report);
 }
 
-void EndpointStandin::Order(const HttpExchangePtr& exchange) {
+void EndpointStandin::HandleOrder(const HttpExchangePtr& exchange) {
   const auto order = nlohmann::json::parse(exchange->request().body_);
   ++orders_;
   version_ = order.at("version").get<std::uint64_t>();
   exchange->Respond(202, {}, "");
 }
 
-void EndpointStandin::StageGet(const HttpExchangePtr& exchange) const {
+void EndpointStandin::HandleStageGet(const HttpExchangePtr& exchange) const {
   const std::lock_guard lock(mutex_);
-  const auto piece =
-      NumberOr(Query(exchange->request().path_, "sampleSize"), 0);
-  const auto found = staged_.find(piece);
+  const auto chunk =
+      NumberOr(QueryParameter(exchange->request().path_, "sampleSize"), 0);
+  const auto found = staged_.find(chunk);
   if (found == staged_.end()) {
     exchange->Respond(404, {}, "");
   } else {
@@ -401,7 +404,7 @@
   }
 }
 
-void EndpointStandin::Run(const HttpExchangePtr& exchange) {
+void EndpointStandin::HandleRequest(const HttpExchangePtr& exchange) {
   const auto& request = exchange->request();
   const auto behaviour = behaviour_.load();
   const auto expected = FindHeader(request.headers_, "expect-instance");
@@ -422,20 +425,20 @@
                       "");
     return;
   }
-  const auto work = work_.load();
-  if (work > std::chrono::milliseconds(0)) {
-    thread_.loop().After(work,
+  const auto run_delay = run_delay_.load();
+  if (run_delay > std::chrono::milliseconds(0)) {
+    thread_.loop().After(run_delay,
                          [this, exchange, alive = std::weak_ptr<int>(alive_)] {
                            if (!alive.expired()) {
-                             Answer(exchange);
+                             RunRequest(exchange);
                            }
                          });
   } else {
-    Answer(exchange);
+    RunRequest(exchange);
   }
 }
 
-void EndpointStandin::Answer(const HttpExchangePtr& exchange) {
+void EndpointStandin::RunRequest(const HttpExchangePtr& exchange) {
   const auto& request = exchange->request();
   const auto behaviour = behaviour_.load();
   const std::string request_id(FindHeader(request.headers_, "attempt-id"));
@@ -452,13 +455,13 @@
   HttpHeaders headers{{"attempt-id", request_id},
                       {"response-seal", "s." + id_}};
   switch (behaviour) {
-    case Behaviour::kLose:
+    case Behaviour::kReset:
       exchange->End(false);
       return;
     case Behaviour::kFail:
       exchange->Respond(500, headers, "failed");
       return;
-    case Behaviour::kLateAnswer:
+    case Behaviour::kWrongAttemptId:
       headers[0].second = "another";
       exchange->Respond(200, headers, "of another request");
       return;
@@ -466,14 +469,14 @@
       exchange->Respond(200, {{"attempt-id", request_id}}, "not its own");
       return;
     case Behaviour::kHang:
-      held_.push_back(exchange);
-      exchange->OnAbort([this] { ++gone_; });
+      hanging_.push_back(exchange);
+      exchange->OnAbort([this] { ++cancelled_; });
       return;
     default:
       break;
   }
   if (request.path_.starts_with("/stream/")) {
-    Stream(exchange, behaviour == Behaviour::kCutStream);
+    RespondWithStream(exchange, behaviour == Behaviour::kTruncateStream);
   } else {
     exchange->Respond(200, headers, "answer to " + request.body_);
   }
@@ -485,7 +488,7 @@
   exchange->Start(200, {{"content-type", "text/event-stream"},
                         {"attempt-id", request_id},
                         {"response-seal", "s." + id_}});
-  // The head is on its way when the connections break.
+  // Leaves time for the response head to arrive before the connection closes.
   thread_.loop().After(kCrashDelay, [this, exchange, request_id,
                                      alive = std::weak_ptr<int>(alive_)] {
     if (alive.expired() || server_ == nullptr) {
@@ -496,18 +499,19 @@
     if (on_crash_) {
       on_crash_(request_id);
     }
-    // A process that ends may close its listener last.
-    thread_.loop().After(kListenerDelay,
+    // A process that ends may close its listener after its connections.
+    thread_.loop().After(kListenerCloseDelay,
                          [this, alive = std::weak_ptr<int>(alive_)] {
                            if (!alive.expired()) {
                              server_.reset();
-                             held_.clear();
+                             hanging_.clear();
                            }
                          });
   });
 }
 
-void EndpointStandin::Stream(const HttpExchangePtr& exchange, bool cut) {
+void EndpointStandin::RespondWithStream(const HttpExchangePtr& exchange,
+                                        bool truncate) {
   const auto& headers = exchange->request().headers_;
   const std::string request_id(FindHeader(headers, "attempt-id"));
   const auto last =
@@ -515,24 +519,24 @@
   exchange->Start(200, {{"content-type", "text/event-stream"},
                         {"attempt-id", request_id},
                         {"response-seal", "s." + id_}});
-  const auto end = cut ? kEvents / 2 : kEvents;
+  const auto end = truncate ? kStreamEvents / 2 : kStreamEvents;
   for (auto id = last + 1; id <= end; ++id) {
-    exchange->Write(Event(id));
+    exchange->Write(FormatEvent(id));
   }
-  if (!cut) {
+  if (!truncate) {
     exchange->End(true);
     return;
   }
   exchange->Write("id: " + std::to_string(end + 1) + "\nda");
-  // The bytes must arrive before the reset drops them.
+  // Leaves time for the bytes to arrive: a reset drops what is not delivered.
   thread_.loop().After(std::chrono::milliseconds(40),
                        [exchange] { exchange->End(false); });
 }
 
-OriginStandin::OriginStandin(LoopThread& thread, std::size_t pieces)
+OriginStandin::OriginStandin(LoopThread& thread, std::size_t chunk_count)
     : thread_(thread),
-      pieces_(pieces),
-      server_(Serve(thread, [this](const HttpExchangePtr& exchange) {
+      chunk_count_(chunk_count),
+      server_(StartServer(thread, [this](const HttpExchangePtr& exchange) {
         OnCall(exchange);
       })) {}
 
@@ -548,22 +552,22 @@
   return open;
 }
 
-std::string OriginStandin::Piece(std::uint64_t version, std::size_t piece) {
-  return "v" + std::to_string(version) + " piece " + std::to_string(piece);
+std::string OriginStandin::Chunk(std::uint64_t version, std::size_t chunk) {
+  return "v" + std::to_string(version) + " piece " + std::to_string(chunk);
 }
 
 void OriginStandin::OnCall(const HttpExchangePtr& exchange) {
   const auto& path = exchange->request().path_;
-  manifests_ += path.starts_with("/manifest/") ? 1 : 0;
+  manifest_requests_ += path.starts_with("/manifest/") ? 1 : 0;
   if (down_) {
     exchange->Respond(503, {}, "");
     return;
   }
-  const auto version = NumberOr(Query(path, "version"), 1);
+  const auto version = NumberOr(QueryParameter(path, "version"), 1);
   if (path.starts_with("/manifest/")) {
     auto digests = nlohmann::json::array();
-    for (std::size_t piece = 0; piece < pieces_; ++piece) {
-      digests.push_back(core::Digest::Sha256Of(Piece(version, piece)).ToHex());
+    for (std::size_t chunk = 0; chunk < chunk_count_; ++chunk) {
+      digests.push_back(core::Digest::Sha256Of(Chunk(version, chunk)).ToHex());
     }
     RespondJson(exchange, {{"model", "m"},
                            {"version", version},
@@ -572,9 +576,9 @@
                            {"digests", digests}});
     return;
   }
-  down_ = ++drawn_ == down_after_;
-  auto bytes = Piece(version, NumberOr(Query(path, "sampleSize"), 0));
-  if (spoil_.exchange(false)) {
+  down_ = ++chunks_served_ == down_after_;
+  auto bytes = Chunk(version, NumberOr(QueryParameter(path, "sampleSize"), 0));
+  if (corrupt_next_.exchange(false)) {
     bytes[0] = '?';
   }
   exchange->Respond(200, {}, bytes);
--- a/tests/platform/standins.hpp
+++ b/tests/platform/standins.hpp
@@ -1,5 +1,6 @@
-// Stand-ins of the users' platform, written from its published pages: store,
-// endpoints, source of weights. All run on one loop in a thread of their own.
+// Fakes of the external platform's HTTP services, written from its published
+// interface: configuration store, endpoints and weights origin. They share one
+// event loop on its own thread.
 #pragma once
 
 #include <atomic>
@@ -18,10 +19,13 @@
 
 namespace chalkwell::standins {
 
-/// Any free port of this machine.
+/// Lets the system choose a free loopback port.
 inline const daemon::Address kAnyPort{"127.0.0.1", 0};
 
-/// @brief A loop on a thread; what is built on it is touched only through Do.
+/// @brief Runs an event loop on its own thread.
+///
+/// Objects that belong to the loop are created, used and destroyed only in
+/// tasks passed to Do.
 class LoopThread {
  public:
   LoopThread();
@@ -30,7 +34,9 @@
   LoopThread& operator=(const LoopThread&) = delete;
 
   [[nodiscard]] daemon::Loop& loop() noexcept { return loop_; }
-  /// @brief Runs a task on the loop and waits for it.
+  /// @brief Runs a task on the loop thread and blocks until it has returned.
+  ///
+  /// Deadlocks when called on the loop thread itself.
   void Do(const std::function<void()>& task);
 
  private:
@@ -42,34 +48,40 @@
   std::thread thread_;
 };
 
-/// @brief The metadata store: read, page and watch.
+/// @brief Fake of the platform's configuration store: paged reads of a key
+/// prefix, and watches that wait for a change.
 class StoreStandin {
  public:
-  /// @param page items of one answer; few, so that paging is always tried.
+  /// @param page_size items in one response of a read; small, so that every
+  /// test exercises paging.
   explicit StoreStandin(LoopThread& thread,
                         const daemon::Address& listen = kAnyPort,
-                        std::size_t page = 2);
+                        std::size_t page_size = 2);
   ~StoreStandin();
 
   [[nodiscard]] std::string address() const;
+  /// @brief Sets a value under a new revision and responds to the watches of
+  /// its prefix.
   void Put(const std::string& key, const nlohmann::json& value);
+  /// @brief Removes a value under a new revision; watches keep waiting.
   void Remove(const std::string& key);
-  /// @brief While true every call gets 503.
+  /// @brief While true, every call gets 503.
   void SetBusy(bool busy) { busy_ = busy; }
-  /// @brief From now on this many of a thousand calls get 503.
-  void SetBusyShare(unsigned per_mille) { busy_share_ = per_mille; }
-  /// @brief From now on reads are answered so much later.
+  /// @brief Sets how many of 1000 calls get 503, chosen at random.
+  void SetBusyShare(unsigned per_mille) { rejected_per_mille_ = per_mille; }
+  /// @brief Delays the responses of reads; watches are not delayed.
   void SetDelay(std::chrono::milliseconds delay) { delay_ = delay; }
-  /// @brief Forgets its history once: the next watch gets 410.
-  void Forget() { forget_ = true; }
-  /// @brief Watches are taken and never answered, as on a connection that went
-  /// silent.
+  /// @brief The next watch gets 410, as after a compaction of the history.
+  void CompactHistory() { history_compacted_ = true; }
+  /// @brief From now on watches are accepted and never get a response, as on a
+  /// connection that delivers nothing more.
   void SetWatchesSilent() { watches_silent_ = true; }
   [[nodiscard]] std::uint64_t calls() const { return calls_; }
-  /// @brief Answers that carried a value below a prefix, reads and watches.
-  [[nodiscard]] int Told(const std::string& prefix) const;
-  /// @brief Watches of a prefix that wait for a change.
-  [[nodiscard]] int Watching(const std::string& prefix) const;
+  /// @brief Number of responses to reads and watches of a prefix that contained
+  /// at least one value.
+  [[nodiscard]] int ResponsesWithValues(const std::string& prefix) const;
+  /// @brief Number of watches of a prefix that wait for a change.
+  [[nodiscard]] int WaitingWatches(const std::string& prefix) const;
 
  private:
   struct Item {
@@ -83,51 +95,53 @@
   };
 
   void OnCall(const daemon::HttpExchangePtr& exchange);
-  void AnswerRange(const daemon::HttpExchangePtr& exchange);
-  bool AnswerWatch(const Watch& watch);
-  void WakeWatches();
+  void RespondToRange(const daemon::HttpExchangePtr& exchange);
+  /// @return false when nothing has changed since the watch's revision.
+  bool TryRespondToWatch(const Watch& watch);
+  void NotifyWatches();
 
   LoopThread& thread_;
-  std::size_t page_;
+  std::size_t page_size_;
   std::map<std::string, Item> items_;
   std::uint64_t revision_ = 0;
   std::vector<Watch> watches_;
-  /// Watches that are never answered.
-  std::vector<daemon::HttpExchangePtr> silent_;
+  /// Watches that never get a response.
+  std::vector<daemon::HttpExchangePtr> dropped_watches_;
   std::atomic<bool> busy_{false};
-  std::atomic<unsigned> busy_share_{0};
+  std::atomic<unsigned> rejected_per_mille_{0};
   std::atomic<std::chrono::milliseconds> delay_{};
   std::minstd_rand random_{1};
-  std::atomic<bool> forget_{false};
+  std::atomic<bool> history_compacted_{false};
   std::atomic<bool> watches_silent_{false};
   std::atomic<std::uint64_t> calls_{0};
-  /// By prefix that was asked for.
-  std::map<std::string, int> told_;
+  /// By requested prefix.
+  std::map<std::string, int> responses_with_values_;
   std::unique_ptr<daemon::Http1Server> server_;
-  /// Gone once answers that are still awaited must not touch this any more.
+  /// Timers hold weak references to it: they must not touch a destroyed object.
   std::shared_ptr<int> alive_ = std::make_shared<int>();
 };
 
-/// @brief How an endpoint treats requests.
+/// @brief How an endpoint handles requests.
 enum class Behaviour : std::uint8_t {
   kServe,
-  /// Says that it did not run the request.
+  /// Responds 503 and states that it did not run the request.
   kShed,
-  /// Runs it and resets without an answer.
-  kLose,
-  /// Runs it and answers a failure of its own.
+  /// Runs the request and resets the connection without a response.
+  kReset,
+  /// Runs the request and responds 500.
   kFail,
-  /// Sends half the events of a stream, the last one not whole, and resets.
-  kCutStream,
-  /// Answers in the name of another request first.
-  kLateAnswer,
-  /// Answers without its signature.
+  /// Sends half of a stream's events and a part of the next one, then resets.
+  kTruncateStream,
+  /// Runs the request and responds with the id of another attempt.
+  kWrongAttemptId,
+  /// Runs the request and responds without a signature.
   kUnsigned,
-  /// Begins to answer and never goes on.
+  /// Runs the request and never responds.
   kHang,
 };
 
-/// @brief A model engine or plain service.
+/// @brief Fake of an endpoint: a model engine, which also stages weights chunks
+/// and takes orders from its agent, or a plain service.
 class EndpointStandin {
  public:
   EndpointStandin(LoopThread& thread, std::string id,
@@ -136,64 +150,75 @@
 
   [[nodiscard]] const std::string& id() const { return id_; }
   [[nodiscard]] std::string address() const;
-  /// @brief Row as the endpoint writes it into the store.
+  /// @brief Row that the endpoint publishes in the store.
   [[nodiscard]] nlohmann::json Row(const std::string& service,
                                    const std::string& zone,
                                    const std::string& state = "ready") const;
   void SetBehaviour(Behaviour behaviour) { behaviour_ = behaviour; }
   void SetVersion(std::uint64_t version) { version_ = version; }
-  /// @brief A restarted endpoint: another id at the same address.
+  /// @brief Changes the instance id, as after a restart at the same address.
+  ///
+  /// Requests for another id get 421.
   void SetId(const std::string& id);
-  /// @brief Start of its life, as it tells it; 0 for one that does not.
-  void SetBorn(std::uint64_t born) { born_ = born; }
-  /// @brief The address that it names as its own, where a relay stands before
-  /// it.
-  void SetNamed(const std::string& address) { named_ = address; }
-  /// @brief From now on answers take so long.
-  void SetWork(std::chrono::milliseconds work) { work_ = work; }
-  /// @brief Told of each request that it did not refuse as another's, as it
-  /// arrives.
+  /// @brief Sets the start time of the incarnation that its row and reports
+  /// state.
+  /// @param start_time_ms since the Unix epoch; 0 to leave it out.
+  void SetBorn(std::uint64_t start_time_ms) { start_time_ms_ = start_time_ms; }
+  /// @brief Sets the address that its row states, for an endpoint behind a
+  /// relay.
+  void SetNamed(const std::string& address) { advertised_address_ = address; }
+  /// @brief Sets the time from the arrival of a request to its run and
+  /// response.
+  void SetWork(std::chrono::milliseconds run_delay) { run_delay_ = run_delay; }
+  /// @brief Sets a handler that is called on the loop, with the attempt id,
+  /// when a request arrives that expects this instance id and weights version.
   void OnArrival(std::function<void(const std::string& request)> handler);
-  /// @brief From now on its process ends as it begins a request whose body
-  /// holds this text; empty for never.
+  /// @brief From now on the endpoint crashes when it runs a request whose body
+  /// contains this text; empty for never.
   void CrashOn(const std::string& text);
-  /// @brief Called at each crash, on the loop, with the request's id.
+  /// @brief Sets a handler that is called on the loop, with the attempt id, at
+  /// each crash.
   void OnCrash(std::function<void(const std::string& request)> handler);
-  /// @brief Its process ends: connections break, new ones are refused.
+  /// @brief Closes all connections and the listener, as when its process ends.
   void Stop();
-  /// @brief Its process starts again, at the same address.
+  /// @brief Listens again, at the same address.
   void Start();
   [[nodiscard]] bool running();
   [[nodiscard]] std::uint64_t version() const { return version_; }
+  /// @brief Number of requests that ran.
   [[nodiscard]] int runs() const { return runs_; }
-  [[nodiscard]] int gone() const { return gone_; }
+  /// @brief Number of hanging requests whose connection was closed.
+  [[nodiscard]] int cancelled() const { return cancelled_; }
   [[nodiscard]] int crashes() const { return crashes_; }
-  /// @brief Times that its agent asked for its report.
-  [[nodiscard]] int reports() const { return reports_; }
+  /// @brief Number of times that its agent queried its report.
+  [[nodiscard]] int report_queries() const { return report_queries_; }
+  /// @brief Number of orders from its agent to switch weights.
   [[nodiscard]] std::uint64_t orders() const { return orders_; }
-  /// @brief Requests that ran, as they arrived.
+  /// @brief Requests that ran, in this order.
   [[nodiscard]] std::vector<daemon::HttpRequest> requests() const;
+  /// @brief Contents of the staged chunks, by index.
   [[nodiscard]] std::map<std::size_t, std::string> staged() const;
-  /// @brief Spoils a staged piece.
-  void Spoil(std::size_t piece);
+  /// @brief Changes the content of a staged chunk.
+  void CorruptChunk(std::size_t chunk);
 
  private:
   void OnCall(const daemon::HttpExchangePtr& exchange);
-  void Run(const daemon::HttpExchangePtr& exchange);
-  void Answer(const daemon::HttpExchangePtr& exchange);
-  void Stream(const daemon::HttpExchangePtr& exchange, bool cut);
+  void HandleRequest(const daemon::HttpExchangePtr& exchange);
+  void RunRequest(const daemon::HttpExchangePtr& exchange);
+  void RespondWithStream(const daemon::HttpExchangePtr& exchange,
+                         bool truncate);
   void Crash(const daemon::HttpExchangePtr& exchange);
-  void Report(const daemon::HttpExchangePtr& exchange) const;
-  void Order(const daemon::HttpExchangePtr& exchange);
-  void StageGet(const daemon::HttpExchangePtr& exchange) const;
+  void HandleReport(const daemon::HttpExchangePtr& exchange) const;
+  void HandleOrder(const daemon::HttpExchangePtr& exchange);
+  void HandleStageGet(const daemon::HttpExchangePtr& exchange) const;
 
   LoopThread& thread_;
   daemon::Address listen_;
   mutable std::mutex mutex_;
   std::string id_;
-  std::string named_;
-  std::atomic<std::uint64_t> born_{0};
-  std::atomic<std::chrono::milliseconds> work_{};
+  std::string advertised_address_;
+  std::atomic<std::uint64_t> start_time_ms_{0};
+  std::atomic<std::chrono::milliseconds> run_delay_{};
   std::function<void(const std::string&)> on_arrival_;
   std::string crash_text_;
   std::function<void(const std::string&)> on_crash_;
@@ -202,47 +227,49 @@
   std::atomic<std::uint64_t> version_{0};
   std::atomic<std::uint64_t> orders_{0};
   std::atomic<int> runs_{0};
-  std::atomic<int> gone_{0};
-  mutable std::atomic<int> reports_{0};
+  std::atomic<int> cancelled_{0};
+  mutable std::atomic<int> report_queries_{0};
   std::vector<daemon::HttpRequest> requests_;
   std::map<std::size_t, std::string> staged_;
-  std::vector<daemon::HttpExchangePtr> held_;
+  std::vector<daemon::HttpExchangePtr> hanging_;
   std::unique_ptr<daemon::Http1Server> server_;
-  /// Gone once answers that are still awaited must not touch this any more.
+  /// Timers hold weak references to it: they must not touch a destroyed object.
   std::shared_ptr<int> alive_ = std::make_shared<int>();
 };
 
-/// @brief The source of weights.
+/// @brief Fake of the weights origin; chunk contents follow from version and
+/// index.
 class OriginStandin {
  public:
-  OriginStandin(LoopThread& thread, std::size_t pieces);
+  OriginStandin(LoopThread& thread, std::size_t chunk_count);
   ~OriginStandin();
 
   [[nodiscard]] std::string address() const;
-  [[nodiscard]] static std::string Piece(std::uint64_t version,
-                                         std::size_t piece);
-  [[nodiscard]] int drawn() const { return drawn_; }
-  /// @brief Times that its manifest was asked for, refused ones included.
-  [[nodiscard]] int manifests() const { return manifests_; }
-  /// @brief Connections that are open, at rest or in use.
+  [[nodiscard]] static std::string Chunk(std::uint64_t version,
+                                         std::size_t chunk);
+  /// @brief Number of chunks sent, including corrupt ones.
+  [[nodiscard]] int chunks_served() const { return chunks_served_; }
+  /// @brief Number of manifest requests, including those that got 503.
+  [[nodiscard]] int manifest_requests() const { return manifest_requests_; }
+  /// @brief Number of open connections, idle ones included.
   [[nodiscard]] std::size_t connections();
-  /// @brief While true every call gets 503.
+  /// @brief While true, every call gets 503.
   void SetDown(bool down) { down_ = down; }
-  /// @brief After so many more pieces every call gets 503.
-  void GoDownAfter(int pieces) { down_after_ = drawn_ + pieces; }
-  /// @brief The next piece arrives spoilt.
-  void SpoilNext() { spoil_ = true; }
+  /// @brief Sends this many more chunks, then responds 503 to every call.
+  void GoDownAfter(int chunks) { down_after_ = chunks_served_ + chunks; }
+  /// @brief Changes a byte of the next chunk that it sends.
+  void CorruptNext() { corrupt_next_ = true; }
 
  private:
   void OnCall(const daemon::HttpExchangePtr& exchange);
 
   LoopThread& thread_;
-  std::size_t pieces_;
-  std::atomic<int> drawn_{0};
-  std::atomic<int> manifests_{0};
-  std::atomic<bool> spoil_{false};
+  std::size_t chunk_count_;
+  std::atomic<int> chunks_served_{0};
+  std::atomic<int> manifest_requests_{0};
+  std::atomic<bool> corrupt_next_{false};
   std::atomic<bool> down_{false};
-  /// Pieces after which it is down; 0 for never.
+  /// Value of chunks_served_ at which it goes down; 0 for never.
   std::atomic<int> down_after_{0};
   std::unique_ptr<daemon::Http1Server> server_;
 };
