--- a/packages/daemon/src/daemon/direct/adapter.hpp
+++ b/packages/daemon/src/daemon/direct/adapter.hpp
@@ -34,7 +34,8 @@
 
 /// @brief What an attempt requires of its endpoint.
 struct AttemptTerms {
-  /// The only incarnation that may run the request; any other refuses it.
+  /// Instance id of the only incarnation that may run the request; any other
+  /// refuses it.
   core::InstanceId incarnation_;
   /// The only weights version that may run the request; endpoints with another
   /// version refuse it.
@@ -54,7 +55,7 @@
   /// Refused because the endpoint has another incarnation or weights version
   /// than the attempt requires.
   bool mismatched_ = false;
-  /// The incarnation that responded, if stated.
+  /// Instance id of the incarnation that responded; empty if not stated.
   core::InstanceId incarnation_;
   /// Signed by the endpoint. Without it, something else on the path may have
   /// sent the response.
@@ -107,6 +108,7 @@
 struct StoreSnapshot {
   ReadOutcome outcome_ = ReadOutcome::kUnreachable;
   /// When the store was queried: the result was current at this time or later.
+  /// Set by the process that made the call; the adapter leaves it unset.
   core::TimePoint as_of_;
   /// Revision of the store when it replied.
   std::uint64_t revision_ = 0;
@@ -151,14 +153,23 @@
   std::map<std::string, std::uint64_t> model_versions_;
   /// Activation orders accepted in this incarnation.
   std::uint64_t activation_count_ = 0;
-  /// An activation is in progress.
+  /// Whether an activation is in progress.
   bool activating_ = false;
   /// Start of its incarnation; none if not reported.
   std::optional<core::StartTime> started_;
 };
 
 /// @brief Outcome of an activation order.
-enum class OrderOutcome : std::uint8_t { kStarted, kDone, kRefused, kLost };
+enum class OrderOutcome : std::uint8_t {
+  /// The engine accepted the order and carries it out after its response.
+  kStarted,
+  /// The engine had carried out the order when it responded.
+  kDone,
+  /// The engine responded with an error.
+  kRefused,
+  /// No complete response arrived; the engine may have accepted the order.
+  kNoReply
+};
 
 /// @brief Lists the chunks of a version.
 struct WeightsManifest {
@@ -168,10 +179,12 @@
   std::vector<core::Digest> chunk_digests_;
 };
 
-/// @brief Calls to the engine that an agent manages, and to the weight store.
+/// @brief Calls to the engine that an agent manages, and to the origin, the
+/// service from which all agents fetch weights.
 struct WeightsClient {
   std::function<void(std::function<void(std::optional<EngineReport>)>)> report_;
-  /// Asks the engine for its incarnation id; empty if not reported.
+  /// Requests the instance id of the engine's incarnation; empty if not
+  /// reported.
   std::function<void(const std::string& health_path,
                      std::function<void(core::InstanceId)>)>
       incarnation_;
@@ -187,19 +200,19 @@
   std::function<void(const std::string& model, std::size_t chunk,
                      std::function<void(std::optional<std::string>)>)>
       read_staged_chunk_;
-  /// Fetches a manifest from the weight store; version 0 asks for the newest.
+  /// Fetches a manifest from the origin; version 0 requests the newest.
   std::function<void(const Address& origin, const std::string& model,
                      std::uint64_t version,
                      std::function<void(std::optional<WeightsManifest>)>)>
       fetch_manifest_;
-  /// Fetches a chunk from the weight store.
+  /// Fetches a chunk from the origin.
   std::function<void(const Address& origin, const std::string& model,
                      std::uint64_t version, std::size_t chunk,
                      std::function<void(std::optional<std::string>)>)>
       fetch_chunk_;
 };
 
-/// @brief Functions of a deployment's adapter.
+/// @brief Functions that a deployment's adapter provides.
 struct Adapter {
   RequestCodec requests_;
   StoreClient store_;
--- a/packages/daemon/src/daemon/direct/chunk_exchange.hpp
+++ b/packages/daemon/src/daemon/direct/chunk_exchange.hpp
@@ -112,9 +112,10 @@
       const noexcept {
     return peers_;
   }
-  /// @brief Agents not known to serve a version yet, including this one. Most
-  /// agents are no neighbours and announce nothing to this one.
-  /// @param version 0 for any: then the agents that serve no version.
+  /// @brief Agents that may still need a version: this one, and all others
+  /// except those known to serve it or a newer one. Agents that are not
+  /// neighbours announce nothing to this one and so count as needing it.
+  /// @param version 0 for agents that are not known to serve any version.
   /// @param self_degraded whether the local link is degraded.
   [[nodiscard]] std::vector<swarm::SwarmMember> MembersLacking(
       std::uint64_t version, bool self_degraded) const;
@@ -128,8 +129,8 @@
   void CancelChunk(std::size_t chunk);
   /// @brief Cancels all chunk requests.
   void CancelChunks();
-  /// @brief Requests a manifest from a peer. A peer without it is not asked
-  /// again until it announces one.
+  /// @brief Requests a manifest from a peer. A peer without it is not
+  /// queried again until it announces one.
   void RequestManifest(
       const core::InstanceId& peer, const ChunkRequest& request,
       std::function<void(std::optional<WeightsManifest>)> done);
--- a/packages/daemon/src/daemon/direct/direct_agent.cpp
+++ b/packages/daemon/src/daemon/direct/direct_agent.cpp
@@ -30,7 +30,7 @@
 constexpr auto kAgentsInterval = milliseconds(1000);
 constexpr auto kIdleFactsInterval = milliseconds(5000);
 /// After this time without a message from any entry, the target version and the
-/// agents are read from the store. Entries ask for reports each second, and
+/// agents are read from the store. Entries subscribe each second, and
 /// first some 1.5 s after a start of all machines.
 constexpr auto kEntryTimeout = milliseconds(2000);
 /// Timeout of the read of small rules, which takes one round trip. Longer reads
@@ -85,8 +85,8 @@
       reader_(process.loop(), adapter_.store_,
               ReaderSettingsOf(process.settings()), process.log(),
               process.metrics(),
-              [this](Section, const StoreSnapshot& published) {
-                OnPublished(published);
+              [this](Section, const StoreSnapshot& snapshot) {
+                OnPublished(snapshot);
               }),
       mesh_(
           process.loop(), SelfMember(process),
@@ -99,7 +99,7 @@
                },
            .on_subscribe_ =
                [this](const membership::Member& entry) { OnSubscribe(entry); },
-           .on_agent_started_ = nullptr,
+           .on_agent_query_ = nullptr,
            .on_weights_ =
                [this](const std::string& model, std::uint64_t version) {
                  weights_.OnVersionPublished({model, version});
@@ -130,7 +130,7 @@
       process_.metrics(),
       {.not_ready_ =
            [this] {
-             return engine_answers_ ? "" : "the engine does not answer";
+             return engine_responds_ ? "" : "the engine does not respond";
            },
        .status_ = [this] { return Status(); },
        .refresh_ = [] {}});
@@ -145,7 +145,7 @@
 void DirectAgent::RefreshFacts() {
   const auto now = process_.loop().Now();
   ReadWithoutEntries(now);
-  const bool asked = facts_.Request();
+  const bool requested = facts_.Request();
   if (!model_.empty() && !weights_.NeedsOrigin()) {
     facts_timer_.Once(weights_.idle() ? kIdleFactsInterval : kAgentsInterval,
                       [this] { RefreshFacts(); });
@@ -154,7 +154,7 @@
   const auto waited = now - started_at_;
   const auto wait =
       process_.settings().Milliseconds("endpoint", "facts_wait_ms");
-  if (!asked && waited >= wait && !std::exchange(small_read_tried_, true)) {
+  if (!requested && waited >= wait && !std::exchange(small_read_tried_, true)) {
     // Entries may start after their agents. After a power loss of all machines
     // the first message from an entry came 0.4 s later, and engines started to
     // serve that much later.
@@ -192,21 +192,21 @@
   load.sent_ms_ = static_cast<std::uint64_t>(
       std::chrono::duration_cast<milliseconds>(now.time_since_epoch()).count());
   for (const auto& entry : subscribers_.CollectDue(changed, urgent, now)) {
-    load.incarnation_ = entry.full_ ? incarnation_.value() : "";
+    load.instance_id_ = entry.full_ ? incarnation_.value() : "";
     mesh_.SendReport(entry, load);
   }
 }
 
-void DirectAgent::OnPublished(const StoreSnapshot& published) {
-  if (published.rules_) {
-    if (const auto facts = FindEngineFacts(*published.rules_, service_)) {
+void DirectAgent::OnPublished(const StoreSnapshot& snapshot) {
+  if (snapshot.rules_) {
+    if (const auto facts = FindEngineFacts(*snapshot.rules_, service_)) {
       ApplyFacts(*facts);
     }
   }
-  if (!published.endpoints_.empty()) {
-    weights_.SetAgents(AgentAddressesOf(published.endpoints_, service_, mesh_));
+  if (!snapshot.endpoints_.empty()) {
+    weights_.SetAgents(AgentAddressesOf(snapshot.endpoints_, service_, mesh_));
   }
-  for (const auto& weights : published.weights_) {
+  for (const auto& weights : snapshot.weights_) {
     weights_.OnVersionPublished(weights);
   }
 }
@@ -237,9 +237,9 @@
 
 void DirectAgent::OnReport(const std::optional<EngineReport>& report) {
   const auto now = process_.loop().Now();
-  if (engine_answers_ != report.has_value()) {
-    engine_answers_ = report.has_value();
-    process_.log().Write(engine_answers_
+  if (engine_responds_ != report.has_value()) {
+    engine_responds_ = report.has_value();
+    process_.log().Write(engine_responds_
                              ? core::EventNumber::kEndpointReady
                              : core::EventNumber::kEngineUnreachable,
                          {{"endpoint", endpoint_}});
@@ -269,7 +269,7 @@
   if (held != report->model_versions_.end()) {
     load.version_ = held->second;
   }
-  orders_ = report->activation_count_;
+  activation_count_ = report->activation_count_;
   started_ = report->started_;
   version_ = load.version_;
   const bool changed = !last_load_ || !SameLoad(*last_load_, load);
@@ -287,7 +287,7 @@
   const auto held = report.model_versions_.find(model_);
   const auto version = held == report.model_versions_.end() ? 0 : held->second;
   return routing::StartTimesDiffer(report.started_, started_) ||
-         report.activation_count_ < orders_ || version < version_;
+         report.activation_count_ < activation_count_ || version < version_;
 }
 
 void DirectAgent::RequestIncarnation() {
--- a/packages/daemon/src/daemon/direct/direct_agent.hpp
+++ b/packages/daemon/src/daemon/direct/direct_agent.hpp
@@ -29,7 +29,7 @@
  private:
   void PollEngine();
   void OnReport(const std::optional<EngineReport>& report);
-  void OnPublished(const StoreSnapshot& published);
+  void OnPublished(const StoreSnapshot& snapshot);
   void ApplyFacts(const EngineFacts& facts);
   /// @brief Requests the facts of the engine's service and the list of agents,
   /// and schedules the next request.
@@ -71,14 +71,14 @@
   membership::ReportSubscribers subscribers_;
   /// The last report that differed from the one before it.
   std::optional<LoadMessage> last_load_;
-  bool engine_answers_ = false;
+  bool engine_responds_ = false;
   std::string health_path_;
   /// Incarnation of the engine; empty while it is not known.
   core::InstanceId incarnation_;
   core::TimePoint incarnation_requested_at_;
-  /// Start time, number of orders and version in the last report.
+  /// Start time, number of activation orders and version in the last report.
   std::optional<core::StartTime> started_;
-  std::uint64_t orders_ = 0;
+  std::uint64_t activation_count_ = 0;
   std::uint64_t version_ = 0;
   Timer poll_;
   Timer facts_timer_;
--- a/packages/daemon/src/daemon/direct/direct_entry.cpp
+++ b/packages/daemon/src/daemon/direct/direct_entry.cpp
@@ -77,27 +77,26 @@
                  std::random_device{}()),
       budget_(RetryBudgetOf(process.settings())),
       retry_jitter_(std::random_device{}()),
-      context_{process.loop(),
-               process.http(),
-               adapter_,
-               endpoints_,
-               budget_,
-               retry_jitter_,
-               quarantine_,
-               process.log(),
-               process.metrics(),
-               process.tracer(),
-               [this](const std::string& model) {
-                 return VersionConstraintFor(model);
-               },
-               [this](const std::string& service) {
-                 return ConnectionShare(service);
-               }},
+      context_{
+          process.loop(),
+          process.http(),
+          adapter_,
+          endpoints_,
+          budget_,
+          retry_jitter_,
+          quarantine_,
+          process.log(),
+          process.metrics(),
+          process.tracer(),
+          [this](const std::string& model) {
+            return VersionConstraintFor(model);
+          },
+          [this](const std::string& service) { return MaxInFlight(service); }},
       reader_(process.loop(), adapter_.store_,
               ReaderSettingsOf(process.settings()), process.log(),
               process.metrics(),
-              [this](Section section, const StoreSnapshot& published) {
-                OnPublished(section, published);
+              [this](Section section, const StoreSnapshot& snapshot) {
+                OnPublished(section, snapshot);
               }),
       mesh_(
           process.loop(), SelfOf(process), MeshSettingsOf(process.settings()),
@@ -105,7 +104,7 @@
           {.on_load_ = [this](const LoadMessage& load) { OnLoadReport(load); },
            .on_held_chunks_ = nullptr,
            .on_subscribe_ = nullptr,
-           .on_agent_started_ =
+           .on_agent_query_ =
                [this](const std::string& agent) {
                  // A new incarnation of an agent has no subscribers yet.
                  last_subscribed_.erase(agent);
@@ -141,14 +140,16 @@
                  quarantine_.OnRecords(sender, records, sent_at);
                },
            .crashes_ =
-               [this](std::size_t most) { return quarantine_.Sample(most); },
+               [this](std::size_t max_records) {
+                 return quarantine_.Sample(max_records);
+               },
            .rules_version_ = [this] { return rules_manager_.version(); },
            .watches_rules_ = [this] { return rules_manager_.is_watcher(); },
            .weights_ =
                [this] {
                  std::map<std::string, std::uint64_t> known;
-                 for (const auto& [model, target] : target_versions_) {
-                   known[model] = target.newest();
+                 for (const auto& [model, bound] : version_bounds_) {
+                   known[model] = bound.newest();
                  }
                  return known;
                }}),
@@ -168,8 +169,8 @@
             ApplyRules(rules, source);
           }),
       relay_(process.loop(), adapter_.store_, mesh_, process.log(),
-             [this](Section section, const StoreSnapshot& published) {
-               ApplyPublished(section, published, "peer");
+             [this](Section section, const StoreSnapshot& snapshot) {
+               ApplyPublished(section, snapshot, "peer");
              }),
       stop_timer_(process.loop()),
       relay_timer_(process.loop()),
@@ -177,7 +178,7 @@
 
 void DirectEntry::ApplySettings() {
   const auto& settings = process_.settings();
-  version_bound_ = VersionBoundOf(settings);
+  older_version_use_limit_ = OlderVersionUseLimitOf(settings);
   retry_reserve_ = settings.Real("requests", "retry_reserve");
   mesh_.SetSeeds(MeshSettingsOf(settings).seeds_);
 }
@@ -188,7 +189,7 @@
   const auto& settings = process_.settings();
   admin_server_ = OpenAdmin(
       loop, ParseAddress(settings.Text("listen", "admin")), process_.metrics(),
-      {.not_ready_ = [this] { return NotReady(); },
+      {.not_ready_ = [this] { return NotReadyReason(); },
        .status_ = [this] { return Status(); },
        .refresh_ = [this] { quarantine_.RefreshMetrics(); },
        .lift_quarantine_ =
@@ -224,7 +225,8 @@
   peer_server_ = std::make_unique<PeerServer>(
       loop, ParseAddress(settings.Text("listen", "peer")), kMaxPeerBody,
       [this](const PeerCallPtr& call) { OnPeerCall(call); });
-  relay_timer_.Every(kRelayInterval, [this] { ReadFromPeersIfCutOff(); });
+  relay_timer_.Every(kRelayInterval,
+                     [this] { ReadFromPeersIfStoreUnreachable(); });
   process_.OnReload([this] { ApplySettings(); });
   process_.OnResume([this] { mesh_.QuerySeed(); });
   mesh_.Start();
@@ -248,11 +250,11 @@
 }
 
 void DirectEntry::OnReadinessCheck(const HttpExchangePtr& exchange) {
-  const auto reason = NotReady();
+  const auto reason = NotReadyReason();
   exchange->Respond(reason.empty() ? 200 : kUnavailable, {}, reason);
 }
 
-std::string DirectEntry::NotReady() const {
+std::string DirectEntry::NotReadyReason() const {
   if (process_.stopping()) {
     return "stopping";
   }
@@ -275,16 +277,16 @@
   return limits;
 }
 
-void DirectEntry::OnPublished(Section section, const StoreSnapshot& published) {
+void DirectEntry::OnPublished(Section section, const StoreSnapshot& snapshot) {
   if (section == Section::kRules) {
-    rules_manager_.OnPublished(published);
+    rules_manager_.OnPublished(snapshot);
     return;
   }
-  relay_.Store(section, published);
-  ApplyPublished(section, published, std::string(kStoreSource));
+  relay_.Store(section, snapshot);
+  ApplyPublished(section, snapshot, std::string(kStoreSource));
 }
 
-void DirectEntry::ReadFromPeersIfCutOff() {
+void DirectEntry::ReadFromPeersIfStoreUnreachable() {
   const auto unreachable_for =
       process_.loop().Now() - reader_.reachable_since();
   if (!reader_.reachable() && unreachable_for >= kRelayInterval) {
@@ -292,22 +294,21 @@
   }
 }
 
-void DirectEntry::ApplyPublished(Section section,
-                                 const StoreSnapshot& published,
+void DirectEntry::ApplyPublished(Section section, const StoreSnapshot& snapshot,
                                  const std::string& source) {
-  for (const auto& weights : published.weights_) {
+  for (const auto& weights : snapshot.weights_) {
     ApplyTargetVersion(weights, source == kStoreSource);
   }
   if (section == Section::kEndpoints) {
-    endpoint_list_.ApplyRead(published, source == kStoreSource);
+    endpoint_list_.ApplyRead(snapshot, source == kStoreSource);
   }
 }
 
 void DirectEntry::OnPeerCall(const PeerCallPtr& call) {
-  const bool answered =
-      rules_manager_.Answer(call) || relay_.Answer(call) ||
+  const bool handled =
+      rules_manager_.HandleCall(call) || relay_.HandleCall(call) ||
       HandleFactsCall(call, rules_.rules(), endpoints_.Rows(), mesh_);
-  if (!answered) {
+  if (!handled) {
     call->Respond(kNotFound, "");
   }
 }
@@ -327,7 +328,7 @@
 
 void DirectEntry::ApplyTargetVersion(const TargetVersion& weights,
                                      bool from_store) {
-  if (!target_versions_[weights.model_].OnVersionPublished(
+  if (!version_bounds_[weights.model_].OnVersionPublished(
           weights.version_, process_.loop().Now())) {
     return;
   }
@@ -367,11 +368,11 @@
 
 routing::VersionConstraint DirectEntry::VersionConstraintFor(
     const std::string& model) const {
-  const auto found = target_versions_.find(model);
-  if (found == target_versions_.end()) {
+  const auto found = version_bounds_.find(model);
+  if (found == version_bounds_.end()) {
     return {};
   }
-  return found->second.ConstraintAt(version_bound_, kVersionMargin,
+  return found->second.ConstraintAt(older_version_use_limit_, kVersionMargin,
                                     process_.loop().Now());
 }
 
@@ -457,7 +458,7 @@
   routing::ChoiceRequest choice_request;
   choice_request.service_ = request.service_;
   choice_request.prompt_tokens_ = request.caller_.prompt_tokens_;
-  choice_request.max_in_flight_ = ConnectionShare(request.service_);
+  choice_request.max_in_flight_ = MaxInFlight(request.service_);
   if (request.engine_) {
     choice_request.engine_ = &*request.engine_;
     choice_request.version_constraint_ =
@@ -520,7 +521,7 @@
          static_cast<double>(mesh_.EntryCount());
 }
 
-std::uint32_t DirectEntry::ConnectionShare(const std::string& service) {
+std::uint32_t DirectEntry::MaxInFlight(const std::string& service) {
   const auto* found = rules_.FindService(service);
   if (found == nullptr || found->max_connections_ == 0) {
     return 0;
@@ -562,8 +563,8 @@
   }
   const nlohmann::json status{{"id", process_.id().value()},
                               {"domain", process_.domain().value()},
-                              {"ready", NotReady().empty()},
-                              {"not_ready_reason", NotReady()},
+                              {"ready", NotReadyReason().empty()},
+                              {"not_ready_reason", NotReadyReason()},
                               {"watching_platform", reader_.reachable()},
                               {"rules_version", rules_.rules().version_},
                               {"bundle_version", 0},
--- a/packages/daemon/src/daemon/direct/direct_entry.hpp
+++ b/packages/daemon/src/daemon/direct/direct_entry.hpp
@@ -40,7 +40,9 @@
  private:
   /// @brief Applies the settings that may change while the process runs.
   void ApplySettings();
-  void OnPublished(Section section, const StoreSnapshot& published);
+  /// @brief Handles a section that this process read from the store: rules go
+  /// to the rules manager, other sections are stored for peers and applied.
+  void OnPublished(Section section, const StoreSnapshot& snapshot);
   void ApplyRules(const config::TrafficRules& rules, const std::string& source);
   /// @brief Handles a call from another process of the system.
   void OnPeerCall(const PeerCallPtr& call);
@@ -49,10 +51,12 @@
   /// @brief Renews the due subscriptions to the load reports of the agents
   /// whose endpoints are in use.
   void Subscribe();
-  void ApplyPublished(Section section, const StoreSnapshot& published,
+  /// @brief Applies the target versions and the endpoint list of a section.
+  /// @param source "store", or "peer" when another entry read it.
+  void ApplyPublished(Section section, const StoreSnapshot& snapshot,
                       const std::string& source);
   /// @brief Queries a peer if the store has been unreachable for some time.
-  void ReadFromPeersIfCutOff();
+  void ReadFromPeersIfStoreUnreachable();
   void OnLoadReport(const LoadMessage& message);
   /// @param received_at when the request arrived; it may have waited for a
   /// newer endpoint list since.
@@ -68,11 +72,16 @@
   [[nodiscard]] std::optional<core::Duration> CheckAdmission(
       AdmittedDirectRequest& request, core::TimePoint now, std::string& reason);
   [[nodiscard]] HttpLimits Limits() const;
-  [[nodiscard]] std::string NotReady() const;
+  /// @brief Why this entry is not ready for requests; empty when it is.
+  [[nodiscard]] std::string NotReadyReason() const;
   [[nodiscard]] routing::VersionConstraint VersionConstraintFor(
       const std::string& model) const;
+  /// @brief Part of the retry reserve that this entry may use.
   [[nodiscard]] double RetryReserveShare();
-  [[nodiscard]] std::uint32_t ConnectionShare(const std::string& service);
+  /// @brief Limit of this entry's requests in flight at one endpoint of a
+  /// service: its part of the service's connection limit, at least 1; 0 for no
+  /// limit.
+  [[nodiscard]] std::uint32_t MaxInFlight(const std::string& service);
   void BeginStop();
   [[nodiscard]] std::string Status() const;
 
@@ -83,8 +92,8 @@
   routing::RetryBudget budget_;
   routing::RetryJitter retry_jitter_;
   routing::RequestAgeEstimator request_ages_;
-  /// By model.
-  std::map<std::string, rollout::VersionBound> target_versions_;
+  /// Published versions and when each was received, by model.
+  std::map<std::string, rollout::VersionBound> version_bounds_;
   /// Delay and order of load reports, by address of the endpoint.
   std::map<std::string, membership::PathDelay> path_delays_;
   std::map<std::string, membership::MessageOrder> report_orders_;
@@ -107,8 +116,9 @@
   std::size_t in_flight_ = 0;
   /// Time from the publication of a target version until no request may start
   /// on an older one.
-  core::Duration version_bound_{};
-  /// Retries that all entries together may make beyond the retry share.
+  core::Duration older_version_use_limit_{};
+  /// Retries that all entries together may make beyond the share of requests
+  /// that the setting `requests.retry_share` allows.
   double retry_reserve_ = 0;
 };
 
--- a/packages/daemon/src/daemon/direct/direct_request.cpp
+++ b/packages/daemon/src/daemon/direct/direct_request.cpp
@@ -45,7 +45,7 @@
   return std::to_string(std::chrono::duration_cast<milliseconds>(span).count());
 }
 
-/// How the connection of an attempt ended, for the log.
+/// How the connection of an attempt ended, as logged.
 std::string ConnectionEnd(const std::optional<HttpEnd>& end) {
   return end ? std::string(ToString(*end)) : "closed by this process";
 }
@@ -160,12 +160,13 @@
   options.connect_timeout_ = kConnectTimeout;
   options.silence_ = request_.deadline_ - now + milliseconds(1000);
   // While the connection is being opened, the endpoint may be removed from the
-  // list and the request may be quarantined.
+  // list and the request may be quarantined. MayRetry() has already considered
+  // the last attempt, so none is passed here.
   options.may_send_ = [this, self = shared_from_this(),
                        incarnation = row.incarnation()] {
     return context_.endpoints_.AcceptsRequests(incarnation,
                                                context_.loop_.Now()) &&
-           context_.quarantine_.MayRetry(request_.digest_, std::nullopt);
+           context_.quarantine_.MaySend(request_.digest_, std::nullopt);
   };
   options.is_ours_ = [this,
                       self = shared_from_this()](const HttpHeaders& headers) {
@@ -336,6 +337,7 @@
     return;
   }
   const auto body = std::exchange(attempt_.body_, {});
+  // No event of this response allows to resume it at another endpoint.
   if (tracker_.AcceptResponseBytes(attempt_.number_, 0)) {
     Forward(body);
   }
@@ -462,7 +464,7 @@
                                      context_.loop_.Now() - attempt_.sent_at_};
   const bool may_have_run = end == routing::AttemptEnd::kLost ||
                             end == routing::AttemptEnd::kFailedRan;
-  last_lost_attempt_ = may_have_run ? std::optional(attempt) : std::nullopt;
+  last_possible_run_ = may_have_run ? std::optional(attempt) : std::nullopt;
   if (attempt_.call_end_ == HttpEnd::kBroken) {
     context_.quarantine_.OnAttemptLost(attempt, attempt_.choice_.row_);
   }
@@ -474,7 +476,7 @@
 }
 
 bool DirectRequest::MayRetry(routing::RetryKind kind, core::TimePoint now) {
-  return context_.quarantine_.MayRetry(request_.digest_, last_lost_attempt_) &&
+  return context_.quarantine_.MaySend(request_.digest_, last_possible_run_) &&
          context_.budget_.TryConsume(kind, now);
 }
 
@@ -500,6 +502,8 @@
 
 void DirectRequest::OnDeadline() {
   past_deadline_ = true;
+  // An endpoint that has not responded by the deadline counts as failed; an
+  // attempt whose response has started is counted as cancelled by Perform().
   if (attempt_.call_ != nullptr && !attempt_.response_started_) {
     CountAttemptEnded(routing::EndpointOutcome::kFailed);
   }
@@ -524,14 +528,15 @@
   deadline_timer_.Cancel();
   response_timer_.Cancel();
   context_.quarantine_.OnEnded(quarantine_token_);
-  const bool answered = finish.outcome_ == routing::Outcome::kAnswered;
+  const bool completed = finish.outcome_ == routing::Outcome::kAnswered;
   if (response_started_) {
-    if (answered) {
+    if (completed) {
+      // Bytes after the last separator belong to a complete stream.
       exchange_->Write(attempt_.streaming_ ? events_.partial_event()
                                            : attempt_.body_);
     }
-    exchange_->End(answered);
-  } else if (answered) {
+    exchange_->End(completed);
+  } else if (completed) {
     ForwardBufferedResponse();
   } else {
     RespondFailure(finish);
@@ -546,7 +551,7 @@
                        {"attempts", std::to_string(tracker_.attempt())},
                        {"past_deadline", past_deadline_ ? "yes" : "no"},
                        {"took_ms", Millis(elapsed)}});
-  context_.tracer_.End(span_, answered);
+  context_.tracer_.End(span_, completed);
   exchange_.reset();
   const auto done = std::move(done_);
   done();
--- a/packages/daemon/src/daemon/direct/direct_request.hpp
+++ b/packages/daemon/src/daemon/direct/direct_request.hpp
@@ -157,8 +157,9 @@
   bool response_started_ = false;
   bool ended_ = false;
   bool past_deadline_ = false;
-  /// The last attempt if the endpoint may have run the request.
-  std::optional<routing::LostAttempt> last_lost_attempt_;
+  /// The last attempt if the endpoint may have run the request: its connection
+  /// broke, it was abandoned, or it ended with an error response.
+  std::optional<routing::LostAttempt> last_possible_run_;
   QuarantineManager::Token quarantine_token_ = 0;
   /// The last error response that an endpoint sent after running the request.
   std::optional<HttpResponse> last_failure_;
--- a/packages/daemon/src/daemon/direct/direct_settings.cpp
+++ b/packages/daemon/src/daemon/direct/direct_settings.cpp
@@ -5,8 +5,8 @@
 namespace {
 
 constexpr double kBytesPerMegabit = 125'000;
-/// Used when no bound is set; longer than any process runs.
-constexpr core::Duration kNoBound = std::chrono::hours(10'000);
+/// Used when no limit is set; longer than any process runs.
+constexpr core::Duration kNoUseLimit = std::chrono::hours(10'000);
 
 }  // namespace
 
@@ -15,9 +15,9 @@
                                     kBytesPerMegabit);
 }
 
-core::Duration VersionBoundOf(const Settings& settings) {
-  const auto bound = settings.Milliseconds("rollout", "version_bound_ms");
-  return bound == core::Duration{} ? kNoBound : bound;
+core::Duration OlderVersionUseLimitOf(const Settings& settings) {
+  const auto limit = settings.Milliseconds("rollout", "version_bound_ms");
+  return limit == core::Duration{} ? kNoUseLimit : limit;
 }
 
 routing::RetryBudgetSettings RetryBudgetOf(const Settings& settings) {
--- a/packages/daemon/src/daemon/direct/direct_settings.hpp
+++ b/packages/daemon/src/daemon/direct/direct_settings.hpp
@@ -12,7 +12,7 @@
 
 /// @brief Time from the publication of a target version until no request may
 /// start on an older one; practically unbounded if 0 is set.
-[[nodiscard]] core::Duration VersionBoundOf(const Settings& settings);
+[[nodiscard]] core::Duration OlderVersionUseLimitOf(const Settings& settings);
 [[nodiscard]] routing::RetryBudgetSettings RetryBudgetOf(
     const Settings& settings);
 [[nodiscard]] PublishedReaderSettings ReaderSettingsOf(
--- a/packages/daemon/src/daemon/direct/endpoint_list.cpp
+++ b/packages/daemon/src/daemon/direct/endpoint_list.cpp
@@ -1,5 +1,5 @@
-// The designated reader publishes every read, also one without changes: it
-// shows the other entries that they need not read.
+// The designated reader publishes every read, also one without changes, so that
+// the other entries need not read the list themselves.
 #include "daemon/direct/endpoint_list.hpp"
 
 #include <algorithm>
@@ -66,23 +66,23 @@
   unknown_rows_ = std::move(unknown);
 }
 
-void EndpointList::ApplyRead(StoreSnapshot published, bool from_store) {
-  RemoveUnknownServices(published.endpoints_);
+void EndpointList::ApplyRead(StoreSnapshot snapshot, bool from_store) {
+  RemoveUnknownServices(snapshot.endpoints_);
   const auto now = loop_.Now();
   const auto before = endpoints_.Rows();
-  outage_.OnListReceived(published.as_of_, now);
+  outage_.OnListReceived(snapshot.as_of_, now);
   const bool complete = !outage_.LeasesMayHaveExpired(now);
-  endpoints_.ApplyList(published.endpoints_, published.revision_, complete, now,
-                       published.as_of_);
-  endpoints_.ConfirmAsOf(published.as_of_);
+  endpoints_.ApplyList(snapshot.endpoints_, snapshot.revision_, complete, now,
+                       snapshot.as_of_);
+  endpoints_.ConfirmAsOf(snapshot.as_of_);
   const auto after = endpoints_.Rows();
   if (before != after) {
     LogChange(from_store ? "store" : "peer");
-    TellDeparted(before, after);
+    PublishDeparted(before, after);
   }
   if (from_store) {
     reader_role_.OnRead(now);
-    PublishRead(published, complete);
+    PublishRead(snapshot, complete);
     RunWaitingIfFresh();
   }
 }
@@ -117,10 +117,10 @@
   }
 }
 
-void EndpointList::PublishRead(const StoreSnapshot& published, bool complete) {
-  auto change = history_.OnRead(published.revision_, published.endpoints_,
+void EndpointList::PublishRead(const StoreSnapshot& snapshot, bool complete) {
+  auto change = history_.OnRead(snapshot.revision_, snapshot.endpoints_,
                                 complete, loop_.Now());
-  change.as_of_ = published.as_of_;
+  change.as_of_ = snapshot.as_of_;
   if (reader_role_.IsReader(loop_.Now()) &&
       change.rows_.size() <= kMaxDeltaRows) {
     mesh_.PublishList(ToMessage(change, loop_.Now()));
@@ -180,17 +180,17 @@
               {"source", source}});
 }
 
-void EndpointList::TellDeparted(
+void EndpointList::PublishDeparted(
     const std::vector<routing::EndpointRow>& before,
     const std::vector<routing::EndpointRow>& after) {
   DepartedMessage departed;
   for (const auto& row : before) {
-    const auto now =
+    const auto current =
         std::ranges::find(after, row.id_, &routing::EndpointRow::id_);
-    if (now == after.end()) {
+    if (current == after.end()) {
       departed.removed_.push_back(ToMessage(row.incarnation()));
-    } else if (now->leaving_ && !row.leaving_) {
-      departed.leaving_.push_back(ToMessage(now->incarnation()));
+    } else if (current->leaving_ && !row.leaving_) {
+      departed.leaving_.push_back(ToMessage(current->incarnation()));
     }
   }
   if (!departed.leaving_.empty() || !departed.removed_.empty()) {
--- a/packages/daemon/src/daemon/direct/endpoint_list.hpp
+++ b/packages/daemon/src/daemon/direct/endpoint_list.hpp
@@ -50,7 +50,7 @@
   /// writer, and such a row with the address of a valid endpoint would hide the
   /// latter.
   /// @param from_store whether this process read the list itself.
-  void ApplyRead(StoreSnapshot published, bool from_store);
+  void ApplyRead(StoreSnapshot snapshot, bool from_store);
   /// @brief Applies a list message: a read of the sender or one it forwards, or
   /// a failed read.
   /// @param sent_at when the message was sent, by the local clock.
@@ -71,9 +71,11 @@
  private:
   /// @brief Publishes a read of this process if it is the designated reader.
   /// @param complete false when leases may have expired during a store outage.
-  void PublishRead(const StoreSnapshot& published, bool complete);
-  void TellDeparted(const std::vector<routing::EndpointRow>& before,
-                    const std::vector<routing::EndpointRow>& after);
+  void PublishRead(const StoreSnapshot& snapshot, bool complete);
+  /// @brief Publishes the endpoints that a change of the list shows to be
+  /// draining or removed.
+  void PublishDeparted(const std::vector<routing::EndpointRow>& before,
+                       const std::vector<routing::EndpointRow>& after);
   /// @brief Number of remote failure domains that precede the local one in the
   /// priority order of readers.
   [[nodiscard]] std::size_t DomainsAhead() const;
--- a/packages/daemon/src/daemon/direct/engine_facts.cpp
+++ b/packages/daemon/src/daemon/direct/engine_facts.cpp
@@ -1,5 +1,5 @@
 // Each agent has its own priority order of entries, so that agents that start
-// together ask different ones.
+// together query different ones.
 #include "daemon/direct/engine_facts.hpp"
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 constexpr std::string_view kFactsPath = "/v1/engine-facts";
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
-/// After this time without a response, the next entry is asked: a few hundred
+/// After this time without a response, the next entry is queried: a few hundred
 /// bytes take some 10 ms.
 constexpr auto kResponseTimeout = std::chrono::milliseconds(700);
 
--- a/packages/daemon/src/daemon/direct/engine_facts.hpp
+++ b/packages/daemon/src/daemon/direct/engine_facts.hpp
@@ -29,7 +29,7 @@
   std::uint32_t chunks_ = 0;
   /// Path of the engine's health check.
   std::string health_path_;
-  /// Address of the weights' origin, "ip:port".
+  /// Address of the origin of the weights, "ip:port"; empty when not known.
   std::string origin_;
   /// Empty when the requester has them already or when they are not known.
   AgentAddresses agents_;
--- a/packages/daemon/src/daemon/direct/mesh_messages.cpp
+++ b/packages/daemon/src/daemon/direct/mesh_messages.cpp
@@ -161,7 +161,7 @@
   if (message.version_ > 0) {
     report.weights_version_ = message.version_;
   }
-  report.incarnation_ = core::InstanceId(message.incarnation_);
+  report.incarnation_ = core::InstanceId(message.instance_id_);
   report.started_ = ToStartTime(message.started_ms_);
   report.path_delay_ =
       outbound + std::chrono::milliseconds(message.inbound_ms_);
--- a/packages/daemon/src/daemon/direct/mesh_messages.hpp
+++ b/packages/daemon/src/daemon/direct/mesh_messages.hpp
@@ -27,12 +27,16 @@
 /// @brief Wire form of a member.
 struct MemberMessage {
   std::string id_;
+  /// Random number that the process draws when it starts.
   std::uint64_t incarnation_ = 0;
   std::uint8_t kind_ = 0;
   std::string domain_;
   std::string address_;
   std::uint64_t heartbeat_ = 0;
   bool leaving_ = false;
+  /// Live entries that the member knows in its own failure domain, including
+  /// itself; 0 if it does not report them. The size of the deployment is
+  /// computed from these.
   std::uint32_t local_members_ = 0;
   MSGPACK_DEFINE(id_, incarnation_, kind_, domain_, address_, heartbeat_,
                  leaving_, local_members_)
@@ -47,20 +51,21 @@
   bool accepting_ = true;
   /// 0 while the engine holds no complete weights.
   std::uint64_t version_ = 0;
-  /// Slowdown of the engine, in thousandths.
+  /// Duration of an engine step relative to the engine's profile, in
+  /// thousandths; above 1000 the engine is slower.
   std::uint32_t slowdown_ = 1000;
   /// Send time, by the agent's steady clock.
   std::uint64_t sent_ms_ = 0;
   /// Queueing delay of the agent's link for inbound traffic, which also delays
   /// requests.
   std::uint32_t inbound_ms_ = 0;
-  /// Incarnation of the engine; empty when unknown, and omitted from most
-  /// reports.
-  std::string incarnation_;
+  /// Instance id of the engine; empty when unknown, and omitted from most
+  /// reports. With the start time it identifies the incarnation.
+  std::string instance_id_;
   /// Start time of the engine; 0 when unknown.
   std::int64_t started_ms_ = 0;
   MSGPACK_DEFINE(endpoint_, active_, queued_, accepting_, version_, slowdown_,
-                 sent_ms_, inbound_ms_, incarnation_, started_ms_)
+                 sent_ms_, inbound_ms_, instance_id_, started_ms_)
 };
 
 /// @brief Chunks of a version that an agent can serve to its peers.
@@ -68,6 +73,7 @@
   std::string model_;
   std::uint64_t version_ = 0;
   std::uint32_t chunks_ = 0;
+  /// Held chunks, as encoded by swarm::ChunkSet::ToBytes().
   std::string bits_;
   /// Version that the agent's engine serves; 0 for none.
   std::uint64_t serving_ = 0;
@@ -78,6 +84,7 @@
   bool degraded_ = false;
   /// Another version of which the agent can serve chunks; 0 for none.
   std::uint64_t older_version_ = 0;
+  /// As `bits_`.
   std::string older_bits_;
   bool has_older_manifest_ = false;
   MSGPACK_DEFINE(model_, version_, chunks_, bits_, serving_, has_manifest_,
@@ -121,7 +128,7 @@
                  age_ms_)
 };
 
-/// @brief Wire form of an endpoint incarnation.
+/// @brief Wire form of an endpoint incarnation: instance id and start time.
 struct IncarnationMessage {
   std::string id_;
   /// 0 when unknown.
@@ -143,6 +150,7 @@
   std::string reporter_;
   /// Time since the crash, at the time of sending.
   std::uint64_t age_ms_ = 0;
+  /// The crash is no longer attributed to the request.
   bool cleared_ = false;
   /// Time that the request had been in flight at the endpoint.
   std::uint64_t elapsed_ms_ = 0;
--- a/packages/daemon/src/daemon/direct/mesh_node.cpp
+++ b/packages/daemon/src/daemon/direct/mesh_node.cpp
@@ -24,10 +24,10 @@
 /// their publication receives them within a few rounds.
 constexpr std::size_t kGossipCrashRecords = 8;
 constexpr std::size_t kReplyCrashRecords = 24;
-/// Rounds at the start that ask a seed, whether or not the seeds reply.
+/// Rounds at the start that query a seed, whether or not the seeds reply.
 constexpr unsigned kStartupRounds = 6;
 constexpr auto kStartupInterval = std::chrono::milliseconds(150);
-/// Rounds after which a delegate asks a seed, so that parts of a deployment
+/// Rounds after which a delegate queries a seed, so that parts of a deployment
 /// that were partitioned for longer than a lease rediscover each other.
 constexpr unsigned kSeedRounds = 5;
 
@@ -111,7 +111,7 @@
     }
   }
   metrics_.Set("members", {}, static_cast<double>(table_.Live().size()));
-  traffic_.Tell(loop_.Now());
+  traffic_.Report(loop_.Now());
   const bool starting = (IsEntry() && ++startup_rounds_ < kStartupRounds) ||
                         table_.Live().empty();
   timer_.Once(starting ? core::Duration(kStartupInterval) : settings_.interval_,
@@ -215,7 +215,7 @@
 void MeshNode::LogMember(core::EventNumber event,
                          const membership::Member& member) {
   // Agents do not log members: the entries that use an engine change all the
-  // time, and an agent logged 7,200 losses on a day without any.
+  // time, and an agent logged 7,200 losses on a day when no entry had ended.
   if (IsEntry()) {
     log_.Write(event,
                {{"member", member.id_.value()}, {"address", member.address_}});
@@ -260,13 +260,13 @@
   if (agent) {
     if (message.requests_reply_ && IsEntry()) {
       Reply(sender);
-      if (hooks_.on_agent_started_) {
-        hooks_.on_agent_started_(sender.address_);
+      if (hooks_.on_agent_query_) {
+        hooks_.on_agent_query_(sender.address_);
       }
     }
     return;
   }
-  // New members ask several times, since each reply may hold more members.
+  // New members request several replies, since each may hold more members.
   const bool joined = Merge(sender) == membership::MergeOutcome::kJoined;
   if (IsEntry() && (joined || message.requests_reply_)) {
     Reply(sender);
@@ -387,7 +387,7 @@
 
 void MeshNode::AnnounceVersions(
     const std::vector<membership::Member>& members) {
-  SendTo(TrafficKind::kNotification, members, MakeMessage());
+  SendTo(TrafficKind::kVersions, members, MakeMessage());
 }
 
 void MeshNode::AnnounceVersions() {
--- a/packages/daemon/src/daemon/direct/mesh_node.hpp
+++ b/packages/daemon/src/daemon/direct/mesh_node.hpp
@@ -1,7 +1,8 @@
 // Mesh of a deployment's processes: membership, load reports of endpoints, and
 // the chunks of weights that agents hold. Everything is sent as datagrams; a
-// later datagram makes up for a lost one. Entries are members and know each
-// other; an agent knows only the entries that use its endpoint.
+// later datagram makes up for a lost one. Only entries are in the member table
+// and know each other. An agent knows only the entries that use its endpoint;
+// its messages describe it by a Member, too, which is not merged.
 #pragma once
 
 #include <cstdint>
@@ -27,26 +28,32 @@
 /// @brief Settings of a node.
 struct MeshSettings {
   Address listen_;
-  /// Addresses asked for members at the start. Only the IP address is used,
+  /// Addresses queried for members at the start. Only the IP address is used,
   /// since all processes of a deployment listen on the same port.
   std::vector<Address> seeds_;
+  /// Interval between gossip rounds.
   core::Duration interval_ = std::chrono::milliseconds(1000);
 };
 
 /// @brief Hooks of a node.
 struct MeshHooks {
+  /// An agent sent a load report of its engine.
   std::function<void(const LoadMessage& load)> on_load_;
+  /// An agent announced the chunks that it holds.
   std::function<void(const membership::Member& sender,
                      const HeldChunksMessage& held)>
       on_held_chunks_;
   /// An entry subscribed to this agent's reports.
   std::function<void(const membership::Member& entry)> on_subscribe_;
-  /// An agent that has just started, or whose endpoint no entry uses, asked
-  /// this entry for a reply.
-  std::function<void(const std::string& address)> on_agent_started_;
+  /// An agent that knows no entries, because it has just started or no entry
+  /// uses its endpoint, requested a reply from this entry.
+  std::function<void(const std::string& address)> on_agent_query_;
+  /// A process announced the newest weights version that it knows.
   std::function<void(const std::string& model, std::uint64_t version)>
       on_weights_;
+  /// The lease of a member expired.
   std::function<void(const membership::Member& member)> on_lost_;
+  /// An entry published draining or removed endpoints.
   std::function<void(const DepartedMessage& departed)> on_departed_;
   /// @param sent_at when the list was sent, by the local clock. It may be well
   /// before the call: datagrams queue in the network, and in the socket while
@@ -146,7 +153,7 @@
   [[nodiscard]] core::Duration InboundDelay() const {
     return inbound_.At(loop_.Now());
   }
-  /// @brief Asks the next seed for members, as at the start.
+  /// @brief Queries the next seed for members, as at the start.
   void QuerySeed();
 
  private:
@@ -191,13 +198,13 @@
   Metrics& metrics_;
   MeshHooks hooks_;
   TrafficCounter traffic_;
-  /// By address and incarnation of the sender.
+  /// Delay of messages, by address and incarnation of the sender.
   std::map<std::pair<std::string, std::uint64_t>, membership::PathDelay> paths_;
   membership::LinkDelay inbound_;
   std::unique_ptr<UdpSocket> socket_;
   Timer timer_;
   unsigned startup_rounds_ = 0;
-  /// Index of the next seed; seeds are asked round-robin.
+  /// Index of the next seed; seeds are queried round-robin.
   std::size_t next_seed_ = 0;
   core::TimePoint last_domain_announcement_;
   /// Gossip rounds so far.
--- a/packages/daemon/src/daemon/direct/published_reader.cpp
+++ b/packages/daemon/src/daemon/direct/published_reader.cpp
@@ -19,8 +19,8 @@
 /// Interval of checking whether a poll is due: its due time may move forward.
 constexpr auto kPollCheckInterval = std::chrono::milliseconds(200);
 
-std::string_view ToString(ReadOutcome end) {
-  switch (end) {
+std::string_view ToString(ReadOutcome outcome) {
+  switch (outcome) {
     case ReadOutcome::kRead:
       return "read";
     case ReadOutcome::kUnchanged:
@@ -133,12 +133,12 @@
   call_count_.OnCall(section, StoreCallCause::kSingleRead);
   const auto cancel = store_.read_(
       section,
-      [this, section, asked_at = loop_.Now()](StoreSnapshot published) {
+      [this, section, requested_at = loop_.Now()](StoreSnapshot snapshot) {
         reads_in_flight_.erase(section);
-        CountResponse(section, published);
-        if (published.outcome_ == ReadOutcome::kRead) {
-          published.as_of_ = asked_at;
-          handler_(section, published);
+        CountResponse(section, snapshot);
+        if (snapshot.outcome_ == ReadOutcome::kRead) {
+          snapshot.as_of_ = requested_at;
+          handler_(section, snapshot);
         }
       });
   if (!timeout) {
@@ -154,12 +154,12 @@
 }
 
 void PublishedReader::CountResponse(Section section,
-                                    const StoreSnapshot& published) {
+                                    const StoreSnapshot& snapshot) {
   metrics_.Count("store_answers_total",
                  {{"section", std::string(ToString(section))},
-                  {"end", std::string(ToString(published.outcome_))}});
-  auto bytes = published.encoded_rules_.size();
-  for (const auto& page : published.encoded_pages_) {
+                  {"end", std::string(ToString(snapshot.outcome_))}});
+  auto bytes = snapshot.encoded_rules_.size();
+  for (const auto& page : snapshot.encoded_pages_) {
     bytes += page.size();
   }
   metrics_.Count("store_document_bytes_total",
@@ -174,12 +174,12 @@
     return;
   }
   task.call_pending_ = true;
-  task.asked_at_ = loop_.Now();
+  task.requested_at_ = loop_.Now();
   call_count_.OnCall(task.section_, CauseOf(task));
-  task.cancel_ = SendCall(task, [this, &task](StoreSnapshot published) {
+  task.cancel_ = SendCall(task, [this, &task](StoreSnapshot snapshot) {
     task.call_pending_ = false;
-    published.as_of_ = task.asked_at_;
-    OnResponse(task, published);
+    snapshot.as_of_ = task.requested_at_;
+    OnResponse(task, snapshot);
   });
 }
 
@@ -207,30 +207,30 @@
   task.call_pending_ = true;
   call_count_.OnCall(Section::kWeights, StoreCallCause::kProbe);
   task.cancel_ = store_.read_(
-      Section::kWeights, [this, &task](const StoreSnapshot& published) {
+      Section::kWeights, [this, &task](const StoreSnapshot& snapshot) {
         task.call_pending_ = false;
-        CountResponse(Section::kWeights, published);
-        task.failed_ = published.outcome_ == ReadOutcome::kUnreachable;
+        CountResponse(Section::kWeights, snapshot);
+        task.failed_ = snapshot.outcome_ == ReadOutcome::kUnreachable;
         SetReachable(!task.failed_);
         Schedule(task, !task.failed_, false);
       });
 }
 
-void PublishedReader::OnResponse(Task& task, const StoreSnapshot& published) {
-  CountResponse(task.section_, published);
-  LogDecodeErrors(task.section_, published.decode_errors_);
+void PublishedReader::OnResponse(Task& task, const StoreSnapshot& snapshot) {
+  CountResponse(task.section_, snapshot);
+  LogDecodeErrors(task.section_, snapshot.decode_errors_);
   const bool first = task.revision_ == 0;
-  switch (published.outcome_) {
+  switch (snapshot.outcome_) {
     case ReadOutcome::kRead:
       SetReachable(true);
       last_read_ = loop_.Now();
-      task.revision_ = std::max(task.revision_, published.revision_);
-      handler_(task.section_, published);
+      task.revision_ = std::max(task.revision_, snapshot.revision_);
+      handler_(task.section_, snapshot);
       break;
     case ReadOutcome::kUnchanged:
       SetReachable(true);
       last_read_ = loop_.Now();
-      task.revision_ = std::max(task.revision_, published.revision_);
+      task.revision_ = std::max(task.revision_, snapshot.revision_);
       break;
     case ReadOutcome::kCompacted:
       SetReachable(true);
@@ -245,7 +245,7 @@
       }
       break;
   }
-  task.failed_ = published.outcome_ == ReadOutcome::kUnreachable;
+  task.failed_ = snapshot.outcome_ == ReadOutcome::kUnreachable;
   if (task.failed_ && task.on_failed_) {
     task.on_failed_();
   }
@@ -253,20 +253,20 @@
 }
 
 void PublishedReader::LogDecodeErrors(Section section,
-                                      const std::vector<std::string>& faults) {
+                                      const std::vector<std::string>& errors) {
   auto& known = decode_errors_[section];
   std::size_t new_errors = 0;
-  for (const auto& error : faults) {
+  for (const auto& error : errors) {
     if (!known.contains(error) && ++new_errors <= kMaxLoggedErrors) {
       log_.Write(core::EventNumber::kDocumentRefused,
                  {{"section", std::string(ToString(section))},
                   {"reason", error},
-                  {"faults", std::to_string(faults.size())}});
+                  {"faults", std::to_string(errors.size())}});
     }
   }
-  known = {faults.begin(), faults.end()};
+  known = {errors.begin(), errors.end()};
   metrics_.Set("store_faults", {{"section", std::string(ToString(section))}},
-               static_cast<double>(faults.size()));
+               static_cast<double>(errors.size()));
 }
 
 void PublishedReader::Schedule(Task& task, bool succeeded, bool first) {
@@ -287,7 +287,7 @@
 }
 
 void PublishedReader::PollWhenDue(Task& task) {
-  const auto due = task.asked_at_ + task.interval_();
+  const auto due = task.requested_at_ + task.interval_();
   const auto now = loop_.Now();
   if (now >= due) {
     if (!task.call_pending_) {
--- a/packages/daemon/src/daemon/direct/published_reader.hpp
+++ b/packages/daemon/src/daemon/direct/published_reader.hpp
@@ -72,11 +72,13 @@
   [[nodiscard]] core::TimePoint reachable_since() const noexcept {
     return reachable_since_;
   }
+  /// @brief When a read or watch last succeeded.
   [[nodiscard]] core::TimePoint last_read() const noexcept {
     return last_read_;
   }
 
  private:
+  /// A watched or polled section.
   struct Task {
     Task(Loop& loop, Section section, bool watched, core::Duration wait);
     Section section_;
@@ -93,7 +95,8 @@
     bool call_pending_ = false;
     /// Cancels the call in flight.
     CancelCall cancel_;
-    core::TimePoint asked_at_;
+    /// When the last call was sent.
+    core::TimePoint requested_at_;
     /// Polled sections only.
     std::function<core::Duration()> interval_;
     std::function<void()> on_failed_;
@@ -106,14 +109,14 @@
   void Probe(Task& task);
   void CancelCallInFlight(Task& task);
   void PollWhenDue(Task& task);
-  void OnResponse(Task& task, const StoreSnapshot& published);
+  void OnResponse(Task& task, const StoreSnapshot& snapshot);
   /// @param first whether the section was read for the first time.
   void Schedule(Task& task, bool succeeded, bool first);
   [[nodiscard]] static StoreCallCause CauseOf(const Task& task);
   /// @brief Logs values that cannot be decoded; each is logged once until its
   /// error changes or disappears.
-  void LogDecodeErrors(Section section, const std::vector<std::string>& faults);
-  void CountResponse(Section section, const StoreSnapshot& published);
+  void LogDecodeErrors(Section section, const std::vector<std::string>& errors);
+  void CountResponse(Section section, const StoreSnapshot& snapshot);
   void SetReachable(bool reachable);
 
   Loop& loop_;
--- a/packages/daemon/src/daemon/direct/published_relay.cpp
+++ b/packages/daemon/src/daemon/direct/published_relay.cpp
@@ -27,16 +27,16 @@
       log_(log),
       handler_(std::move(handler)) {}
 
-void PublishedRelay::Store(Section section, const StoreSnapshot& published) {
+void PublishedRelay::Store(Section section, const StoreSnapshot& snapshot) {
   auto& stored = sections_[section];
-  if (published.encoded_pages_.empty() ||
-      published.revision_ < stored.revision_) {
+  if (snapshot.encoded_pages_.empty() ||
+      snapshot.revision_ < stored.revision_) {
     return;
   }
-  stored = {published.revision_, published.encoded_pages_, published.as_of_};
+  stored = {snapshot.revision_, snapshot.encoded_pages_, snapshot.as_of_};
 }
 
-bool PublishedRelay::Answer(const PeerCallPtr& call) {
+bool PublishedRelay::HandleCall(const PeerCallPtr& call) {
   if (call->path() != kPublishedPath) {
     return false;
   }
@@ -48,7 +48,7 @@
     if (known == request.known_.end() || known->second < stored.revision_) {
       response.revisions_[number] = stored.revision_;
       response.pages_[number] = stored.pages_;
-      response.ages_ms_[number] = ToAgeMs(loop_.Now() - stored.asked_at_);
+      response.ages_ms_[number] = ToAgeMs(loop_.Now() - stored.as_of_);
     }
   }
   const auto packed = Pack(response);
@@ -78,18 +78,18 @@
   }
   request_pending_ = true;
   connection->Ask(std::string(kPublishedPath), Pack(request),
-                  [this, peer = member.id_.value(), asked_at = loop_.Now()](
+                  [this, peer = member.id_.value(), requested_at = loop_.Now()](
                       PeerEnd end, int status, const std::string& body) {
                     request_pending_ = false;
                     if (end == PeerEnd::kWhole && status == kOk) {
-                      OnResponse(body, peer, asked_at);
+                      OnResponse(body, peer, requested_at);
                     }
                   });
 }
 
 void PublishedRelay::OnResponse(const std::string& body,
                                 const std::string& peer,
-                                core::TimePoint asked_at) {
+                                core::TimePoint requested_at) {
   const auto deflated = Unpack<DeflatedResponse>(body, peer);
   const auto packed = deflated.size_ <= kMaxPackedBytes
                           ? Inflate(deflated.bytes_, deflated.size_)
@@ -101,20 +101,20 @@
   const auto response = Unpack<PublishedResponse>(*packed, peer);
   for (const auto& [number, pages] : response.pages_) {
     const auto section = static_cast<Section>(number);
-    auto published = store_.decode_(section, pages);
-    if (published.outcome_ != ReadOutcome::kRead) {
+    auto snapshot = store_.decode_(section, pages);
+    if (snapshot.outcome_ != ReadOutcome::kRead) {
       continue;
     }
     const auto age = response.ages_ms_.find(number);
     if (age != response.ages_ms_.end()) {
-      published.as_of_ = asked_at - ToAge(age->second);
+      snapshot.as_of_ = requested_at - ToAge(age->second);
     }
     log_.Write(core::EventNumber::kLearnedFromPeer,
                {{"peer", peer},
                 {"section", std::to_string(number)},
-                {"revision", std::to_string(published.revision_)}});
-    Store(section, published);
-    handler_(section, published);
+                {"revision", std::to_string(snapshot.revision_)}});
+    Store(section, snapshot);
+    handler_(section, snapshot);
   }
 }
 
--- a/packages/daemon/src/daemon/direct/published_relay.hpp
+++ b/packages/daemon/src/daemon/direct/published_relay.hpp
@@ -50,24 +50,25 @@
                  EventLog& log, Handler handler);
 
   /// @brief Stores a full section for peers; a delta or older one is ignored.
-  void Store(Section section, const StoreSnapshot& published);
+  void Store(Section section, const StoreSnapshot& snapshot);
   /// @brief Requests newer sections from one live entry, unless a request is in
   /// flight.
   void Fetch();
-  /// @brief Answers a peer's call.
+  /// @brief Responds to a peer's call.
   /// @return false when the call is not a request for published sections.
-  bool Answer(const PeerCallPtr& call);
+  bool HandleCall(const PeerCallPtr& call);
 
  private:
   struct StoredSection {
     std::uint64_t revision_ = 0;
     std::vector<std::string> pages_;
-    core::TimePoint asked_at_;
+    /// When the store was queried.
+    core::TimePoint as_of_;
   };
 
-  /// @param asked_at when the request was sent to the peer.
+  /// @param requested_at when the request was sent to the peer.
   void OnResponse(const std::string& body, const std::string& peer,
-                  core::TimePoint asked_at);
+                  core::TimePoint requested_at);
 
   Loop& loop_;
   const StoreClient& store_;
--- a/packages/daemon/src/daemon/direct/quarantine_manager.cpp
+++ b/packages/daemon/src/daemon/direct/quarantine_manager.cpp
@@ -14,7 +14,7 @@
 using routing::Standing;
 using std::chrono::milliseconds;
 
-/// A probe that is neither accepted nor refused within this time is
+/// A probe whose connection is neither accepted nor refused within this time is
 /// inconclusive.
 constexpr auto kProbeTimeout = milliseconds(400);
 /// Probes of an address that does not refuse the connection. One is not enough:
@@ -94,7 +94,7 @@
   return std::nullopt;
 }
 
-bool QuarantineManager::MayRetry(
+bool QuarantineManager::MaySend(
     const RequestDigest& request,
     const std::optional<routing::LostAttempt>& last) const {
   const auto now = loop_.Now();
@@ -169,17 +169,18 @@
       loop_, ParseAddress(endpoint.address_), settings,
       [this, endpoint, probes_left](bool) {
         const auto probe = probes_.extract(endpoint.id_);
-        const bool refused = probe && probe.mapped()->refused();
+        const bool connection_refused = probe && probe.mapped()->refused();
         if (probe) {
           probe.mapped()->Close();
         }
-        OnProbed(endpoint, refused, probes_left);
+        OnProbed(endpoint, connection_refused, probes_left);
       });
 }
 
 void QuarantineManager::OnProbed(const routing::EndpointRow& endpoint,
-                                 bool refused, unsigned probes_left) {
-  if (refused) {
+                                 bool connection_refused,
+                                 unsigned probes_left) {
+  if (connection_refused) {
     OnEndpointCrashed(endpoint.incarnation(), "connection refused");
   } else if (probes_left > 1) {
     loop_.After(kProbeInterval, [this, endpoint, probes_left] {
@@ -385,10 +386,11 @@
   }
 }
 
-std::vector<CrashRecordMessage> QuarantineManager::Sample(std::size_t most) {
+std::vector<CrashRecordMessage> QuarantineManager::Sample(
+    std::size_t max_records) {
   const auto now = loop_.Now();
   std::vector<CrashRecordMessage> messages;
-  for (const auto& record : quarantine_.Sample(most)) {
+  for (const auto& record : quarantine_.Sample(max_records)) {
     messages.push_back(ToMessage(record, now));
   }
   return messages;
--- a/packages/daemon/src/daemon/direct/quarantine_manager.hpp
+++ b/packages/daemon/src/daemon/direct/quarantine_manager.hpp
@@ -41,10 +41,11 @@
   /// @brief Why a request must not be sent now; nothing if it may be.
   [[nodiscard]] std::optional<QuarantineRefusal> RefusalOf(
       const routing::RequestDigest& request) const;
-  /// @brief Whether a request may be sent to another endpoint on behalf of the
-  /// same call.
-  /// @param last the last attempt if the endpoint may have run it.
-  [[nodiscard]] bool MayRetry(
+  /// @brief Whether an admitted request may be sent to an endpoint now, as a
+  /// first attempt or as a retry.
+  /// @param last the request's last attempt if the endpoint may have run it,
+  /// none otherwise. It counts as a crash while the endpoint is being probed.
+  [[nodiscard]] bool MaySend(
       const routing::RequestDigest& request,
       const std::optional<routing::LostAttempt>& last) const;
 
@@ -69,7 +70,7 @@
                  const std::vector<CrashRecordMessage>& records,
                  core::TimePoint sent_at);
   /// @brief Samples records to send to another entry by gossip.
-  [[nodiscard]] std::vector<CrashRecordMessage> Sample(std::size_t most);
+  [[nodiscard]] std::vector<CrashRecordMessage> Sample(std::size_t max_records);
 
   /// @brief Lifts the quarantine of a request, here and at all other entries.
   /// @return false if no crash is attributed to the request.
@@ -89,7 +90,9 @@
   /// @param probes_left how often the address is probed at most, this probe
   /// included.
   void Probe(const routing::EndpointRow& endpoint, unsigned probes_left);
-  void OnProbed(const routing::EndpointRow& endpoint, bool refused,
+  /// @param connection_refused whether the address refused the probe's
+  /// connection, which shows a crash.
+  void OnProbed(const routing::EndpointRow& endpoint, bool connection_refused,
                 unsigned probes_left);
   void OnEndpointCrashed(const routing::EndpointIncarnation& endpoint,
                          const std::string& evidence);
--- a/packages/daemon/src/daemon/direct/rules_exchange.cpp
+++ b/packages/daemon/src/daemon/direct/rules_exchange.cpp
@@ -96,7 +96,7 @@
   return responses_[key] = Pack(response);
 }
 
-bool RulesExchange::Answer(const PeerCallPtr& call) {
+bool RulesExchange::HandleCall(const PeerCallPtr& call) {
   if (call->path() != kRulesPath) {
     return false;
   }
--- a/packages/daemon/src/daemon/direct/rules_exchange.hpp
+++ b/packages/daemon/src/daemon/direct/rules_exchange.hpp
@@ -62,9 +62,9 @@
 
   /// @brief Stores a newer active document.
   void Add(RulesDocument document);
-  /// @brief Answers a peer's call.
+  /// @brief Responds to a peer's call.
   /// @return false when the call is not a request for rules.
-  bool Answer(const PeerCallPtr& call);
+  bool HandleCall(const PeerCallPtr& call);
   /// @brief Fetches rules newer than the stored ones from a peer.
   void Fetch(const std::string& address, Done done);
 
--- a/packages/daemon/src/daemon/direct/rules_manager.cpp
+++ b/packages/daemon/src/daemon/direct/rules_manager.cpp
@@ -47,11 +47,11 @@
   tick_.Every(kRoleCheckInterval, [this] { Tick(); });
 }
 
-void RulesManager::OnPublished(const StoreSnapshot& published) {
-  if (published.rules_) {
-    Apply(*published.rules_,
-          {published.rules_->version_, published.revision_,
-           published.encoded_rules_},
+void RulesManager::OnPublished(const StoreSnapshot& snapshot) {
+  if (snapshot.rules_) {
+    Apply(*snapshot.rules_,
+          {snapshot.rules_->version_, snapshot.revision_,
+           snapshot.encoded_rules_},
           std::string(kStoreSource));
   }
 }
@@ -112,12 +112,12 @@
     announced_at_ = {};
   }
   const bool announces = watcher_role_.MustAnnounce(now);
-  const core::Duration longest = watcher_role_.WatcherCount(now) == 1
-                                     ? kSoleWatcherWait
-                                     : kSharedWatcherWait;
+  const core::Duration max_wait = watcher_role_.WatcherCount(now) == 1
+                                      ? kSoleWatcherWait
+                                      : kSharedWatcherWait;
   for (const auto section : kWatchedSections) {
     reader_.SetWatchWait(
-        section, announces ? std::min(longest, reader_.default_watch_wait())
+        section, announces ? std::min(max_wait, reader_.default_watch_wait())
                            : reader_.default_watch_wait());
   }
   const auto announced =
@@ -158,8 +158,8 @@
     peer_selector_.OnFetchEnded(peer, false, now);
     return;
   }
-  const auto published = store_.decode_rules_(document->text_);
-  const bool newer = published.rules_ && published.rules_->version_ > version_;
+  const auto snapshot = store_.decode_rules_(document->text_);
+  const bool newer = snapshot.rules_ && snapshot.rules_->version_ > version_;
   peer_selector_.OnFetchEnded(peer, newer, now);
   if (!newer) {
     return;
@@ -168,7 +168,7 @@
              {{"peer", peer.value()},
               {"section", "rules"},
               {"revision", std::to_string(document->revision_)}});
-  Apply(*published.rules_, std::move(*document), std::string(kPeerSource));
+  Apply(*snapshot.rules_, std::move(*document), std::string(kPeerSource));
 }
 
 }  // namespace chalkwell::daemon::direct
--- a/packages/daemon/src/daemon/direct/rules_manager.hpp
+++ b/packages/daemon/src/daemon/direct/rules_manager.hpp
@@ -32,7 +32,7 @@
 
   void Start();
   /// @brief The reader received the rules section.
-  void OnPublished(const StoreSnapshot& published);
+  void OnPublished(const StoreSnapshot& snapshot);
   /// @brief A member announced the version of its active rules.
   /// @param watches whether the member watches the rules in the store.
   void OnVersionAnnounced(const membership::Member& member,
@@ -40,9 +40,11 @@
   void OnMemberLost(const membership::Member& member) {
     peer_selector_.OnPeerLost(member.id_);
   }
-  /// @brief Answers a peer's call.
+  /// @brief Responds to a peer's call.
   /// @return false when the call is not a request for rules.
-  bool Answer(const PeerCallPtr& call) { return exchange_.Answer(call); }
+  bool HandleCall(const PeerCallPtr& call) {
+    return exchange_.HandleCall(call);
+  }
 
   /// @brief Version of the active rules; 0 for none.
   [[nodiscard]] std::uint64_t version() const noexcept { return version_; }
@@ -72,7 +74,9 @@
   RulesExchange exchange_;
   std::uint64_t version_ = 0;
   bool is_watcher_ = true;
+  /// When this entry, as a watcher, last announced its versions.
   core::TimePoint announced_at_;
+  /// When the rules were last read because a newer version was overdue.
   core::TimePoint read_at_;
   Timer tick_;
 };
--- a/packages/daemon/src/daemon/direct/traffic_counter.cpp
+++ b/packages/daemon/src/daemon/direct/traffic_counter.cpp
@@ -14,6 +14,7 @@
 
 }  // namespace
 
+// Operators' tools read these texts as metric labels and log fields.
 std::string_view ToString(TrafficKind kind) {
   switch (kind) {
     case TrafficKind::kReport:
@@ -24,7 +25,7 @@
       return "gossip";
     case TrafficKind::kReply:
       return "answer";
-    case TrafficKind::kNotification:
+    case TrafficKind::kVersions:
       return "news";
     case TrafficKind::kList:
       return "list";
@@ -66,7 +67,7 @@
   }
 }
 
-void TrafficCounter::Tell(core::TimePoint now) {
+void TrafficCounter::Report(core::TimePoint now) {
   for (const auto& sum : unreported_.remote_) {
     remote_bytes_ += sum.bytes_;
   }
@@ -96,7 +97,7 @@
               {"subscription", bytes(TrafficKind::kSubscription)},
               {"gossip", bytes(TrafficKind::kGossip)},
               {"answer", bytes(TrafficKind::kReply)},
-              {"news", bytes(TrafficKind::kNotification)},
+              {"news", bytes(TrafficKind::kVersions)},
               {"list", bytes(TrafficKind::kList)},
               {"departed", bytes(TrafficKind::kDeparted)},
               {"held", bytes(TrafficKind::kHeldChunks)}});
--- a/packages/daemon/src/daemon/direct/traffic_counter.hpp
+++ b/packages/daemon/src/daemon/direct/traffic_counter.hpp
@@ -18,7 +18,8 @@
   kSubscription,
   kGossip,
   kReply,
-  kNotification,
+  /// Announcement of the known versions of rules and weights.
+  kVersions,
   kList,
   kDeparted,
   kHeldChunks,
@@ -39,7 +40,7 @@
     received_bytes_ += bytes + kHeaderBytes;
   }
   /// @brief Updates the metrics, and writes the log line when it is due.
-  void Tell(core::TimePoint now);
+  void Report(core::TimePoint now);
 
  private:
   struct Sum {
--- a/packages/daemon/src/daemon/direct/weights_manager.cpp
+++ b/packages/daemon/src/daemon/direct/weights_manager.cpp
@@ -18,7 +18,7 @@
 /// on a link of 7 Mbit/s.
 constexpr auto kAnnounceInterval = milliseconds(120);
 /// Unchanged state is repeated because datagrams get lost. The interval is
-/// longer while idle, since newcomers get a reply to their own announcement.
+/// longer while idle, since new peers get a reply to their own announcement.
 constexpr auto kRepeatInterval = milliseconds(1000);
 constexpr auto kIdleRepeatInterval = milliseconds(3000);
 /// A chunk that no local member holds is imported by the next member in rank
@@ -66,13 +66,13 @@
     : process_(process),
       client_(client),
       mesh_(mesh),
-      peers_(process, client, mesh, MakeChunkProvider()),
-      manifest_search_({peers_.self(), process.domain()}),
-      planner_({peers_.self(), process.domain()}, PlannerSettingsOf(),
+      exchange_(process, client, mesh, MakeChunkProvider()),
+      manifest_search_({exchange_.self(), process.domain()}),
+      planner_({exchange_.self(), process.domain()}, PlannerSettingsOf(),
                std::random_device{}()),
       origin_backoff_(kOriginBackoff, std::random_device{}()),
       window_(WindowSettingsOf(process.settings())),
-      rollout_slots_(peers_.self(), kMaxDrainingShare, kSlotLease),
+      rollout_slots_(exchange_.self(), kMaxDrainingShare, kSlotLease),
       tick_(process.loop()) {
   tick_.Every(kTickInterval, [this] { Tick(); });
 }
@@ -105,7 +105,7 @@
   phase_since_ = process_.loop().Now();
   if (phase == Phase::kIdle) {
     ++fetch_id_;
-    peers_.CancelChunks();
+    exchange_.CancelChunks();
     switching_ = false;
   }
 }
@@ -121,8 +121,8 @@
   const auto version = held == report.model_versions_.end() ? 0 : held->second;
   const bool restarted =
       routing::StartTimesDiffer(report.started_, last_started_) ||
-      report.activation_count_ < last_orders_;
-  last_orders_ = report.activation_count_;
+      report.activation_count_ < last_activation_count_;
+  last_activation_count_ = report.activation_count_;
   last_started_ = report.started_;
   engine_reported_ = true;
   if (restarted) {
@@ -142,7 +142,7 @@
   const bool superseded = version > 0 && version >= fetch_target_.version_;
   if (superseded && phase_ != Phase::kIdle && !report.activating_) {
     SetPhase(Phase::kIdle);
-    rollout_slots_.OnServing(peers_.self(), version, process_.loop().Now());
+    rollout_slots_.OnServing(exchange_.self(), version, process_.loop().Now());
   }
 }
 
@@ -208,7 +208,7 @@
   manifest_.reset();
   held_ = {};
   origin_chunks_.clear();
-  staging_ = 0;
+  staging_reads_ = 0;
   verified_all_ = false;
   manifest_search_.Start(process_.loop().Now());
   SetPhase(Phase::kManifest);
@@ -220,7 +220,7 @@
 }
 
 void WeightsManager::SetAgents(const AgentAddresses& agents) {
-  peers_.SetAgents(agents);
+  exchange_.SetAgents(agents);
 }
 
 HeldChunksMessage WeightsManager::MakeHeldMessage(core::TimePoint now) const {
@@ -237,13 +237,13 @@
 }
 
 std::set<core::InstanceId> WeightsManager::AnnounceTargets() const {
-  const swarm::SwarmMember self{peers_.self(), process_.domain()};
-  const auto& neighbours = peers_.neighbours();
+  const swarm::SwarmMember self{exchange_.self(), process_.domain()};
+  const auto& neighbours = exchange_.neighbours();
   std::set<core::InstanceId> targets(neighbours.begin(), neighbours.end());
   for (const auto chunk : origin_chunks_) {
     if (manifest_ && held_.Has(chunk)) {
       targets.merge(swarm::ImportersOf(manifest_->chunk_digests_[chunk].ToHex(),
-                                       self, peers_.agents()));
+                                       self, exchange_.agents()));
     }
   }
   return targets;
@@ -256,7 +256,7 @@
   }
   const auto held = MakeHeldMessage(announced_at_);
   for (const auto& agent : AnnounceTargets()) {
-    peers_.AnnounceTo(agent, held);
+    exchange_.AnnounceTo(agent, held);
   }
 }
 
--- a/packages/daemon/src/daemon/direct/weights_manager.hpp
+++ b/packages/daemon/src/daemon/direct/weights_manager.hpp
@@ -41,7 +41,7 @@
   /// @brief Sets the agents of the service, including this one.
   void SetAgents(const AgentAddresses& agents);
   [[nodiscard]] bool KnowsAgents() const noexcept {
-    return peers_.knows_agents();
+    return exchange_.knows_agents();
   }
   void OnHeld(const membership::Member& sender, const HeldChunksMessage& held);
   void OnReport(const EngineReport& report);
@@ -103,7 +103,7 @@
   [[nodiscard]] std::uint64_t HeldVersion() const noexcept {
     return manifest_ ? manifest_->version_ : serving_;
   }
-  /// @brief Returns the callbacks through which `peers_` serves chunks and
+  /// @brief Returns the callbacks through which `exchange_` serves chunks and
   /// manifests of this agent.
   [[nodiscard]] ChunkProvider MakeChunkProvider();
   void RequestManifest();
@@ -161,11 +161,14 @@
   /// Newest version published, as far as this agent knows.
   TargetVersion target_;
   /// Version that is fetched or was fetched last: `target_`, or an older one
-  /// that an engine without weights loads first.
+  /// that an engine without weights loads first. Its version is 0 while no
+  /// target version is known: the newest is fetched then, and its manifest
+  /// states the version.
   TargetVersion fetch_target_;
   OlderWeights older_;
   swarm::OriginProgress progress_;
-  core::TimePoint considered_at_;
+  /// When an older version was last considered.
+  core::TimePoint older_considered_at_;
   /// Whether the engine refused an older version or its fetch took too long;
   /// reset when the engine restarts.
   bool older_refused_ = false;
@@ -175,7 +178,8 @@
   rollout::VersionBound version_bound_;
   /// 0 while the engine serves no complete version.
   std::uint64_t serving_ = 0;
-  std::uint64_t last_orders_ = 0;
+  /// Activation orders and start time in the engine's last report.
+  std::uint64_t last_activation_count_ = 0;
   std::optional<core::StartTime> last_started_;
   bool engine_reported_ = false;
   Phase phase_ = Phase::kIdle;
@@ -187,11 +191,14 @@
   std::optional<WeightsManifest> manifest_;
   /// Chunks that are verified and staged at the engine.
   swarm::ChunkSet held_;
-  std::size_t staging_ = 0;
-  ChunkExchange peers_;
+  /// 1 while the chunks that were staged before a restart are read one by one
+  /// and verified, else 0.
+  std::size_t staging_reads_ = 0;
+  ChunkExchange exchange_;
   swarm::ManifestSearch manifest_search_;
   swarm::Planner planner_;
-  /// Chunks that this agent fetched from the origin during this fetch.
+  /// Chunks whose request to the origin has ended during this fetch, also those
+  /// that failed: only held ones are announced to importers.
   std::set<std::size_t> origin_chunks_;
   /// Backoff of origin requests while they fail.
   core::Backoff origin_backoff_;
--- a/packages/daemon/src/daemon/direct/weights_manager_fetch.cpp
+++ b/packages/daemon/src/daemon/direct/weights_manager_fetch.cpp
@@ -13,16 +13,17 @@
 }  // namespace
 
 std::vector<swarm::SwarmMember> WeightsManager::MembersLacking() const {
-  return peers_.MembersLacking(fetch_target_.version_,
-                               window_.LinkDegraded(process_.loop().Now()));
+  return exchange_.MembersLacking(fetch_target_.version_,
+                                  window_.LinkDegraded(process_.loop().Now()));
 }
 
 std::size_t WeightsManager::ManifestRank() const {
   const auto item = model_ + ":" + std::to_string(fetch_target_.version_);
-  const auto own = core::RendezvousScore(item, peers_.self().value());
+  const auto own = core::RendezvousScore(item, exchange_.self().value());
   const auto members = MembersLacking();
-  // Ranked within each failure domain, so one member of each asks the origin at
-  // once: manifest holders are announced to neighbours only.
+  // Ranked within the local failure domain, so that in each domain one member
+  // requests the manifest from the origin without waiting for other domains:
+  // holders announce to neighbours only.
   return static_cast<std::size_t>(
       std::ranges::count_if(members, [&](const swarm::SwarmMember& member) {
         return member.domain_ == process_.domain() &&
@@ -32,7 +33,7 @@
 
 std::vector<swarm::SwarmMember> WeightsManager::ManifestHolders() const {
   std::vector<swarm::SwarmMember> holders;
-  for (const auto& [id, peer] : peers_.peers()) {
+  for (const auto& [id, peer] : exchange_.peers()) {
     const bool any = fetch_target_.version_ == 0 && peer.held_.has_manifest_;
     const bool has =
         peer.held_.model_ == model_ &&
@@ -47,7 +48,7 @@
 void WeightsManager::RequestManifest() {
   const auto now = process_.loop().Now();
   std::optional<std::size_t> rank;
-  if (origin_ && peers_.knows_agents() && origin_backoff_.IsReady(now) &&
+  if (origin_ && exchange_.knows_agents() && origin_backoff_.IsReady(now) &&
       !fetching_older()) {
     rank = ManifestRank();
   }
@@ -63,19 +64,20 @@
 }
 
 void WeightsManager::RequestPeerManifest(const core::InstanceId& peer) {
-  peers_.RequestManifest(peer, {model_, fetch_target_.version_, 0},
-                         [this, fetch_id = fetch_id_](
-                             const std::optional<WeightsManifest>& manifest) {
-                           if (IsCurrentFetch(fetch_id)) {
-                             OnManifest(manifest);
-                           }
-                         });
+  exchange_.RequestManifest(
+      peer, {model_, fetch_target_.version_, 0},
+      [this,
+       fetch_id = fetch_id_](const std::optional<WeightsManifest>& manifest) {
+        if (IsCurrentFetch(fetch_id)) {
+          OnManifest(manifest);
+        }
+      });
 }
 
 void WeightsManager::FetchFromPeer(const swarm::FetchRequest& request) {
   const ChunkRequest message{model_, fetch_target_.version_,
                              static_cast<std::uint32_t>(request.chunk_)};
-  peers_.RequestChunk(
+  exchange_.RequestChunk(
       *request.peer_, message,
       [this, fetch_id = fetch_id_, chunk = request.chunk_,
        peer = *request.peer_](const std::optional<ReceivedChunk>& received) {
@@ -94,12 +96,12 @@
 
 void WeightsManager::OnHeld(const membership::Member& sender,
                             const HeldChunksMessage& held) {
-  const auto id = peers_.OnHeld(sender, held, process_.loop().Now());
+  const auto id = exchange_.OnHeld(sender, held, process_.loop().Now());
   // The sender lacks chunks that are held here and may not be a neighbour.
   const bool lacks =
       held.serving_ < serving_ && (held_.count() > 0 || older_.version() != 0);
-  if (lacks && peers_.MayAnnounceTo(id, process_.loop().Now())) {
-    peers_.AnnounceTo(id, MakeHeldMessage(process_.loop().Now()));
+  if (lacks && exchange_.MayAnnounceTo(id, process_.loop().Now())) {
+    exchange_.AnnounceTo(id, MakeHeldMessage(process_.loop().Now()));
   }
   const bool relevant = phase_ == Phase::kFetching && manifest_ &&
                         held.model_ == model_ &&
@@ -120,7 +122,7 @@
 }
 
 void WeightsManager::RemoveUnresponsivePeers(core::TimePoint now) {
-  for (const auto& lost : peers_.RemoveUnresponsive(now)) {
+  for (const auto& lost : exchange_.RemoveUnresponsive(now)) {
     planner_.OnPeerLost(lost);
   }
 }
@@ -179,7 +181,7 @@
   announce_due_ = true;
   if (serving_ == 0) {
     // Chunks staged before a restart may still be there.
-    staging_ = 1;
+    staging_reads_ = 1;
     ReadStagedChunk(0);
   } else {
     StartPlanner();
@@ -189,12 +191,13 @@
 void WeightsManager::StartPlanner() {
   std::vector<bundle::Chunk> chunks;
   for (const auto& digest : manifest_->chunk_digests_) {
+    // The planner does not use the size, which the manifest does not state.
     chunks.push_back({digest, 1});
   }
   const auto now = process_.loop().Now();
   planner_.Start(std::move(chunks), held_, now);
   window_.Start();
-  for (const auto& [id, peer] : peers_.peers()) {
+  for (const auto& [id, peer] : exchange_.peers()) {
     planner_.OnAnnounced(
         {id, peer.member_.domain_},
         OfferedChunks(peer.held_, fetch_target_.version_, held_.size()), now);
@@ -204,12 +207,13 @@
 }
 
 void WeightsManager::RequestChunks() {
-  if (staging_ > 0 && !planner_.outstanding() && held_.count() == 0) {
+  // Waits until a chunk staged before a restart has been verified.
+  if (staging_reads_ > 0 && !planner_.outstanding() && held_.count() == 0) {
     return;
   }
   const auto now = process_.loop().Now();
   for (const auto& expired : planner_.ExpireRequests(now)) {
-    peers_.CancelChunk(expired.chunk_);
+    exchange_.CancelChunk(expired.chunk_);
     process_.log().Write(
         core::EventNumber::kChunkFailed,
         {{"piece", std::to_string(expired.chunk_)},
@@ -221,11 +225,13 @@
   // Without the list of agents, each agent would fetch every chunk from the
   // origin.
   planner_.SetOriginAvailable(origin_backoff_.IsReady(now) &&
-                              peers_.knows_agents() && !fetching_older());
+                              exchange_.knows_agents() && !fetching_older());
   for (const auto& request : planner_.Next(now)) {
     FetchChunk(request);
   }
   if (held_.full()) {
+    // Operators' tools read these fields: origin fetches that were assigned to
+    // this agent, and those that it took over.
     process_.log().Write(
         core::EventNumber::kFetchFinished,
         {{"version", std::to_string(fetch_target_.version_)},
@@ -251,6 +257,7 @@
     planner_.OnRequestFailed(chunk, process_.loop().Now());
     return;
   }
+  // Logged when the request is sent.
   process_.log().Write(core::EventNumber::kOriginFetched,
                        {{"piece", std::to_string(chunk)}});
   process_.metrics().Count("origin_pieces_total", {});
--- a/packages/daemon/src/daemon/direct/weights_manager_older.cpp
+++ b/packages/daemon/src/daemon/direct/weights_manager_older.cpp
@@ -50,7 +50,8 @@
 
 std::optional<core::TimePoint> WeightsManager::ExpiryOf(
     std::uint64_t version) const {
-  return version_bound_.ExpiryOf(version, VersionBoundOf(process_.settings()));
+  return version_bound_.ExpiryOf(version,
+                                 OlderVersionUseLimitOf(process_.settings()));
 }
 
 core::Duration WeightsManager::TransferTime(std::size_t chunks) const {
@@ -59,15 +60,16 @@
   if (chunk_bytes_ == 0 || rate == 0) {
     return kDefaultChunkTime * count;
   }
-  const std::chrono::duration<double> one(static_cast<double>(chunk_bytes_) /
-                                          static_cast<double>(rate));
-  return std::chrono::duration_cast<core::Duration>(one) * count;
+  const std::chrono::duration<double> chunk_time(
+      static_cast<double>(chunk_bytes_) / static_cast<double>(rate));
+  return std::chrono::duration_cast<core::Duration>(chunk_time) * count;
 }
 
 void WeightsManager::DropExpired(core::TimePoint now) {
-  const auto kept = older_.version();
-  const auto kept_expiry = ExpiryOf(kept);
-  if (kept != 0 && (serving_ > kept || (kept_expiry && now >= *kept_expiry))) {
+  const auto retained = older_.version();
+  const auto retained_expiry = ExpiryOf(retained);
+  if (retained != 0 &&
+      (serving_ > retained || (retained_expiry && now >= *retained_expiry))) {
     older_.Clear();
     announce_due_ = true;
   }
@@ -92,12 +94,12 @@
       phase_ == Phase::kManifest || phase_ == Phase::kFetching;
   const bool eligible = serving_ == 0 && target_.version_ != 0 &&
                         !fetching_older() && fetching && !older_refused_;
-  if (!eligible || now - considered_at_ < kConsiderInterval) {
+  if (!eligible || now - older_considered_at_ < kConsiderInterval) {
     return;
   }
-  considered_at_ = now;
+  older_considered_at_ = now;
   auto available =
-      OfferedChunks(peers_.peers(), target_.version_, model_chunks_);
+      OfferedChunks(exchange_.peers(), target_.version_, model_chunks_);
   for (std::size_t chunk = 0; chunk < model_chunks_; ++chunk) {
     if (held_.Has(chunk)) {
       available.Add(chunk);
@@ -105,7 +107,7 @@
   }
   progress_.OnAvailable(available.count(), now);
   const auto older =
-      NewestOfferedBelow(peers_.peers(), target_.version_, model_chunks_);
+      NewestOfferedBelow(exchange_.peers(), target_.version_, model_chunks_);
   const auto expiry = older ? ExpiryOf(*older) : std::nullopt;
   if (!expiry || !progress_.HasRate(now)) {
     return;
--- a/packages/daemon/src/daemon/direct/weights_manager_switch.cpp
+++ b/packages/daemon/src/daemon/direct/weights_manager_switch.cpp
@@ -53,7 +53,7 @@
         }
         const bool not_staged = chunk == 0 && !bytes;
         if (not_staged || chunk + 1 == held_.size()) {
-          staging_ = 0;
+          staging_reads_ = 0;
           verified_at_ = process_.loop().Now();
           verified_all_ = held_.full();
           StartPlanner();
@@ -128,8 +128,8 @@
 
 void WeightsManager::TryStartSwitch() {
   const auto now = process_.loop().Now();
-  std::set<core::InstanceId> local_members{peers_.self()};
-  for (const auto& [id, peer] : peers_.peers()) {
+  std::set<core::InstanceId> local_members{exchange_.self()};
+  for (const auto& [id, peer] : exchange_.peers()) {
     if (peer.member_.domain_ != process_.domain()) {
       continue;
     }
@@ -199,11 +199,11 @@
       {{"model", model_}, {"version", std::to_string(fetch_target_.version_)}});
   client_.activate_(
       model_, fetch_target_.version_,
-      [this, fetch_id = fetch_id_](OrderOutcome end) {
+      [this, fetch_id = fetch_id_](OrderOutcome outcome) {
         if (!IsCurrentFetch(fetch_id)) {
           return;
         }
-        if (end == OrderOutcome::kRefused) {
+        if (outcome == OrderOutcome::kRefused) {
           process_.log().Write(
               core::EventNumber::kOrderRefused,
               {{"version", std::to_string(fetch_target_.version_)}});
--- a/tests/daemon/mesh_node_test.cpp
+++ b/tests/daemon/mesh_node_test.cpp
@@ -92,7 +92,7 @@
   settings.listen_ = {"127.0.0.3", reserved.port()};
   settings.interval_ = 1h;
   MeshHooks hooks;
-  hooks.on_agent_started_ = [&](const std::string& from) { greeted = from; };
+  hooks.on_agent_query_ = [&](const std::string& from) { greeted = from; };
   hooks.weights_ = [] {
     return std::map<std::string, std::uint64_t>{{"m", 7}};
   };
