--- a/packages/daemon/src/daemon/direct/direct_agent.cpp
+++ b/packages/daemon/src/daemon/direct/direct_agent.cpp
@@ -30,8 +30,8 @@
 constexpr auto kAgentsInterval = milliseconds(1000);
 constexpr auto kIdleFactsInterval = milliseconds(5000);
 /// After this time without a message from any entry, the target version and the
-/// agents are read from the store. Entries subscribe each second, and
-/// first some 1.5 s after a start of all machines.
+/// agents are read from the store. Entries subscribe to reports each second,
+/// for the first time some 1.5 s after a start of all machines.
 constexpr auto kEntryTimeout = milliseconds(2000);
 /// Timeout of the read of small rules, which takes one round trip. Longer reads
 /// are of large rules, which are left to the entries.
