--- a/packages/daemon/src/daemon/messages.cpp
+++ b/packages/daemon/src/daemon/messages.cpp
@@ -1,4 +1,4 @@
-// Conversions between messages and the library's types.
+// Conversions between the messages and the library's types.
 #include "daemon/messages.hpp"
 
 #include <algorithm>
@@ -55,7 +55,7 @@
     const std::map<std::string, StampMessage>& stamps) {
   config::AcceptedDocuments::Stamps result;
   for (const auto& [key, stamp] : stamps) {
-    result[key] = {stamp.order_, FromBytes(stamp.manifest_),
+    result[key] = {stamp.sequence_, FromBytes(stamp.manifest_),
                    FromBytes(stamp.content_)};
   }
   return result;
--- a/packages/daemon/src/daemon/messages.hpp
+++ b/packages/daemon/src/daemon/messages.hpp
@@ -1,5 +1,6 @@
-// Messages between the system's processes: typed structs as msgpack maps, so
-// that unknown fields are ignored. docs/INTERFACES.md describes each.
+// Messages between the system's processes, encoded as msgpack maps so that
+// receivers ignore unknown fields. Member names are the field names on the
+// wire. docs/INTERFACES.md describes each message.
 #pragma once
 
 #include <cstdint>
@@ -14,81 +15,91 @@
 
 namespace chalkwell::daemon {
 
-/// Paths of the calls.
+/// Paths of the calls between processes.
 inline constexpr std::string_view kSyncPath = "/v1/sync";
 inline constexpr std::string_view kAttachPath = "/v1/attach";
 inline constexpr std::string_view kRunPath = "/v1/run";
 inline constexpr std::string_view kHavePath = "/v1/have";
 inline constexpr std::string_view kChunkPath = "/v1/chunk";
 
-/// @brief Stamp of one document on the wire.
+/// @brief Version stamp of one document.
 struct StampMessage {
-  std::uint64_t order_ = 0;
-  /// 32 bytes each; the manifest is empty but for bundles.
+  std::uint64_t sequence_ = 0;
+  /// Digests of 32 bytes each; the manifest is empty except for bundles.
   std::string manifest_;
   std::string content_;
-  /// One for each document in each exchange: an array, to spare the names.
-  MSGPACK_DEFINE(order_, manifest_, content_)
+  /// Encoded as an array: an exchange carries a stamp for each document, and
+  /// field names would enlarge each of them.
+  MSGPACK_DEFINE(sequence_, manifest_, content_)
 };
 
-/// @brief One document on the wire; its body deflated, since lists of rows are
-/// mostly names.
+/// @brief One document. Its body is deflated, since lists of rows consist
+/// mostly of names.
 struct DocumentMessage {
   std::string key_;
   std::uint64_t revision_ = 0;
   std::string deflated_;
-  /// Bytes of the body once inflated; at most `kMaxDocumentBytes`.
+  /// Size of the inflated body in bytes; at most `kMaxDocumentBytes`.
   std::uint64_t size_ = 0;
   MSGPACK_DEFINE_MAP(key_, revision_, deflated_, size_)
 };
 
-/// The configuration service holds no larger values.
+/// Maximum size of a document; the configuration store holds no larger values.
 inline constexpr std::uint64_t kMaxDocumentBytes = std::uint64_t{1} << 20;
 
-/// @brief Request and answer of /v1/sync.
+/// @brief Request and response of /v1/sync.
 ///
-/// A periodic exchange begins with the fingerprint alone; only if it differs do
-/// the stamps follow, and only what one side lacks is sent. A push begins with
-/// the stamps of what just changed; the peer names the keys it lacks, and only
-/// those documents follow.
+/// A periodic exchange starts with the fingerprint alone. If the fingerprints
+/// differ, the stamps follow, and only the documents that one side lacks are
+/// sent. A push starts with the stamps of the documents that just changed. The
+/// peer returns the keys of those that it lacks, and only they are sent.
 struct SyncMessage {
   std::string sender_;
-  /// Of all documents the sender holds.
+  /// Fingerprint of all documents that the sender holds.
   std::uint64_t fingerprint_ = 0;
-  /// Whether the sender can read the configuration service.
+  /// Whether the sender can read the configuration store.
   bool reaches_service_ = true;
-  /// Request: answer with what these stamps lack.
+  /// In a request: whether the response shall contain the documents that
+  /// `stamps_` lacks.
   bool wants_documents_ = false;
   std::map<std::string, StampMessage> stamps_;
   std::vector<DocumentMessage> documents_;
-  /// Push: stamps of what just changed at the sender.
+  /// In a push: stamps of the documents that just changed at the sender.
   std::map<std::string, StampMessage> recent_;
-  /// Answer to a push: keys of `recent_` that the answerer lacks.
+  /// In the response to a push: keys of `recent_` that the responder lacks.
   std::vector<std::string> wanted_;
   MSGPACK_DEFINE_MAP(sender_, fingerprint_, reaches_service_, wants_documents_,
                      stamps_, documents_, recent_, wanted_)
 };
 
-/// @brief Request of /v1/attach: an entry opens its stream to an agent.
+/// @brief Request of /v1/attach, with which an entry opens its stream to an
+/// agent.
 struct AttachMessage {
   std::string sender_;
   MSGPACK_DEFINE_MAP(sender_)
 };
 
-/// @brief One frame of the answer to /v1/attach.
+/// @brief One frame of the response to /v1/attach: the state of the agent.
 struct AgentFrame {
+  /// Incarnation of the agent process; higher for a later process.
   std::uint64_t incarnation_ = 0;
-  /// Number under which the entry mints tickets; given in the first frame.
+  /// Number under which the entry issues tickets; set in the first frame, 0 in
+  /// later ones.
   std::uint64_t minter_ = 0;
   bool ready_ = false;
+  /// The process is draining.
   bool leaving_ = false;
+  /// Digest of the weights served, in hexadecimal; empty for services without
+  /// weights.
   std::string manifest_;
   std::uint64_t bundle_version_ = 0;
+  /// Requests in flight, from all entries.
   std::uint64_t load_ = 0;
+  /// Number of requests that the endpoint can run at once.
   std::uint64_t capacity_ = 1;
-  /// Entries that send to the agent of late.
+  /// Entries that recently sent requests to the agent.
   std::uint64_t sharers_ = 1;
-  /// Fingerprint of the documents held.
+  /// Fingerprint of the documents that the agent holds.
   std::uint64_t config_ = 0;
   MSGPACK_DEFINE_MAP(incarnation_, minter_, ready_, leaving_, manifest_,
                      bundle_version_, load_, capacity_, sharers_, config_)
@@ -106,10 +117,13 @@
   std::string body_;
   /// Execution ticket; empty for repeatable requests.
   std::string ticket_;
-  /// Weights the answer must come from; empty for plain services.
+  /// Digest of the weights that the response must use, in hexadecimal; empty
+  /// for services without weights.
   std::string manifest_;
+  /// Time left until the deadline, in milliseconds.
   std::uint64_t deadline_ms_ = 0;
-  /// Events of the stream that the caller has.
+  /// Number of events of the response stream that the caller already has; the
+  /// response resumes after them.
   std::uint64_t resume_from_ = 0;
   std::string traceparent_;
   MSGPACK_DEFINE_MAP(sender_, request_, attempt_, account_, method_, path_,
@@ -117,62 +131,67 @@
                      resume_from_, traceparent_)
 };
 
-/// @brief Kinds of frames in the answer to /v1/run.
+/// @brief Kinds of frames in the response to /v1/run.
 enum class RunFrameKind : std::uint8_t {
-  /// The back end has begun to answer.
+  /// The backend has begun its response.
   kBegin,
   kData,
-  /// The whole answer was given.
+  /// The response is complete.
   kComplete,
-  /// Nothing was handed to the back end.
+  /// The agent did not forward the request to the backend.
   kRefused,
-  /// The back end ran it and failed.
+  /// The backend executed the request and failed.
   kFailed,
-  /// The agent cannot know whether it ran.
+  /// The agent cannot know whether the request was executed.
   kUnknown,
 };
 
-/// @brief One frame of the answer to /v1/run.
+/// @brief One frame of the response to /v1/run.
 struct RunFrame {
+  /// A `RunFrameKind`.
   std::uint8_t kind_ = 0;
   int status_ = 0;
   std::string content_type_;
-  /// Weights that the engine says it answers from.
+  /// Digest of the weights that the engine reports to use, in hexadecimal.
   std::string manifest_;
   std::string data_;
   std::string reason_;
-  /// In frames that end an answer: requests at the agent, and entries that
-  /// send to it of late; 0 in others.
+  /// In frames that end a response: requests in flight or waiting at the agent,
+  /// and entries that recently sent requests to it; 0 in other frames.
   std::uint64_t load_ = 0;
   std::uint64_t sharers_ = 0;
-  /// Where the back end says that its answer goes on.
+  /// Number of events after which the backend reports that it resumes the
+  /// response.
   std::uint64_t resumed_from_ = 0;
   MSGPACK_DEFINE_MAP(kind_, status_, content_type_, manifest_, data_, reason_,
                      load_, sharers_, resumed_from_)
 };
 
-/// @brief Request of /v1/have: an agent listens to what another holds.
+/// @brief Request of /v1/have, with which an agent subscribes to the chunks
+/// that another agent holds.
 struct HaveMessage {
   std::string sender_;
   std::string manifest_;
   MSGPACK_DEFINE_MAP(sender_, manifest_)
 };
 
-/// @brief One frame of the answer to /v1/have.
+/// @brief One frame of the response to /v1/have.
 struct HaveFrame {
-  /// Chunks since the last frame, by index; all of them in the first.
+  /// Indexes of the chunks added and removed since the last frame; the first
+  /// frame contains all chunks.
   std::vector<std::uint32_t> added_;
   std::vector<std::uint32_t> removed_;
-  /// Bundle version the peer serves; 0 for none.
+  /// Bundle version that the peer serves; 0 for none.
   std::uint64_t serving_ = 0;
-  /// Versions that members known to the peer serve.
+  /// Bundle versions served, by member, as known to the peer.
   std::map<std::string, std::uint64_t> members_;
   MSGPACK_DEFINE_MAP(added_, removed_, serving_, members_)
 };
 
-/// @brief Request of /v1/chunk; the answer is the chunk itself.
+/// @brief Request of /v1/chunk; the response body is the chunk itself.
 struct ChunkMessage {
   std::string manifest_;
+  /// 0 for the manifest, i + 1 for chunk i of the weights.
   std::uint32_t chunk_ = 0;
   MSGPACK_DEFINE_MAP(manifest_, chunk_)
 };
@@ -185,8 +204,9 @@
   return {buffer.data(), buffer.size()};
 }
 
-/// @brief Reads a whole message.
-/// @throws core::Error when the bytes are no such message.
+/// @brief Deserializes a message.
+/// @param peer sender, named in errors.
+/// @throws core::Error if the bytes are not a message of this type.
 template <typename Message>
 [[nodiscard]] Message Unpack(std::string_view bytes, const std::string& peer) {
   try {
@@ -198,9 +218,11 @@
   }
 }
 
-/// @brief Reads a stream of messages from pieces of any size.
+/// @brief Decodes a stream of messages that arrives in buffers of any size.
 class FrameReader {
  public:
+  /// @brief Adds received bytes and returns the messages that are complete.
+  /// @param peer sender, named in errors.
   /// @throws core::Error on malformed bytes.
   template <typename Frame>
   [[nodiscard]] std::vector<Frame> Read(std::string_view bytes,
@@ -231,10 +253,12 @@
     const std::map<std::string, StampMessage>& stamps);
 [[nodiscard]] std::vector<DocumentMessage> ToMessage(
     const std::vector<config::Document>& documents);
-/// @throws core::Error when a body does not inflate to its size.
+/// @param peer sender, named in errors.
+/// @throws core::Error if a body is larger than `kMaxDocumentBytes` or does not
+/// inflate to its stated size.
 [[nodiscard]] std::vector<config::Document> FromMessage(
     const std::vector<DocumentMessage>& messages, const std::string& peer);
-/// @brief Fingerprint of all stamps; equal when the documents are equal.
+/// @brief Fingerprint of all stamps; equal for equal documents.
 [[nodiscard]] std::uint64_t Fingerprint(
     const config::AcceptedDocuments::Stamps& stamps);
 
