--- a/packages/daemon/src/daemon/agent.cpp
+++ b/packages/daemon/src/daemon/agent.cpp
@@ -1,4 +1,5 @@
-// Composition of an agent: the rollout state machine's actions carried out.
+// Connects the parts of an agent and performs the actions of the rollout state
+// machine.
 #include "daemon/agent.hpp"
 
 #include <algorithm>
@@ -11,17 +12,19 @@
 namespace chalkwell::daemon {
 namespace {
 
-constexpr auto kTick = std::chrono::milliseconds(100);
-/// Ticks between heartbeats to entries and between questions to the back end.
-/// A dead peer is noticed by the connection's pings, changes are told at once
-/// and load rides on answers, so heartbeats may be rare.
+constexpr auto kTickInterval = std::chrono::milliseconds(100);
+/// Intervals in ticks: between heartbeats to entries, between checks whether
+/// entries are in contact, and between queries to the backend. Heartbeats may
+/// be rare, since a lost peer is detected by the pings of its connection,
+/// changes are sent at once, and responses carry the load.
 constexpr unsigned kHeartbeatTicks = 100;
-constexpr unsigned kAloneTicks = 10;
-constexpr unsigned kPollTicks = 3;
-constexpr std::uint64_t kTieMask = 0xffffff;
+constexpr unsigned kIsolationCheckTicks = 10;
+constexpr unsigned kBackendPollTicks = 3;
+constexpr std::uint64_t kTieBreakerMask = 0xffffff;
 
-/// Rises from one process of an endpoint to the next; ties are broken by the
-/// random part.
+/// Increases from one process of an endpoint to the next: the milliseconds
+/// since the epoch, followed by random bits that distinguish processes started
+/// in the same millisecond.
 std::uint64_t NewIncarnation() {
   const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
   const auto millis =
@@ -41,60 +44,64 @@
 
 Agent::Agent(Process& process)
     : process_(process),
-      is_engine_(process.settings().Text("endpoint", "kind") == "engine"),
+      has_engine_(process.settings().Text("endpoint", "kind") == "engine"),
       capacity_(process.settings().Number("endpoint", "capacity")),
       role_(process.settings().Text("endpoint", "role")),
       engine_(process.http(),
               ParseAddress(process.settings().Text("endpoint", "backend"))),
       activation_({.lease_ = process.settings().Milliseconds("rollout",
                                                              "pause_lease_ms"),
-                   .tie_breaker_ = std::random_device{}() & kTieMask}),
-      turns_(process.id(), process.settings().Real("rollout", "max_out_share"),
-             process.settings().Milliseconds("rollout", "turn_lease_ms")),
-      pause_(process.settings().Milliseconds("rollout", "pause_lease_ms")),
-      last_entry_heard_(process.loop().Now()),
-      alone_after_(
+                   .tie_breaker_ = std::random_device{}() & kTieBreakerMask}),
+      rollout_slots_(
+          process.id(), process.settings().Real("rollout", "max_out_share"),
+          process.settings().Milliseconds("rollout", "turn_lease_ms")),
+      suspension_(process.settings().Milliseconds("rollout", "pause_lease_ms")),
+      last_entry_contact_(process.loop().Now()),
+      isolation_timeout_(
           Jittered(process.settings().Milliseconds("platform", "silence_ms"))),
-      tick_(process.loop()) {
+      tick_timer_(process.loop()) {
   const auto& settings = process.settings();
-  weights_ = std::make_unique<WeightFetcher>(
+  weight_fetcher_ = std::make_unique<WeightFetcher>(
       process_, engine_,
       [this](const core::Digest& manifest) {
-        CheckPause();
+        CheckSuspension();
         Perform(activation_.OnStaged(manifest, process_.loop().Now()));
       },
       [this](const core::InstanceId& member, std::uint64_t version) {
-        turns_.OnServing(member, version, process_.loop().Now());
+        rollout_slots_.OnServing(member, version, process_.loop().Now());
       });
-  runs_ = std::make_unique<RunHandler>(
+  run_handler_ = std::make_unique<RunHandler>(
       process_, engine_.address(), NewIncarnation(), capacity_,
-      [this] { return State(); },
+      [this] { return CurrentState(); },
       [this](std::size_t bytes) {
-        weights_->upload().OnRequestBytes(bytes, process_.loop().Now());
+        weight_fetcher_->upload_pacer().OnRequestBytes(bytes,
+                                                       process_.loop().Now());
       },
       [this] { FinishDrain(); });
-  peers_ = std::make_unique<PeerServer>(
+  peer_server_ = std::make_unique<PeerServer>(
       process_.loop(), ParseAddress(settings.Text("listen", "peer")),
       settings.Number("endpoint", "max_body_bytes"),
       [this](const PeerCallPtr& call) { OnPeerCall(call); });
-  admin_ = OpenAdmin(
-      process_.loop(), ParseAddress(settings.Text("listen", "admin")),
-      process_.metrics(),
-      {.not_ready_ =
-           [this] {
-             return State().accepting_ ? std::string{} : "takes no work";
-           },
-       .status_ = [this] { return Status(); },
-       .refresh_ =
-           [this] {
-             process_.metrics().Set("requests_in_flight", {},
-                                    static_cast<double>(runs_->in_flight()));
-           }});
+  admin_server_ =
+      OpenAdmin(process_.loop(), ParseAddress(settings.Text("listen", "admin")),
+                process_.metrics(),
+                {.not_ready_ =
+                     [this] {
+                       return CurrentState().accepting_ ? std::string{}
+                                                        : "accepts no work";
+                     },
+                 .status_ = [this] { return StatusJson(); },
+                 .refresh_ =
+                     [this] {
+                       process_.metrics().Set(
+                           "requests_in_flight", {},
+                           static_cast<double>(run_handler_->in_flight()));
+                     }});
   process_.log().Write(core::EventNumber::kListening,
                        {{"peer", settings.Text("listen", "peer")}});
   process_.config().OnChange(
       [this](const std::vector<std::string>&) { OnConfigChange(); });
-  tick_.Every(kTick, [this] { Tick(); });
+  tick_timer_.Every(kTickInterval, [this] { Tick(); });
   PollBackend();
 }
 
@@ -105,33 +112,33 @@
 void Agent::BeginStop() {
   process_.log().Write(core::EventNumber::kInstanceLeaving,
                        {{"peer", process_.id().value()}});
-  Announce(false);
+  SendReports(false);
 }
 
-void Agent::CheckPause() {
-  if (pause_.Tick(process_.loop().Now())) {
+void Agent::CheckSuspension() {
+  if (suspension_.Tick(process_.loop().Now())) {
     process_.log().Write(core::EventNumber::kSuspensionDetected);
     Perform(activation_.OnSuspension(process_.loop().Now()));
   }
 }
 
 void Agent::OnPeerCall(const PeerCallPtr& call) {
-  // A process that wakes from a pause may find calls waiting before its timers
-  // run: what it believed then no longer counts.
-  CheckPause();
+  // After a suspension, calls may be handled before the timers run; the state
+  // known before the suspension is no longer valid.
+  CheckSuspension();
   try {
     const auto path = call->path();
     if (path == kRunPath) {
-      runs_->Handle(call);
+      run_handler_->Handle(call);
     } else if (path == kSyncPath) {
       (void)process_.AnswerSync(call);
-      last_entry_heard_ = process_.loop().Now();
+      last_entry_contact_ = process_.loop().Now();
     } else if (path == kAttachPath) {
       OnAttach(call);
     } else if (path == kHavePath) {
-      weights_->links().HandleHave(call);
+      weight_fetcher_->links().HandleHave(call);
     } else if (path == kChunkPath) {
-      weights_->HandleChunk(call);
+      weight_fetcher_->HandleChunk(call);
     } else {
       call->Respond(404, "unknown call");
     }
@@ -144,38 +151,39 @@
   (void)Unpack<AttachMessage>(call->body(), "attach");
   auto attachment = std::make_shared<Attachment>();
   attachment->call_ = call;
-  attachment->last_ = CurrentFrame();
+  attachment->last_frame_ = CurrentFrame();
   attachments_.push_back(attachment);
-  call->OnClosed([this, raw = attachment.get()] {
-    std::erase_if(attachments_,
-                  [raw](const auto& held) { return held.get() == raw; });
+  call->OnClosed([this, closed = attachment.get()] {
+    std::erase_if(attachments_, [closed](const auto& other) {
+      return other.get() == closed;
+    });
   });
-  last_entry_heard_ = process_.loop().Now();
-  auto first = attachment->last_;
-  first.minter_ = runs_->RegisterIssuer();
+  last_entry_contact_ = process_.loop().Now();
+  auto first = attachment->last_frame_;
+  first.minter_ = run_handler_->RegisterIssuer();
   call->Start(200);
   call->Write(Pack(first));
 }
 
 AgentFrame Agent::CurrentFrame() const {
-  const auto state = State();
+  const auto state = CurrentState();
   const auto& engine = activation_.engine();
-  return {.incarnation_ = runs_->incarnation(),
+  return {.incarnation_ = run_handler_->incarnation(),
           .minter_ = 0,
           .ready_ = state.accepting_,
           .leaving_ = process_.stopping(),
           .manifest_ = state.manifest_,
           .bundle_version_ = engine ? engine->version_ : 0,
-          .load_ = runs_->in_flight(),
+          .load_ = run_handler_->in_flight(),
           .capacity_ = capacity_,
-          .sharers_ = runs_->sharers(),
+          .sharers_ = run_handler_->active_entries(),
           .config_ = process_.config().fingerprint()};
 }
 
-void Agent::Announce(bool heartbeat) {
+void Agent::SendReports(bool heartbeat) {
   const auto frame = CurrentFrame();
   for (const auto& attachment : std::vector(attachments_)) {
-    auto& last = attachment->last_;
+    auto& last = attachment->last_frame_;
     const bool changed =
         last.ready_ != frame.ready_ || last.leaving_ != frame.leaving_ ||
         last.manifest_ != frame.manifest_ || last.config_ != frame.config_;
@@ -186,17 +194,17 @@
   }
 }
 
-EndpointState Agent::State() const {
+EndpointState Agent::CurrentState() const {
   if (!process_.stop().accepting()) {
     return {};
   }
-  if (!is_engine_) {
-    return {.accepting_ = service_up_, .manifest_ = ""};
+  if (!has_engine_) {
+    return {.accepting_ = service_healthy_, .manifest_ = ""};
   }
   const auto& engine = activation_.engine();
-  const bool known = engine && !engine->manifest_.empty();
+  const bool has_weights = engine && !engine->manifest_.empty();
   return {.accepting_ = activation_.accepting(process_.loop().Now()),
-          .manifest_ = known ? engine->manifest_.ToHex() : ""};
+          .manifest_ = has_weights ? engine->manifest_.ToHex() : ""};
 }
 
 void Agent::OnConfigChange() {
@@ -207,45 +215,49 @@
       members.insert(instance.id_);
     }
   }
-  turns_.SetMembers(std::move(members));
-  ReadOwnRow();
+  rollout_slots_.SetMembers(std::move(members));
+  ReadOwnInstance();
   const auto* bundle = process_.config().documents().AcceptedBundle();
-  if (is_engine_ && bundle != nullptr && bundle->AppliesTo(role_)) {
+  if (has_engine_ && bundle != nullptr && bundle->AppliesTo(role_)) {
     const rollout::Target target{bundle->version_, bundle->manifest_};
     if (target > activation_.target()) {
-      turns_.StartRollout(bundle->version_, process_.loop().Now());
+      rollout_slots_.StartRollout(bundle->version_, process_.loop().Now());
       Perform(activation_.OnTarget(target));
     }
   }
-  weights_->UpdateMembers();
-  Announce(false);
+  weight_fetcher_->UpdateMembers();
+  SendReports(false);
 }
 
 void Agent::Perform(const rollout::Actions& actions) {
   for (const auto& action : actions) {
-    // A drain ends when the engine's next report finds no work left.
-    const bool asks = std::holds_alternative<rollout::QueryEngine>(action) ||
-                      std::holds_alternative<rollout::Drain>(action);
-    if (asks) {
+    // A drain is finished when the engine's next report finds no requests in
+    // flight.
+    const bool needs_query =
+        std::holds_alternative<rollout::QueryEngine>(action) ||
+        std::holds_alternative<rollout::Drain>(action);
+    if (needs_query) {
       PollBackend();
     } else if (const auto* claim = std::get_if<rollout::SendClaim>(&action)) {
       SendClaim(*claim);
     } else if (const auto* fetch =
                    std::get_if<rollout::FetchWeights>(&action)) {
-      weights_->Fetch(fetch->target_);
-    } else if (const auto* drop = std::get_if<rollout::AbandonFetch>(&action)) {
-      weights_->Abandon(drop->manifest_);
+      weight_fetcher_->Fetch(fetch->target_);
+    } else if (const auto* abandon =
+                   std::get_if<rollout::AbandonFetch>(&action)) {
+      weight_fetcher_->Abandon(abandon->manifest_);
     } else if (const auto* order = std::get_if<rollout::SendOrder>(&action)) {
       SendOrder(*order);
-    } else if (const auto* news = std::get_if<rollout::Announce>(&action)) {
-      SetAccepting(news->ready_, news->serving_);
+    } else if (const auto* announcement =
+                   std::get_if<rollout::Announce>(&action)) {
+      SetReady(announcement->ready_, announcement->serving_);
     }
   }
 }
 
 void Agent::FinishDrain() {
-  if (runs_->in_flight() == 0) {
-    CheckPause();
+  if (run_handler_->in_flight() == 0) {
+    CheckSuspension();
     Perform(activation_.OnDrained(process_.loop().Now()));
   }
 }
@@ -258,7 +270,7 @@
   });
 }
 
-void Agent::ReadOwnRow() {
+void Agent::ReadOwnInstance() {
   for (const auto& instance : process_.config().instances()) {
     if (instance.id_ == process_.id()) {
       activation_.SetChecksFencing(instance.checks_fencing_);
@@ -273,17 +285,17 @@
                             : advertised;
 }
 
-void Agent::SetAccepting(bool accepting, const rollout::Target& serving) {
-  if (accepting) {
+void Agent::SetReady(bool ready, const rollout::Target& serving) {
+  if (ready) {
     process_.log().Write(core::EventNumber::kEndpointReady,
                          {{"version", std::to_string(serving.version_)},
                           {"manifest", serving.manifest_.ToHex()}});
-    weights_->links().SetServing(process_.id(), serving.version_);
+    weight_fetcher_->links().SetServedVersion(process_.id(), serving.version_);
   } else {
     process_.log().Write(core::EventNumber::kEndpointNotReady);
-    runs_->RefuseWaiting();
+    run_handler_->RefuseAllQueued();
   }
-  Announce(false);
+  SendReports(false);
 }
 
 void Agent::SendOrder(const rollout::SendOrder& order) {
@@ -299,97 +311,98 @@
 }
 
 void Agent::PollBackend() {
-  if (std::exchange(polling_, true)) {
+  if (std::exchange(poll_in_flight_, true)) {
     return;
   }
-  if (is_engine_) {
+  if (has_engine_) {
     engine_.ReadState(
-        [this, asked_at = process_.loop().Now()](const auto& state) {
-          polling_ = false;
-          OnEngineState(state, asked_at);
+        [this, queried_at = process_.loop().Now()](const auto& state) {
+          poll_in_flight_ = false;
+          OnEngineState(state, queried_at);
         });
     return;
   }
-  engine_.CheckService([this](bool up) {
-    polling_ = false;
-    if (std::exchange(service_up_, up) != up) {
-      process_.log().Write(up ? core::EventNumber::kEndpointReady
-                              : core::EventNumber::kEndpointNotReady);
-      Announce(false);
+  engine_.CheckHealth([this](bool healthy) {
+    poll_in_flight_ = false;
+    if (std::exchange(service_healthy_, healthy) != healthy) {
+      process_.log().Write(healthy ? core::EventNumber::kEndpointReady
+                                   : core::EventNumber::kEndpointNotReady);
+      SendReports(false);
     }
   });
 }
 
 void Agent::OnEngineState(const std::optional<rollout::EngineState>& state,
-                          core::TimePoint asked_at) {
-  CheckPause();
-  const auto before = activation_.phase();
+                          core::TimePoint queried_at) {
+  CheckSuspension();
+  const auto previous_phase = activation_.phase();
   if (state) {
-    Perform(activation_.OnEngineState(*state, asked_at, process_.loop().Now()));
+    Perform(
+        activation_.OnEngineState(*state, queried_at, process_.loop().Now()));
     FinishDrain();
   } else {
-    if (before != rollout::Phase::kQuerying) {
+    if (previous_phase != rollout::Phase::kQuerying) {
       process_.log().Write(core::EventNumber::kEngineUnreachable,
                            {{"peer", engine_.address().ToString()}});
     }
     Perform(activation_.OnEngineLost());
   }
   const bool replaced = activation_.phase() == rollout::Phase::kReplaced &&
-                        before != rollout::Phase::kReplaced;
+                        previous_phase != rollout::Phase::kReplaced;
   if (replaced) {
     process_.log().Write(core::EventNumber::kAgentReplaced);
   }
 }
 
-void Agent::TakeTurnIfDue() {
+void Agent::TryObtainRolloutSlot() {
   if (activation_.phase() == rollout::Phase::kWaitingForSlot &&
-      turns_.MayDrain(process_.loop().Now())) {
+      rollout_slots_.MayDrain(process_.loop().Now())) {
     process_.log().Write(core::EventNumber::kRolloutSlotObtained);
     Perform(activation_.OnRolloutSlot());
   }
 }
 
-void Agent::ReadPlatformIfAlone() {
+void Agent::ReadPlatformIfIsolated() {
   const auto now = process_.loop().Now();
   if (!attachments_.empty()) {
-    last_entry_heard_ = now;
-  } else if (now - last_entry_heard_ > alone_after_) {
-    last_entry_heard_ = now;
+    last_entry_contact_ = now;
+  } else if (now - last_entry_contact_ > isolation_timeout_) {
+    last_entry_contact_ = now;
     process_.platform().ReadOnce();
   }
 }
 
 void Agent::Tick() {
-  CheckPause();
-  if (!State().accepting_) {
-    runs_->RefuseWaiting();
+  CheckSuspension();
+  if (!CurrentState().accepting_) {
+    run_handler_->RefuseAllQueued();
   }
-  ++ticks_;
-  if (ticks_ % kPollTicks == 0) {
+  ++tick_count_;
+  if (tick_count_ % kBackendPollTicks == 0) {
     PollBackend();
   }
-  Announce(ticks_ % kHeartbeatTicks == 0);
-  if (ticks_ % kAloneTicks == 0) {
-    ReadPlatformIfAlone();
+  SendReports(tick_count_ % kHeartbeatTicks == 0);
+  if (tick_count_ % kIsolationCheckTicks == 0) {
+    ReadPlatformIfIsolated();
   }
-  TakeTurnIfDue();
+  TryObtainRolloutSlot();
 }
 
-std::string Agent::Status() const {
-  const auto [staged, chunks] = weights_->progress();
+std::string Agent::StatusJson() const {
+  const auto [staged, chunks] = weight_fetcher_->progress();
   const auto* bundle = process_.config().documents().AcceptedBundle();
   const nlohmann::json status{
       {"id", process_.id().value()},
       {"domain", process_.domain().value()},
       {"role", role_.value()},
-      {"ready", State().accepting_},
-      {"weights", State().manifest_},
+      {"ready", CurrentState().accepting_},
+      {"weights", CurrentState().manifest_},
       {"version", activation_.engine() ? activation_.engine()->version_ : 0},
       {"bundle_version", bundle == nullptr ? 0 : bundle->version_},
       {"chunks_staged", staged},
       {"chunks", chunks},
-      {"drawn_bytes", weights_->drawn_bytes()},
-      {"requests_in_flight", runs_->in_flight()}};
+      {"drawn_bytes", weight_fetcher_->origin_bytes()},
+      {"requests_in_flight", run_handler_->in_flight()}};
   return status.dump();
 }
 
--- a/packages/daemon/src/daemon/agent_links.cpp
+++ b/packages/daemon/src/daemon/agent_links.cpp
@@ -1,4 +1,4 @@
-// Attaches to a hashed subset of agents and keeps the streams open.
+// Keeps streams open to a subset of the agents, selected by rendezvous hashing.
 #include "daemon/agent_links.hpp"
 
 #include <algorithm>
@@ -11,12 +11,13 @@
 namespace chalkwell::daemon {
 namespace {
 
-constexpr auto kFirstRetry = std::chrono::milliseconds(100);
-constexpr unsigned kMaxDoublings = 4;
-/// Share of its agents that an entry tells of a change at once.
+constexpr auto kInitialRetryDelay = std::chrono::milliseconds(100);
+constexpr unsigned kMaxRetryDoublings = 4;
+/// Share of its agents to which an entry pushes a change at once.
 constexpr double kPushShare = 0.5;
-constexpr auto kRepairDelay = std::chrono::seconds(1);
-/// Three heartbeats; a connection that falls silent is lost long before.
+constexpr auto kSyncDelay = std::chrono::seconds(1);
+/// Three heartbeat intervals of an agent. A connection that falls silent is
+/// closed long before.
 constexpr auto kReportLease = std::chrono::seconds(30);
 
 }  // namespace
@@ -33,7 +34,7 @@
           .breaker_time_ = std::chrono::seconds(2)}) {
   node_.OnChange([this](const std::vector<std::string>& keys) {
     if (std::ranges::any_of(keys, config::IsInstancesKey)) {
-      Update();
+      UpdateLinks();
     }
     PushConfig(keys);
   });
@@ -48,52 +49,53 @@
 std::optional<routing::ExecutionTicket> AgentLinks::MintTicket(
     const core::InstanceId& id) {
   const auto link = links_.find(id);
-  if (link == links_.end() || !link->second.minter_) {
+  if (link == links_.end() || !link->second.issuer_) {
     return std::nullopt;
   }
-  return link->second.minter_->Issue();
+  return link->second.issuer_->Issue();
 }
 
 void AgentLinks::OnChange(std::function<void()> observer) {
   observer_ = std::move(observer);
 }
 
-std::vector<config::Instance> AgentLinks::Selected() const {
+std::vector<config::Instance> AgentLinks::SelectInstances() const {
   using Group = std::pair<core::Role, bool>;
   std::map<Group, std::vector<core::InstanceId>> groups;
   for (const auto& instance : node_.instances()) {
     if (instance.kind_ == config::InstanceKind::kEndpoint) {
-      const bool own = instance.domain_ == settings_.domain_;
-      groups[{instance.role_, own}].push_back(instance.id_);
+      const bool local = instance.domain_ == settings_.domain_;
+      groups[{instance.role_, local}].push_back(instance.id_);
     }
   }
-  std::set<core::InstanceId> chosen;
+  std::set<core::InstanceId> selected_ids;
   for (const auto& [group, ids] : groups) {
     const auto limit =
         group.second ? settings_.attach_ : settings_.attach_foreign_;
     for (auto& id :
          membership::HighestRanked(node_.self().value(), ids, limit)) {
-      chosen.insert(std::move(id));
+      selected_ids.insert(std::move(id));
     }
   }
   std::vector<config::Instance> selected;
   std::ranges::copy_if(node_.instances(), std::back_inserter(selected),
                        [&](const config::Instance& instance) {
-                         return chosen.contains(instance.id_);
+                         return selected_ids.contains(instance.id_);
                        });
   return selected;
 }
 
-void AgentLinks::Update() {
-  const auto selected = Selected();
+void AgentLinks::UpdateLinks() {
+  const auto selected = SelectInstances();
   roster_.SetInstances(selected);
   std::map<core::InstanceId, Link> next;
-  std::vector<core::InstanceId> fresh;
+  std::vector<core::InstanceId> added_ids;
   for (const auto& instance : selected) {
-    auto known = links_.extract(instance.id_);
+    auto existing = links_.extract(instance.id_);
     auto& link = next[instance.id_];
-    if (!known.empty() && known.mapped().instance_.peer_ == instance.peer_) {
-      link = std::move(known.mapped());
+    if (!existing.empty() &&
+        existing.mapped().instance_.peer_ == instance.peer_) {
+      link = std::move(existing.mapped());
     } else {
       link.connection_ = std::make_shared<PeerConnection>(
           loop_, ParseAddress(instance.peer_), settings_.connection_);
@@ -104,9 +106,9 @@
           roster_.OnReceived(id);
         }
       });
-      link.retry_ = std::make_shared<Timer>(loop_);
-      link.repair_ = std::make_shared<Timer>(loop_);
-      fresh.push_back(instance.id_);
+      link.retry_timer_ = std::make_shared<Timer>(loop_);
+      link.sync_timer_ = std::make_shared<Timer>(loop_);
+      added_ids.push_back(instance.id_);
     }
     link.instance_ = instance;
   }
@@ -116,7 +118,7 @@
     }
   }
   links_ = std::move(next);
-  for (const auto& id : fresh) {
+  for (const auto& id : added_ids) {
     Attach(id);
   }
 }
@@ -130,12 +132,12 @@
   link.reader_ = std::make_unique<FrameReader>();
   PeerCallbacks callbacks;
   callbacks.on_data_ = [this, id](std::string_view bytes) {
-    const auto held = links_.find(id);
-    if (held == links_.end()) {
+    const auto entry = links_.find(id);
+    if (entry == links_.end()) {
       return;
     }
     for (const auto& frame :
-         held->second.reader_->Read<AgentFrame>(bytes, id.value())) {
+         entry->second.reader_->Read<AgentFrame>(bytes, id.value())) {
       OnFrame(id, frame);
     }
   };
@@ -149,12 +151,12 @@
   auto& link = links_.at(id);
   const auto now = loop_.Now();
   if (frame.minter_ != 0) {
-    link.minter_.emplace(id, frame.incarnation_, frame.minter_);
-    link.failures_ = 0;
+    link.issuer_.emplace(id, frame.incarnation_, frame.minter_);
+    link.consecutive_failures_ = 0;
     roster_.OnConnected(id, now);
     log_.Write(core::EventNumber::kPeerConnected, {{"peer", id.value()}});
   }
-  const bool known = roster_.OnReport(
+  const bool accepted = roster_.OnReport(
       id,
       {.incarnation_ = frame.incarnation_,
        .ready_ = frame.ready_,
@@ -166,14 +168,14 @@
        .capacity_ = std::max<std::uint64_t>(1, frame.capacity_),
        .sharers_ = std::max<std::uint64_t>(1, frame.sharers_)},
       now);
-  if (!known) {
+  if (!accepted) {
     return;
   }
-  link.config_ = frame.config_;
+  link.config_fingerprint_ = frame.config_;
   if (frame.minter_ != 0 && frame.config_ != node_.fingerprint()) {
     ExchangeDocuments(link.connection_, node_, nullptr);
   }
-  RepairLater(id);
+  ScheduleSync(id);
   if (observer_) {
     observer_();
   }
@@ -185,47 +187,49 @@
     return;
   }
   auto& link = found->second;
-  if (link.minter_) {
+  if (link.issuer_) {
     log_.Write(core::EventNumber::kPeerLost, {{"peer", id.value()}});
   }
-  link.minter_.reset();
-  link.repair_->Cancel();
-  link.repair_due_ = false;
+  link.issuer_.reset();
+  link.sync_timer_->Cancel();
+  link.sync_scheduled_ = false;
   roster_.OnDisconnected(id);
   const auto delay =
-      kFirstRetry * (1U << std::min(link.failures_, kMaxDoublings));
-  ++link.failures_;
-  link.retry_->Once(delay, [this, id] { Attach(id); });
+      kInitialRetryDelay *
+      (1U << std::min(link.consecutive_failures_, kMaxRetryDoublings));
+  ++link.consecutive_failures_;
+  link.retry_timer_->Once(delay, [this, id] { Attach(id); });
 }
 
 void AgentLinks::PushConfig(const std::vector<std::string>& keys) {
   for (auto& [id, link] : links_) {
-    if (!link.minter_) {
+    if (!link.issuer_) {
       continue;
     }
     if (std::bernoulli_distribution(kPushShare)(random_)) {
       PushDocuments(link.connection_, node_, keys, nullptr);
     }
-    RepairLater(id);
+    ScheduleSync(id);
   }
 }
 
-void AgentLinks::RepairLater(const core::InstanceId& id) {
+void AgentLinks::ScheduleSync(const core::InstanceId& id) {
   auto& link = links_.at(id);
-  if (link.repair_due_ || link.config_ == node_.fingerprint()) {
+  if (link.sync_scheduled_ || link.config_fingerprint_ == node_.fingerprint()) {
     return;
   }
-  link.repair_due_ = true;
-  link.repair_->Once(kRepairDelay, [this, id] {
+  link.sync_scheduled_ = true;
+  link.sync_timer_->Once(kSyncDelay, [this, id] {
     const auto found = links_.find(id);
     if (found == links_.end()) {
       return;
     }
-    found->second.repair_due_ = false;
-    const bool differs = found->second.config_ != node_.fingerprint();
-    if (found->second.minter_ && differs) {
+    found->second.sync_scheduled_ = false;
+    const bool differs =
+        found->second.config_fingerprint_ != node_.fingerprint();
+    if (found->second.issuer_ && differs) {
       ExchangeDocuments(found->second.connection_, node_, nullptr);
-      RepairLater(id);
+      ScheduleSync(id);
     }
   });
 }
--- a/packages/daemon/src/daemon/agent_links.hpp
+++ b/packages/daemon/src/daemon/agent_links.hpp
@@ -1,5 +1,5 @@
-// An entry's streams to agents: what they report feeds the roster, and each
-// stream mints execution tickets for its agent.
+// An entry's streams to agents: their reports update the roster, and each
+// stream issues the execution tickets for its agent.
 #pragma once
 
 #include <map>
@@ -17,30 +17,37 @@
 
 namespace chalkwell::daemon {
 
-/// @brief Settings of the links.
+/// @brief Settings of an entry's streams to agents.
 struct AgentLinkSettings {
+  /// Local failure domain.
   core::FailureDomainId domain_;
-  /// Endpoints of each role of the own domain to keep streams to.
+  /// Maximum number of endpoints of each role in the local failure domain to
+  /// keep streams to.
   std::size_t attach_ = 64;
-  /// The same for endpoints of other domains.
+  /// The same for endpoints of remote failure domains, taken together.
   std::size_t attach_foreign_ = 16;
   PeerConnectionSettings connection_;
 };
 
-/// @brief Streams to the agents this entry uses.
+/// @brief Streams to the agents that this entry sends requests to.
+///
+/// The agents are selected by rendezvous hashing. A stream that ends is opened
+/// again with exponential backoff.
 class AgentLinks {
  public:
   AgentLinks(Loop& loop, AgentLinkSettings settings, ConfigNode& node,
              EventLog& log);
 
   [[nodiscard]] membership::Roster& roster() noexcept { return roster_; }
-  /// @brief Connection to an agent, or null.
+  /// @brief Connection to an agent; null if the agent is not selected.
   [[nodiscard]] std::shared_ptr<PeerConnection> Connection(
       const core::InstanceId& id) const;
-  /// @brief Mints a ticket for an agent whose stream is open.
+  /// @brief Issues an execution ticket for an agent.
+  /// @return none unless the stream to the agent is open.
   [[nodiscard]] std::optional<routing::ExecutionTicket> MintTicket(
       const core::InstanceId& id);
-  /// @brief Called when an endpoint's report changed what may be routed.
+  /// @brief Sets the observer that is called after each report of an endpoint,
+  /// which may change where requests can be routed.
   void OnChange(std::function<void()> observer);
 
  private:
@@ -49,27 +56,29 @@
     std::shared_ptr<PeerConnection> connection_;
     OutgoingCallPtr call_;
     std::unique_ptr<FrameReader> reader_;
-    std::optional<routing::TicketIssuer> minter_;
-    /// Fingerprint of the documents that the agent last said it holds.
-    std::uint64_t config_ = 0;
-    std::shared_ptr<Timer> retry_;
-    /// Runs while the agent's documents differ from those held here.
-    std::shared_ptr<Timer> repair_;
-    bool repair_due_ = false;
-    unsigned failures_ = 0;
+    std::optional<routing::TicketIssuer> issuer_;
+    /// Fingerprint of the documents that the agent holds, as last reported.
+    std::uint64_t config_fingerprint_ = 0;
+    std::shared_ptr<Timer> retry_timer_;
+    /// Set while the agent's documents differ from those of this entry.
+    std::shared_ptr<Timer> sync_timer_;
+    bool sync_scheduled_ = false;
+    unsigned consecutive_failures_ = 0;
   };
 
-  [[nodiscard]] std::vector<config::Instance> Selected() const;
-  void Update();
+  [[nodiscard]] std::vector<config::Instance> SelectInstances() const;
+  void UpdateLinks();
   void Attach(const core::InstanceId& id);
   void OnFrame(const core::InstanceId& id, const AgentFrame& frame);
   void OnLost(const core::InstanceId& id);
-  /// Tells some agents at once; each has several entries that do so, and says
-  /// on its streams when it has heard.
+  /// Pushes changed documents to a share of the agents at once. Each agent has
+  /// several entries that do so, and its reports show whether it has received
+  /// them.
   void PushConfig(const std::vector<std::string>& keys);
-  /// Exchanges all with an agent that still differs after a while: a change
-  /// reaches it by several entries, and most differences are gone by then.
-  void RepairLater(const core::InstanceId& id);
+  /// Schedules a full exchange with an agent if its documents still differ
+  /// after a delay: a change reaches it from several entries, so most
+  /// differences are gone by then.
+  void ScheduleSync(const core::InstanceId& id);
 
   Loop& loop_;
   AgentLinkSettings settings_;
--- a/packages/daemon/src/daemon/chunk_store.cpp
+++ b/packages/daemon/src/daemon/chunk_store.cpp
@@ -1,4 +1,4 @@
-// Eviction in order of arrival.
+// Eviction in order of insertion.
 #include "daemon/chunk_store.hpp"
 
 #include <utility>
@@ -10,18 +10,18 @@
   return found == chunks_.end() ? nullptr : found->second.bytes_;
 }
 
-void ChunkStore::Put(const core::Digest& digest, Bytes bytes) {
+void ChunkStore::Insert(const core::Digest& digest, Bytes bytes) {
   if (chunks_.contains(digest)) {
     return;
   }
-  used_ += bytes->size();
-  const auto age = ages_.insert(ages_.end(), digest);
-  chunks_.emplace(digest, Entry{std::move(bytes), age});
-  while (used_ > limit_ && chunks_.size() > 1) {
-    const auto oldest = chunks_.find(ages_.front());
-    used_ -= oldest->second.bytes_->size();
+  size_bytes_ += bytes->size();
+  const auto position = insertion_order_.insert(insertion_order_.end(), digest);
+  chunks_.emplace(digest, Entry{std::move(bytes), position});
+  while (size_bytes_ > limit_bytes_ && chunks_.size() > 1) {
+    const auto oldest = chunks_.find(insertion_order_.front());
+    size_bytes_ -= oldest->second.bytes_->size();
     chunks_.erase(oldest);
-    ages_.pop_front();
+    insertion_order_.pop_front();
   }
 }
 
--- a/packages/daemon/src/daemon/chunk_store.hpp
+++ b/packages/daemon/src/daemon/chunk_store.hpp
@@ -1,4 +1,4 @@
-// Verified chunks in memory, by digest, within a bound.
+// Size-bounded in-memory cache of verified chunks, by digest.
 #pragma once
 
 #include <cstdint>
@@ -11,32 +11,39 @@
 
 namespace chalkwell::daemon {
 
-/// @brief Bounded cache of verified chunks; the oldest go first.
+/// @brief Cache of verified chunks, evicted in order of insertion.
 class ChunkStore {
  public:
   using Bytes = std::shared_ptr<const std::string>;
 
-  explicit ChunkStore(std::uint64_t limit) : limit_(limit) {}
+  /// @param limit maximum total size of the chunks in bytes; a single larger
+  /// chunk is kept all the same.
+  explicit ChunkStore(std::uint64_t limit_bytes) : limit_bytes_(limit_bytes) {}
 
-  /// @brief The chunk, or null.
+  /// @return null if the chunk is not cached.
   [[nodiscard]] Bytes Find(const core::Digest& digest) const;
-  [[nodiscard]] std::uint64_t used() const noexcept { return used_; }
+  /// @brief Total size of the cached chunks in bytes.
+  [[nodiscard]] std::uint64_t size_bytes() const noexcept {
+    return size_bytes_;
+  }
 
-  /// @brief Keeps a chunk whose digest was checked.
-  void Put(const core::Digest& digest, Bytes bytes);
+  /// @brief Adds a chunk whose digest was verified and evicts the oldest chunks
+  /// above the limit.
+  void Insert(const core::Digest& digest, Bytes bytes);
 
  private:
   struct Entry {
     Bytes bytes_;
-    std::list<core::Digest>::iterator age_;
+    /// Position in `insertion_order_`.
+    std::list<core::Digest>::iterator position_;
   };
 
-  std::uint64_t limit_;
-  /// Sum of sizes; at most `limit_`, unless one chunk alone is larger.
-  std::uint64_t used_ = 0;
+  std::uint64_t limit_bytes_;
+  /// At most `limit_bytes_`, unless a single chunk is larger.
+  std::uint64_t size_bytes_ = 0;
   std::map<core::Digest, Entry> chunks_;
   /// Oldest first.
-  std::list<core::Digest> ages_;
+  std::list<core::Digest> insertion_order_;
 };
 
 }  // namespace chalkwell::daemon
--- a/packages/daemon/src/daemon/chunk_upload.hpp
+++ b/packages/daemon/src/daemon/chunk_upload.hpp
@@ -1,4 +1,5 @@
-// Sends chunks to peers at the pace that the machine's link leaves.
+// Sends chunks to peers at the rate that request traffic leaves free on the
+// machine's link.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +12,18 @@
 
 namespace chalkwell::daemon {
 
-/// @brief The sending side of an agent's swarm.
+/// @brief Sends an agent's chunks to its peers in the swarm.
 class ChunkUpload {
  public:
-  /// @param bytes_per_second rate of the machine's link.
+  /// @param bytes_per_second rate of the machine's link; 0 means no limit.
   ChunkUpload(Loop& loop, Metrics& metrics, std::uint64_t bytes_per_second);
 
-  /// @brief Pace of the link; live bytes are told to it and go first.
+  /// @brief Rate limiter of the link; request traffic must be reported to it,
+  /// and takes precedence over chunks.
   [[nodiscard]] swarm::Pacer& pacer() noexcept { return pacer_; }
 
-  /// @brief Answers a call with a chunk when the link has room, or refuses it
-  /// (503) when too much waits already.
+  /// @brief Responds to a call with a chunk as soon as the link has capacity,
+  /// or at once with status 503 if the backlog of the link is longer than 2 s.
   void Send(const PeerCallPtr& call, const ChunkStore::Bytes& bytes);
 
  private:
--- a/packages/daemon/src/daemon/engine_client.cpp
+++ b/packages/daemon/src/daemon/engine_client.cpp
@@ -1,4 +1,4 @@
-// JSON control calls to the engine.
+// Control calls to the engine, with JSON bodies.
 #include "daemon/engine_client.hpp"
 
 #include <nlohmann/json.hpp>
@@ -17,16 +17,16 @@
   if (!response.ok()) {
     return std::nullopt;
   }
-  const auto root = nlohmann::json::parse(response.body_, nullptr, false);
-  if (!root.is_object()) {
+  const auto document = nlohmann::json::parse(response.body_, nullptr, false);
+  if (!document.is_object()) {
     return std::nullopt;
   }
   return rollout::EngineState{
-      .version_ = root.value("version", std::uint64_t{0}),
-      .manifest_ = core::Digest::FromHex(root.value("manifest", ""))
+      .version_ = document.value("version", std::uint64_t{0}),
+      .manifest_ = core::Digest::FromHex(document.value("manifest", ""))
                        .value_or(core::Digest{}),
-      .fence_ = root.value("fence", std::uint64_t{0}),
-      .load_ = root.value("load", std::uint64_t{0})};
+      .fence_ = document.value("fence", std::uint64_t{0}),
+      .load_ = document.value("load", std::uint64_t{0})};
 }
 
 std::optional<std::vector<std::size_t>> ParseMissing(
@@ -34,11 +34,11 @@
   if (!response.ok()) {
     return std::nullopt;
   }
-  const auto root = nlohmann::json::parse(response.body_, nullptr, false);
-  if (!root.is_object() || !root.contains("missing")) {
+  const auto document = nlohmann::json::parse(response.body_, nullptr, false);
+  if (!document.is_object() || !document.contains("missing")) {
     return std::nullopt;
   }
-  return root["missing"].get<std::vector<std::size_t>>();
+  return document["missing"].get<std::vector<std::size_t>>();
 }
 
 }  // namespace
@@ -86,7 +86,7 @@
        });
 }
 
-void EngineClient::DropStaging(const core::Digest& manifest) {
+void EngineClient::DeleteStaging(const core::Digest& manifest) {
   Send("DELETE", StagingPath(manifest), "", [](const HttpResponse&) {});
 }
 
@@ -109,7 +109,7 @@
        });
 }
 
-void EngineClient::CheckService(DoneHandler done) {
+void EngineClient::CheckHealth(DoneHandler done) {
   Send("GET", "/healthz", "",
        [done = std::move(done)](const HttpResponse& response) {
          done(response.ok());
--- a/packages/daemon/src/daemon/engine_client.hpp
+++ b/packages/daemon/src/daemon/engine_client.hpp
@@ -1,5 +1,5 @@
-// Orders and questions to the one model engine that an agent guards. The
-// engine's interface is described in docs/INTERFACES.md.
+// HTTP client for the control interface of the engine that an agent manages.
+// docs/INTERFACES.md describes the interface.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,10 @@
 
 namespace chalkwell::daemon {
 
-/// @brief Client of one engine's control interface.
+/// @brief Client for the control interface of one engine.
+///
+/// Each call invokes its handler once. A call that fails or is refused is
+/// reported as not accepted, or as an empty optional.
 class EngineClient {
  public:
   using StateHandler = std::function<void(std::optional<rollout::EngineState>)>;
@@ -27,24 +30,32 @@
 
   [[nodiscard]] const Address& address() const noexcept { return address_; }
 
-  /// @brief Asks what the engine holds; nothing when it does not answer.
+  /// @brief Queries the engine's state.
+  /// @param done gets nothing if the engine does not respond with a valid
+  /// state.
   void ReadState(StateHandler done);
-  /// @brief Announces weights to stage.
-  /// @param done gets the chunks the engine lacks.
+  /// @brief Starts staging of the weights of a manifest.
+  /// @param done gets the indexes of the chunks that the engine lacks; nothing
+  /// if staging could not be started.
   void BeginStaging(const core::Digest& manifest, std::string manifest_text,
                     MissingHandler done);
+  /// @brief Sends one chunk to be staged.
+  /// @param chunk index in the manifest.
   void StageChunk(const core::Digest& manifest, std::size_t chunk,
                   const std::string& bytes, DoneHandler done);
-  /// @brief All chunks are staged; the engine checks them.
+  /// @brief Completes the staging: the engine verifies all chunks.
+  /// @param done gets false if the engine refuses the staged weights.
   void SealStaging(const core::Digest& manifest, DoneHandler done);
-  void DropStaging(const core::Digest& manifest);
+  /// @brief Deletes staged weights; failures are ignored.
+  void DeleteStaging(const core::Digest& manifest);
   /// @brief Orders the engine to activate staged weights.
   void Order(const rollout::SendOrder& order, DoneHandler done);
-  /// @brief Orders the engine to keep its role under a new fencing number.
+  /// @brief Claims the engine for a role under a new fencing number.
   void Claim(const rollout::SendClaim& claim, const core::Role& role,
              DoneHandler done);
-  /// @brief Whether a plain service answers.
-  void CheckService(DoneHandler done);
+  /// @brief Queries whether a service without weights responds to its health
+  /// check.
+  void CheckHealth(DoneHandler done);
 
  private:
   void Send(std::string method, std::string path, std::string body,
--- a/packages/daemon/src/daemon/request_reader.cpp
+++ b/packages/daemon/src/daemon/request_reader.cpp
@@ -1,4 +1,4 @@
-// Checks of callers' requests.
+// Validation of callers' requests.
 #include "daemon/request_reader.hpp"
 
 #include <algorithm>
@@ -11,24 +11,25 @@
 namespace chalkwell::daemon {
 namespace {
 
-constexpr std::size_t kMaxRequestId = 128;
-constexpr std::size_t kPrefixBytes = 256;
+constexpr std::size_t kMaxRequestIdLength = 128;
+constexpr std::size_t kMaxPrefixBytes = 256;
 constexpr int kUnauthorized = 401;
 constexpr int kNotFound = 404;
 constexpr std::string_view kBearer = "Bearer ";
 constexpr std::string_view kTicketPath = "/v1/tickets";
 
-[[noreturn]] void Malformed(const std::string& what) {
-  throw core::Error(core::Step::kParse, "", what);
+[[noreturn]] void ThrowMalformed(const std::string& message) {
+  throw core::Error(core::Step::kParse, "", message);
 }
 
-/// A body that is not JSON has no model and no prefix; the back end judges it.
-nlohmann::json BodyOf(const HttpRequest& http) {
+/// A body that is not a JSON object is treated as empty, without model and
+/// prefix; the backend decides whether to accept it.
+nlohmann::json ParseBody(const HttpRequest& http) {
   auto body = nlohmann::json::parse(http.body_, nullptr, false);
   return body.is_object() ? body : nlohmann::json::object();
 }
 
-std::string PrefixOf(const nlohmann::json& body) {
+std::string PromptPrefix(const nlohmann::json& body) {
   std::string text;
   const auto prompt = body.find("prompt");
   const auto messages = body.find("messages");
@@ -38,11 +39,11 @@
     text = messages->dump(-1, ' ', false,
                           nlohmann::json::error_handler_t::replace);
   }
-  return text.substr(0, kPrefixBytes);
+  return text.substr(0, kMaxPrefixBytes);
 }
 
-/// Whether the model a caller names, if any, is one the bundle has.
-bool KnowsModel(const bundle::Bundle& bundle, const nlohmann::json& body) {
+/// Whether the body names no model, or the model or an adapter of the bundle.
+bool AcceptsModel(const bundle::Bundle& bundle, const nlohmann::json& body) {
   const auto model = body.find("model");
   if (model == body.end() || *model == bundle.model_) {
     return true;
@@ -52,7 +53,7 @@
   });
 }
 
-std::string_view PathOf(const HttpRequest& http) {
+std::string_view PathWithoutQuery(const HttpRequest& http) {
   const std::string_view path = http.path_;
   return path.substr(0, path.find('?'));
 }
@@ -75,8 +76,8 @@
   }
   const bool printable =
       std::ranges::all_of(given, [](char c) { return c > ' ' && c < '\x7f'; });
-  if (given.size() > kMaxRequestId || !printable) {
-    Malformed(
+  if (given.size() > kMaxRequestIdLength || !printable) {
+    ThrowMalformed(
         "header 'x-request-id' must be 1 to 128 printable characters without "
         "spaces");
   }
@@ -107,20 +108,21 @@
   return best;
 }
 
-core::TimePoint RequestReader::Deadline(const HttpRequest& http,
-                                        core::TimePoint now) const {
+core::TimePoint RequestReader::ParseDeadline(const HttpRequest& http,
+                                             core::TimePoint now) const {
   const auto text = FindHeader(http.headers_, "x-deadline-ms");
   if (text.empty()) {
     return now + std::min(default_deadline_, max_deadline_);
   }
-  std::uint32_t millis = 0;
+  std::uint32_t requested_ms = 0;
   const auto* end = text.data() + text.size();
-  const auto [parsed, error] = std::from_chars(text.data(), end, millis);
-  if (error != std::errc{} || parsed != end || millis == 0) {
-    Malformed("header 'x-deadline-ms' must be a whole number of at least 1");
+  const auto [parsed, error] = std::from_chars(text.data(), end, requested_ms);
+  if (error != std::errc{} || parsed != end || requested_ms == 0) {
+    ThrowMalformed(
+        "header 'x-deadline-ms' must be a whole number of at least 1");
   }
-  const core::Duration asked = std::chrono::milliseconds(millis);
-  return now + std::min(asked, max_deadline_);
+  const core::Duration requested = std::chrono::milliseconds(requested_ms);
+  return now + std::min(requested, max_deadline_);
 }
 
 ReadResult RequestReader::Read(const HttpRequest& http, const std::string& id,
@@ -131,7 +133,7 @@
         kUnauthorized, core::EventNumber::kAccountRefused,
         "header 'authorization' must carry 'Bearer KEY' of a known account"};
   }
-  const auto path = PathOf(http);
+  const auto path = PathWithoutQuery(http);
   const bool for_ticket = path.starts_with(kTicketPath);
   const auto* route =
       FindRoute(for_ticket ? path.substr(kTicketPath.size()) : path);
@@ -143,13 +145,13 @@
   if (for_ticket) {
     return TicketRequest{route->role_};
   }
-  const auto body = BodyOf(http);
+  const auto body = ParseBody(http);
   const auto* bundle = config_.documents().AcceptedBundle();
   const bool has_model = bundle != nullptr && bundle->AppliesTo(route->role_);
-  if (has_model && !KnowsModel(*bundle, body)) {
+  if (has_model && !AcceptsModel(*bundle, body)) {
     return Rejection{kNotFound, core::EventNumber::kBadRequest,
-                     "field 'model' names no model or adapter of the bundle in "
-                     "force; use " +
+                     "field 'model' names no model or adapter of the active "
+                     "bundle; use " +
                          bundle->model_};
   }
   AdmittedRequest request;
@@ -160,14 +162,15 @@
   request.repeatable_ = route->repeatable_;
   request.max_attempts_ = max_attempts_;
   request.retry_after_ = retry_after_;
-  request.prefix_ = PrefixOf(body);
-  request.deadline_ = Deadline(http, now);
+  request.prefix_ = PromptPrefix(body);
+  request.deadline_ = ParseDeadline(http, now);
   const auto key = FindHeader(http.headers_, "idempotency-key");
   if (!key.empty() && !request.repeatable_) {
     request.ticket_ = routing::ParseTicket(key);
     if (!request.ticket_) {
-      Malformed("header 'idempotency-key' must be a ticket from POST " +
-                std::string(kTicketPath) + "PATH or from an earlier answer");
+      ThrowMalformed("header 'idempotency-key' must be a ticket from POST " +
+                     std::string(kTicketPath) +
+                     "PATH or from an earlier response");
     }
   }
   return request;
--- a/packages/daemon/src/daemon/request_runner.cpp
+++ b/packages/daemon/src/daemon/request_runner.cpp
@@ -1,5 +1,5 @@
-// Performs the tracker's actions. Answers that are not event streams are held
-// until whole, so that a failure can still be retried or told plainly.
+// Responses that are not event streams are buffered until they are complete, so
+// that a failed attempt can still be retried or reported with an error status.
 #include "daemon/request_runner.hpp"
 
 #include <algorithm>
@@ -11,16 +11,16 @@
 namespace {
 
 constexpr std::string_view kEventStream = "text/event-stream";
-constexpr std::string_view kEventEnd = "\n\n";
-/// Longer answers are passed on as they come.
-constexpr std::size_t kMaxHeld = std::size_t{8} << 20;
+constexpr std::string_view kEventSeparator = "\n\n";
+/// Longer responses are forwarded as they arrive.
+constexpr std::size_t kMaxBufferedBytes = std::size_t{8} << 20;
 constexpr int kBadRequest = 400;
 constexpr int kServiceUnavailable = 503;
 constexpr int kBadGateway = 502;
 constexpr int kGatewayTimeout = 504;
 
-routing::RequestTraits TraitsOf(const AdmittedRequest& request,
-                                routing::RetryBudget& budget) {
+routing::RequestTraits MakeTraits(const AdmittedRequest& request,
+                                  routing::RetryBudget& budget) {
   return {.repeatable_ = request.repeatable_,
           .resumable_ = request.repeatable_,
           .deadline_ = request.deadline_,
@@ -33,7 +33,8 @@
           .retry_after_ = request.retry_after_};
 }
 
-std::uint64_t MillisecondsLeft(core::TimePoint deadline, core::TimePoint now) {
+std::uint64_t RemainingMilliseconds(core::TimePoint deadline,
+                                    core::TimePoint now) {
   const auto left =
       std::chrono::duration_cast<std::chrono::milliseconds>(deadline - now);
   return static_cast<std::uint64_t>(
@@ -44,23 +45,23 @@
 
 std::vector<routing::Candidate> CandidatesOf(
     const membership::Roster& roster, const core::Role& role,
-    core::TimePoint now, const std::set<core::InstanceId>& but) {
+    core::TimePoint now, const std::set<core::InstanceId>& excluded) {
   std::vector<routing::Candidate> candidates;
-  std::vector<routing::Candidate> full;
+  std::vector<routing::Candidate> saturated;
   for (const auto* view : roster.Available(role, now)) {
-    if (but.contains(view->instance_.id_)) {
+    if (excluded.contains(view->instance_.id_)) {
       continue;
     }
-    const bool has_room =
+    const bool below_share =
         view->in_flight_ < membership::Roster::MaxInFlight(*view);
-    (has_room ? candidates : full)
+    (below_share ? candidates : saturated)
         .push_back({.id_ = view->instance_.id_,
                     .domain_ = view->instance_.domain_,
                     .in_flight_ = view->in_flight_,
                     .reported_load_ = view->report_->load_,
                     .capacity_ = view->report_->capacity_});
   }
-  return candidates.empty() ? full : candidates;
+  return candidates.empty() ? saturated : candidates;
 }
 
 RequestRunner::RequestRunner(RequestServices services, HttpExchangePtr exchange,
@@ -70,22 +71,22 @@
       exchange_(std::move(exchange)),
       request_(std::move(request)),
       on_done_(std::move(on_done)),
-      tracker_(TraitsOf(request_, services.budget_)),
+      tracker_(MakeTraits(request_, services.budget_)),
       span_(services.tracer_.Begin(
           "entry " + exchange_->request().path_,
           FindHeader(exchange_->request().headers_, "traceparent"))),
-      deadline_(services.loop_),
+      deadline_timer_(services.loop_),
       started_(services.loop_.Now()) {}
 
 void RequestRunner::Start() {
   const auto self = shared_from_this();
   exchange_->OnAbort([weak = weak_from_this()] {
-    if (auto held = weak.lock()) {
-      held->Perform(held->tracker_.Abort());
+    if (auto runner = weak.lock()) {
+      runner->Perform(runner->tracker_.Abort());
     }
   });
-  deadline_.Once(request_.deadline_ - services_.loop_.Now(),
-                 [self] { self->Perform(self->tracker_.Abort()); });
+  deadline_timer_.Once(request_.deadline_ - services_.loop_.Now(),
+                       [self] { self->Perform(self->tracker_.Abort()); });
   services_.budget_.OnRequest(services_.loop_.Now());
   Perform(tracker_.Start(services_.loop_.Now()));
 }
@@ -114,13 +115,14 @@
   const auto now = services_.loop_.Now();
   auto& roster = services_.links_.roster();
   if (request_.ticket_) {
-    // A caller's ticket runs where it was minted or nowhere.
-    const bool first = tried_.empty();
+    // A ticket of the caller is valid only at the endpoint that it was issued
+    // for.
+    const bool first = tried_endpoints_.empty();
     return first && roster.Find(request_.ticket_->endpoint_) != nullptr
                ? std::optional(request_.ticket_->endpoint_)
                : std::nullopt;
   }
-  auto candidates = CandidatesOf(roster, request_.role_, now, tried_);
+  auto candidates = CandidatesOf(roster, request_.role_, now, tried_endpoints_);
   if (same_weights && !events_forwarded_) {
     return std::nullopt;
   }
@@ -135,10 +137,11 @@
 void RequestRunner::Choose(bool same_weights) {
   const auto endpoint = ChooseEndpoint(same_weights);
   if (!endpoint) {
-    last_reason_ =
-        last_reason_.empty()
-            ? "no endpoint of role " + request_.role_.value() + " can take it"
-            : last_reason_ + "; no other endpoint can take it";
+    last_failure_ =
+        last_failure_.empty()
+            ? "no endpoint of role " + request_.role_.value() +
+                  " can accept the request"
+            : last_failure_ + "; no other endpoint can accept the request";
   }
   Perform(tracker_.OnChosen(endpoint, services_.loop_.Now()));
 }
@@ -147,12 +150,12 @@
   const auto now = services_.loop_.Now();
   auto& roster = services_.links_.roster();
   endpoint_ = send.endpoint_;
-  tried_.insert(endpoint_);
+  tried_endpoints_.insert(endpoint_);
   if (send.attempt_ > 1) {
     services_.log_.Write(core::EventNumber::kRequestRetried,
                          {{"request", request_.id_},
                           {"peer", endpoint_.value()},
-                          {"reason", last_reason_}});
+                          {"reason", last_failure_}});
   }
   const auto* view = roster.Find(endpoint_);
   manifest_ = view != nullptr && view->report_ ? view->report_->manifest_
@@ -164,7 +167,8 @@
   const auto connection = services_.links_.Connection(endpoint_);
   roster.OnRequestSent(endpoint_, now);
   if (!connection || (!request_.repeatable_ && !ticket_)) {
-    EndAttempt(send.attempt_, routing::AttemptEnd::kNeverSent, "no stream");
+    EndAttempt(send.attempt_, routing::AttemptEnd::kNeverSent,
+               "no open stream to the agent");
     return;
   }
   const auto& http = exchange_->request();
@@ -179,13 +183,13 @@
       .body_ = http.body_,
       .ticket_ = TicketText(),
       .manifest_ = manifest_.empty() ? "" : manifest_.ToHex(),
-      .deadline_ms_ = MillisecondsLeft(request_.deadline_, now),
+      .deadline_ms_ = RemainingMilliseconds(request_.deadline_, now),
       .resume_from_ = send.resume_from_,
       .traceparent_ = span_.context_.ToHeader()};
   reader_ = FrameReader();
-  begin_ = {};
-  held_.clear();
-  part_.clear();
+  begin_frame_ = {};
+  buffered_.clear();
+  partial_event_.clear();
   resume_from_ = send.resume_from_;
   PeerCallbacks callbacks;
   const auto self = shared_from_this();
@@ -217,10 +221,10 @@
   services_.links_.roster().OnLoad(endpoint_, frame.load_, frame.sharers_);
   switch (static_cast<RunFrameKind>(frame.kind_)) {
     case RunFrameKind::kBegin:
-      OnBegin(attempt, frame);
+      OnResponseBegin(attempt, frame);
       break;
     case RunFrameKind::kData:
-      OnData(attempt, frame);
+      OnResponseData(attempt, frame);
       break;
     case RunFrameKind::kComplete:
       EndAttempt(attempt, routing::AttemptEnd::kComplete, "");
@@ -237,33 +241,34 @@
   }
 }
 
-void RequestRunner::OnBegin(routing::AttemptNumber attempt,
-                            const RunFrame& frame) {
-  begin_ = frame;
+void RequestRunner::OnResponseBegin(routing::AttemptNumber attempt,
+                                    const RunFrame& frame) {
+  begin_frame_ = frame;
   const std::string pinned = manifest_.empty() ? "" : manifest_.ToHex();
-  // A refusal by the back end (4xx) is no answer of a model.
-  const bool is_answer = frame.status_ < kBadRequest;
-  const bool right_weights = !is_answer || frame.manifest_ == pinned;
-  const bool goes_on = frame.resumed_from_ == resume_from_;
-  if (!right_weights) {
-    last_reason_ = "endpoint answered from other weights";
-  } else if (!goes_on) {
-    last_reason_ = "endpoint did not go on where the answer broke off";
+  // An error response of the backend (4xx) does not come from the model.
+  const bool is_success = frame.status_ < kBadRequest;
+  const bool weights_match = !is_success || frame.manifest_ == pinned;
+  const bool resumes_as_requested = frame.resumed_from_ == resume_from_;
+  if (!weights_match) {
+    last_failure_ = "endpoint responded with other weights";
+  } else if (!resumes_as_requested) {
+    last_failure_ = "endpoint did not resume the response where it broke off";
   }
-  Perform(tracker_.OnResponseStarted(attempt, right_weights,
+  Perform(tracker_.OnResponseStarted(attempt, weights_match,
                                      services_.loop_.Now()));
 }
 
-void RequestRunner::OnData(routing::AttemptNumber attempt,
-                           const RunFrame& frame) {
+void RequestRunner::OnResponseData(routing::AttemptNumber attempt,
+                                   const RunFrame& frame) {
   if (!first_byte_seen_) {
     first_byte_seen_ = true;
     services_.metrics_.Observe("first_byte_seconds", {},
                                services_.loop_.Now() - started_);
   }
-  const bool stream = begin_.content_type_.starts_with(kEventStream);
-  if (!stream && !streaming_ && held_.size() + frame.data_.size() <= kMaxHeld) {
-    held_ += frame.data_;
+  const bool stream = begin_frame_.content_type_.starts_with(kEventStream);
+  if (!stream && !streaming_ &&
+      buffered_.size() + frame.data_.size() <= kMaxBufferedBytes) {
+    buffered_ += frame.data_;
     return;
   }
   if (stream) {
@@ -274,41 +279,44 @@
   }
 }
 
-/// Only whole events go to the caller, so that another endpoint can go on after
-/// any of them.
+/// Forwards only complete events, so that another endpoint can resume after any
+/// of them.
 void RequestRunner::ForwardEvents(routing::AttemptNumber attempt,
                                   std::string_view bytes) {
-  part_ += bytes;
-  const auto end = part_.rfind(kEventEnd);
+  partial_event_ += bytes;
+  const auto end = partial_event_.rfind(kEventSeparator);
   if (end == std::string::npos) {
     return;
   }
-  const auto whole = part_.substr(0, end + kEventEnd.size());
+  const auto complete_events =
+      partial_event_.substr(0, end + kEventSeparator.size());
   std::uint64_t events = 0;
-  for (auto at = whole.find(kEventEnd); at != std::string::npos;
-       at = whole.find(kEventEnd, at + kEventEnd.size())) {
+  for (auto position = complete_events.find(kEventSeparator);
+       position != std::string::npos;
+       position = complete_events.find(kEventSeparator,
+                                       position + kEventSeparator.size())) {
     ++events;
   }
   if (!tracker_.AcceptResponseBytes(attempt, events)) {
     return;
   }
-  part_.erase(0, whole.size());
+  partial_event_.erase(0, complete_events.size());
   events_forwarded_ = true;
   StartStreaming();
-  exchange_->Write(whole);
+  exchange_->Write(complete_events);
 }
 
 void RequestRunner::StartStreaming() {
   if (!streaming_) {
     streaming_ = true;
-    exchange_->Start(begin_.status_, AnswerHeaders());
-    exchange_->Write(held_);
-    held_.clear();
+    exchange_->Start(begin_frame_.status_, ResponseHeaders());
+    exchange_->Write(buffered_);
+    buffered_.clear();
   }
 }
 
 void RequestRunner::OnStreamEnd(routing::AttemptNumber attempt, PeerEnd end) {
-  // Reached without a closing frame only if the stream broke.
+  // If no closing frame was received before, the stream broke.
   const auto ended = end == PeerEnd::kNotSent ? routing::AttemptEnd::kNeverSent
                                               : routing::AttemptEnd::kLost;
   if (attempt == tracker_.attempt() && !tracker_.finished()) {
@@ -316,8 +324,8 @@
   }
 }
 
-/// Whether the request would go on if its attempt ended now.
-bool RequestRunner::CanGoOnElsewhere() {
+/// Whether another attempt would be made if the current one ended now.
+bool RequestRunner::CanContinueElsewhere() {
   const auto kind = tracker_.forwarded() ? routing::RetryKind::kResume
                                          : routing::RetryKind::kRestart;
   return tracker_.attempt() < request_.max_attempts_ &&
@@ -325,16 +333,17 @@
          ChooseEndpoint(tracker_.forwarded()).has_value();
 }
 
-/// Running twice does no harm here, waiting does; but an endpoint that is only
-/// slow still serves better than none.
+/// Called for repeatable requests only, for which a second execution does no
+/// harm but waiting does. Without an alternative the attempt goes on, since the
+/// endpoint may only be slow.
 void RequestRunner::OnStalled(routing::AttemptNumber attempt) {
   const bool current = attempt == tracker_.attempt() && !tracker_.finished();
-  if (!current || !CanGoOnElsewhere()) {
+  if (!current || !CanContinueElsewhere()) {
     return;
   }
   const auto stalled = std::exchange(call_, nullptr);
   EndAttempt(attempt, routing::AttemptEnd::kLost,
-             endpoint_.value() + " leaves a ping unanswered");
+             endpoint_.value() + " did not reply to a ping in time");
   stalled->Cancel();
 }
 
@@ -344,51 +353,52 @@
   if (attempt != tracker_.attempt() || tracker_.finished()) {
     return;
   }
-  const bool at_fault = end == routing::AttemptEnd::kFailedRan ||
-                        end == routing::AttemptEnd::kLost ||
-                        end == routing::AttemptEnd::kNeverSent;
+  const bool endpoint_failed = end == routing::AttemptEnd::kFailedRan ||
+                               end == routing::AttemptEnd::kLost ||
+                               end == routing::AttemptEnd::kNeverSent;
   const auto now = services_.loop_.Now();
-  services_.links_.roster().OnRequestEnded(endpoint_, at_fault, now);
-  last_reason_ = reason;
+  services_.links_.roster().OnRequestEnded(endpoint_, endpoint_failed, now);
+  last_failure_ = reason;
   const auto self = shared_from_this();
   Perform(tracker_.OnEnded(attempt, end, now));
 }
 
 void RequestRunner::Finish(const routing::FinishRequest& finish) {
   const auto self = shared_from_this();
-  deadline_.Cancel();
-  const bool answered = finish.outcome_ == routing::Outcome::kAnswered;
-  if (answered) {
-    Answer();
+  deadline_timer_.Cancel();
+  const bool is_answered = finish.outcome_ == routing::Outcome::kAnswered;
+  if (is_answered) {
+    SendResponse();
   } else {
-    TellProblem(finish);
+    SendProblem(finish);
   }
-  services_.tracer_.End(span_, answered);
+  services_.tracer_.End(span_, is_answered);
   services_.metrics_.Count(
       "requests_total",
       {{"outcome", std::string(routing::ToString(finish.outcome_))}});
   services_.metrics_.Observe("request_seconds", {},
                              services_.loop_.Now() - started_);
-  const auto done = std::exchange(on_done_, nullptr);
-  if (done) {
-    done(finish.outcome_);
+  const auto on_done = std::exchange(on_done_, nullptr);
+  if (on_done) {
+    on_done(finish.outcome_);
   }
-  // Breaks the cycle of callbacks; the deadline's task refers to this object.
-  services_.loop_.Post([self] { self->deadline_.Once({}, [] {}); });
+  // Breaks a reference cycle: the task of the deadline timer owns this object.
+  services_.loop_.Post([self] { self->deadline_timer_.Once({}, [] {}); });
 }
 
-void RequestRunner::Answer() {
+void RequestRunner::SendResponse() {
   if (streaming_) {
     exchange_->End(true);
     return;
   }
-  exchange_->Respond(begin_.status_, AnswerHeaders(), std::move(held_));
+  exchange_->Respond(begin_frame_.status_, ResponseHeaders(),
+                     std::move(buffered_));
 }
 
-void RequestRunner::TellProblem(const routing::FinishRequest& finish) {
+void RequestRunner::SendProblem(const routing::FinishRequest& finish) {
   Problem problem{.status_ = kServiceUnavailable,
                   .title_ = std::string(routing::ToString(finish.outcome_)),
-                  .detail_ = last_reason_,
+                  .detail_ = last_failure_,
                   .event_ = core::EventNumber::kRequestRefused,
                   .outcome_ = finish.outcome_,
                   .retry_after_ = finish.retry_after_,
@@ -403,7 +413,7 @@
   }
   services_.log_.Write(problem.event_, {{"request", request_.id_},
                                         {"peer", endpoint_.value()},
-                                        {"reason", last_reason_}});
+                                        {"reason", last_failure_}});
   if (streaming_) {
     exchange_->Write("event: error\ndata: " + ToJson(problem) + "\n\n");
     exchange_->End(false);
@@ -412,13 +422,13 @@
   RespondProblem(*exchange_, problem);
 }
 
-HttpHeaders RequestRunner::AnswerHeaders() const {
-  HttpHeaders headers{{"content-type", begin_.content_type_},
+HttpHeaders RequestRunner::ResponseHeaders() const {
+  HttpHeaders headers{{"content-type", begin_frame_.content_type_},
                       {"x-request-id", request_.id_},
                       {"x-chalkwell-endpoint", endpoint_.value()},
                       {"traceparent", span_.context_.ToHeader()}};
-  if (!begin_.manifest_.empty()) {
-    headers.emplace_back("x-chalkwell-weights", begin_.manifest_);
+  if (!begin_frame_.manifest_.empty()) {
+    headers.emplace_back("x-chalkwell-weights", begin_frame_.manifest_);
   }
   if (ticket_) {
     headers.emplace_back("idempotency-key", TicketText());
--- a/packages/daemon/src/daemon/request_runner.hpp
+++ b/packages/daemon/src/daemon/request_runner.hpp
@@ -1,4 +1,4 @@
-// One caller's request from admission to its single outcome.
+// Runs one caller's request from admission to its outcome.
 #pragma once
 
 #include <functional>
@@ -20,7 +20,7 @@
 
 namespace chalkwell::daemon {
 
-/// @brief What requests of one entry share.
+/// @brief Objects that the requests of one entry share.
 struct RequestServices {
   Loop& loop_;
   const core::InstanceId& self_;
@@ -32,29 +32,39 @@
   Tracer& tracer_;
 };
 
-/// @brief Endpoints of a role that may get new work now, but for some; those
-/// where this entry's share is in use only when there is no other.
+/// @brief Endpoints of a role that may get new work now, except those in
+/// `excluded`. Endpoints at which this entry uses its whole share of the slots
+/// are returned only if there is no other.
 [[nodiscard]] std::vector<routing::Candidate> CandidatesOf(
     const membership::Roster& roster, const core::Role& role,
-    core::TimePoint now, const std::set<core::InstanceId>& but);
+    core::TimePoint now, const std::set<core::InstanceId>& excluded);
 
-/// @brief What admission found out about a request.
+/// @brief A request that passed admission.
 struct AdmittedRequest {
   std::string id_;
   core::ClientAccountId account_;
+  /// Weight of the account in the queue of waiting requests.
   std::uint64_t weight_ = 1;
   core::Role role_;
+  /// Whether the request may be executed more than once, as set for its route.
   bool repeatable_ = false;
   core::TimePoint deadline_;
   routing::AttemptNumber max_attempts_ = 1;
+  /// Value of `Retry-After` if the request is refused.
   core::Duration retry_after_{};
-  /// What the back end's prefix cache would key on.
+  /// Start of the prompt, which the backend's prefix cache would use as its
+  /// key.
   std::string prefix_;
-  /// Given by the caller; empty when the entry shall mint one.
+  /// Ticket supplied by the caller; if empty, the entry issues one unless the
+  /// request is repeatable.
   std::optional<routing::ExecutionTicket> ticket_;
 };
 
-/// @brief Runs one request: endpoint choice, attempts, answer, outcome.
+/// @brief Performs the actions of a request's RequestTracker: chooses
+/// endpoints, sends attempts, forwards the response and reports the outcome.
+///
+/// Must be owned by a std::shared_ptr; keeps itself alive until the outcome is
+/// decided.
 class RequestRunner : public std::enable_shared_from_this<RequestRunner> {
  public:
   /// @param on_done called once, when the outcome is decided.
@@ -71,19 +81,19 @@
       bool same_weights);
   void Send(const routing::SendAttempt& send);
   void OnFrame(routing::AttemptNumber attempt, const RunFrame& frame);
-  void OnBegin(routing::AttemptNumber attempt, const RunFrame& frame);
-  void OnData(routing::AttemptNumber attempt, const RunFrame& frame);
-  [[nodiscard]] bool CanGoOnElsewhere();
+  void OnResponseBegin(routing::AttemptNumber attempt, const RunFrame& frame);
+  void OnResponseData(routing::AttemptNumber attempt, const RunFrame& frame);
+  [[nodiscard]] bool CanContinueElsewhere();
   void OnStalled(routing::AttemptNumber attempt);
   void OnStreamEnd(routing::AttemptNumber attempt, PeerEnd end);
   void EndAttempt(routing::AttemptNumber attempt, routing::AttemptEnd end,
                   const std::string& reason);
   void Finish(const routing::FinishRequest& finish);
-  void Answer();
-  void TellProblem(const routing::FinishRequest& finish);
+  void SendResponse();
+  void SendProblem(const routing::FinishRequest& finish);
   void StartStreaming();
   void ForwardEvents(routing::AttemptNumber attempt, std::string_view bytes);
-  [[nodiscard]] HttpHeaders AnswerHeaders() const;
+  [[nodiscard]] HttpHeaders ResponseHeaders() const;
   [[nodiscard]] std::string TicketText() const;
 
   RequestServices services_;
@@ -92,25 +102,31 @@
   std::function<void(routing::Outcome)> on_done_;
   routing::RequestTracker tracker_;
   Span span_;
-  Timer deadline_;
-  /// Endpoints tried for this request.
-  std::set<core::InstanceId> tried_;
+  Timer deadline_timer_;
+  /// Endpoints to which an attempt was sent.
+  std::set<core::InstanceId> tried_endpoints_;
+  /// Endpoint of the current attempt.
   core::InstanceId endpoint_;
-  /// Weights pinned for the current attempt.
+  /// Weights pinned for the current attempt; empty for services without
+  /// weights.
   core::Digest manifest_;
   std::optional<routing::ExecutionTicket> ticket_;
   OutgoingCallPtr call_;
   FrameReader reader_;
-  /// The current attempt's answer, held until it may go to the caller.
-  RunFrame begin_;
-  std::string held_;
-  /// Begin of an event of the stream that is not whole yet.
-  std::string part_;
+  /// First frame of the current attempt's response.
+  RunFrame begin_frame_;
+  /// Body of the current attempt's response, buffered until it may be sent to
+  /// the caller.
+  std::string buffered_;
+  /// Received bytes of an event that is not complete yet.
+  std::string partial_event_;
+  /// Number of events that the caller already had when the attempt was sent.
   std::uint64_t resume_from_ = 0;
-  /// What the caller has is events of a stream, so it can go on elsewhere.
+  /// The bytes forwarded to the caller are complete events, so another endpoint
+  /// can resume the response.
   bool events_forwarded_ = false;
   bool streaming_ = false;
-  std::string last_reason_;
+  std::string last_failure_;
   core::TimePoint started_;
   bool first_byte_seen_ = false;
 };
--- a/packages/daemon/src/daemon/run_handler.cpp
+++ b/packages/daemon/src/daemon/run_handler.cpp
@@ -1,4 +1,4 @@
-// Checks come before hand-over, so that a refusal is always "not run".
+// All checks precede forwarding, so that a refusal always means "not run".
 #include "daemon/run_handler.hpp"
 
 #include <algorithm>
@@ -10,23 +10,24 @@
 namespace chalkwell::daemon {
 namespace {
 
-constexpr int kServerError = 500;
-constexpr std::size_t kMaxKeptAnswer = std::size_t{256} << 10;
+constexpr int kMinServerErrorStatus = 500;
+constexpr std::size_t kMaxCachedResponseBytes = std::size_t{256} << 10;
 constexpr std::string_view kEventStream = "text/event-stream";
-constexpr std::string_view kStreamEnd = "data: [DONE]\n\n";
-constexpr std::size_t kMaxSeen = std::size_t{8} << 20;
-/// Asks an engine to go on after so many events, and its word that it does.
+constexpr std::string_view kStreamEndMarker = "data: [DONE]\n\n";
+constexpr std::size_t kMaxInspectedBytes = std::size_t{8} << 20;
+/// Request header: number of events after which the engine shall resume a
+/// response. Response header: number after which it does.
 constexpr std::string_view kResumeHeader = "x-resume-from";
 constexpr std::string_view kResumedHeader = "x-resumed-from";
 constexpr std::string_view kWeightsHeader = "x-weights-digest";
 
-std::uint64_t NumberIn(std::string_view text) {
+std::uint64_t ParseNumber(std::string_view text) {
   std::uint64_t number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number);
   return number;
 }
 
-RunFrame FrameOf(RunFrameKind kind, std::string reason = "") {
+RunFrame MakeFrame(RunFrameKind kind, std::string reason = "") {
   RunFrame frame;
   frame.kind_ = static_cast<std::uint8_t>(kind);
   frame.reason_ = std::move(reason);
@@ -35,41 +36,43 @@
 
 }  // namespace
 
-// The client takes a connection that closes between two chunks for the end of
-// the answer, so an answer without a length must show its own end.
+// The HTTP client reports a connection that closes between two HTTP chunks as
+// the end of the response, so a response without a length is complete only if
+// its content shows its end.
 struct RunHandler::Attempt {
   PeerCallPtr call_;
   RunMessage message_;
   std::optional<routing::ExecutionTicket> ticket_;
   Span span_;
-  std::shared_ptr<HttpCall> http_;
-  std::unique_ptr<Timer> deadline_;
-  /// When it began to wait for a slot, if it did.
-  core::TimePoint arrived_;
+  std::shared_ptr<HttpCall> backend_call_;
+  std::unique_ptr<Timer> deadline_timer_;
+  /// When it began to wait for a slot; meaningful if it did.
+  core::TimePoint queued_at_;
   int status_ = 0;
-  bool begun_ = false;
-  bool closed_ = false;
-  /// Whether the answer says how long it is.
+  bool has_begun_ = false;
+  bool is_closed_ = false;
+  /// Whether the response has a `content-length`.
   bool has_length_ = false;
   std::string content_type_;
-  /// What the end is judged by: the last bytes of a stream, or all of an
-  /// answer without a length.
-  std::string seen_;
-  /// Frames of the answer, kept for the caller's own retries.
-  std::string kept_;
+  /// Bytes by which the end of a response without a length is checked: the last
+  /// ones of an event stream, or all of another response.
+  std::string inspected_;
+  /// Frames of the response, cached for retries by the caller.
+  std::string cached_frames_;
 };
 
 namespace {
 
 template <typename Attempt>
-void Watch(Attempt& attempt, std::string_view bytes) {
-  if (attempt.has_length_ || attempt.seen_.size() > kMaxSeen) {
+void InspectBytes(Attempt& attempt, std::string_view bytes) {
+  if (attempt.has_length_ || attempt.inspected_.size() > kMaxInspectedBytes) {
     return;
   }
-  attempt.seen_.append(bytes);
+  attempt.inspected_.append(bytes);
   const bool stream = attempt.content_type_.starts_with(kEventStream);
-  if (stream && attempt.seen_.size() > kStreamEnd.size()) {
-    attempt.seen_.erase(0, attempt.seen_.size() - kStreamEnd.size());
+  if (stream && attempt.inspected_.size() > kStreamEndMarker.size()) {
+    attempt.inspected_.erase(
+        0, attempt.inspected_.size() - kStreamEndMarker.size());
   }
 }
 
@@ -78,24 +81,24 @@
 RunHandler::RunHandler(Process& process, Address backend,
                        std::uint64_t incarnation, std::uint64_t capacity,
                        std::function<EndpointState()> state,
-                       std::function<void(std::size_t)> on_live_bytes,
+                       std::function<void(std::size_t)> on_response_bytes,
                        std::function<void()> on_idle)
     : process_(process),
       backend_(std::move(backend)),
       state_(std::move(state)),
-      on_live_bytes_(std::move(on_live_bytes)),
+      on_response_bytes_(std::move(on_response_bytes)),
       on_idle_(std::move(on_idle)),
       guard_(process.id(), incarnation),
       slots_({.capacity_ = capacity, .max_waiting_ = capacity}) {}
 
-std::size_t RunHandler::sharers() const {
+std::size_t RunHandler::active_entries() const {
   return slots_.active_entries(process_.loop().Now());
 }
 
-std::string RunHandler::ReasonToRefuse(const RunMessage& message) const {
+std::string RunHandler::RefusalReason(const RunMessage& message) const {
   const auto state = state_();
   if (!state.accepting_) {
-    return "endpoint takes no work";
+    return "endpoint accepts no work";
   }
   if (message.manifest_ != state.manifest_) {
     return "endpoint serves other weights";
@@ -104,9 +107,9 @@
 }
 
 void RunHandler::Refuse(const PeerCallPtr& call, std::string reason) const {
-  auto frame = FrameOf(RunFrameKind::kRefused, std::move(reason));
+  auto frame = MakeFrame(RunFrameKind::kRefused, std::move(reason));
   frame.load_ = slots_.in_use() + slots_.waiting();
-  frame.sharers_ = sharers();
+  frame.sharers_ = active_entries();
   call->Respond(200, Pack(frame));
 }
 
@@ -117,11 +120,11 @@
     Refuse(call, "ticket is malformed");
     return false;
   }
-  const auto verdict = guard_.Use(*ticket);
-  if (verdict == routing::TicketStatus::kAccepted) {
+  const auto status = guard_.Use(*ticket);
+  if (status == routing::TicketStatus::kAccepted) {
     return true;
   }
-  if (verdict == routing::TicketStatus::kResponseCached) {
+  if (status == routing::TicketStatus::kResponseCached) {
     call->Respond(200, *guard_.FindCachedResponse(*ticket));
     return false;
   }
@@ -129,11 +132,11 @@
       core::EventNumber::kTicketRefused,
       {{"request", message.request_}, {"ticket", message.ticket_}});
   call->Respond(
-      200, Pack(FrameOf(RunFrameKind::kUnknown,
-                        verdict == routing::TicketStatus::kUsed
-                            ? "this idempotency key was used before"
-                            : "this idempotency key is of a process that is "
-                              "gone, or too old")));
+      200, Pack(MakeFrame(RunFrameKind::kUnknown,
+                          status == routing::TicketStatus::kUsed
+                              ? "this idempotency key was used before"
+                              : "this idempotency key is of a process that has "
+                                "ended, or too old")));
   return false;
 }
 
@@ -148,90 +151,90 @@
     }
     attempt->ticket_ = routing::ParseTicket(message.ticket_);
   }
-  if (auto reason = ReasonToRefuse(message); !reason.empty()) {
+  if (auto reason = RefusalReason(message); !reason.empty()) {
     Refuse(call, std::move(reason));
     return;
   }
   const auto number = ++last_number_;
-  const auto verdict = slots_.Offer(number, core::InstanceId(message.sender_),
-                                    process_.loop().Now());
-  if (verdict == routing::SlotDecision::kStart) {
-    Forward(attempt);
-  } else if (verdict == routing::SlotDecision::kWait) {
-    Wait(number, attempt);
+  const auto decision = slots_.Offer(number, core::InstanceId(message.sender_),
+                                     process_.loop().Now());
+  if (decision == routing::SlotDecision::kStart) {
+    ForwardToBackend(attempt);
+  } else if (decision == routing::SlotDecision::kWait) {
+    Enqueue(number, attempt);
   } else {
-    Refuse(call, "endpoint is full");
+    Refuse(call, "queue of the endpoint is full");
   }
 }
 
-void RunHandler::Wait(std::uint64_t number, const AttemptPtr& attempt) {
-  waiting_.emplace(number, attempt);
-  attempt->arrived_ = process_.loop().Now();
+void RunHandler::Enqueue(std::uint64_t number, const AttemptPtr& attempt) {
+  queued_.emplace(number, attempt);
+  attempt->queued_at_ = process_.loop().Now();
   attempt->call_->OnClosed([this, number] {
     if (slots_.Remove(number)) {
-      waiting_.erase(number);
+      queued_.erase(number);
     }
   });
-  attempt->deadline_ = std::make_unique<Timer>(process_.loop());
-  attempt->deadline_->Once(
+  attempt->deadline_timer_ = std::make_unique<Timer>(process_.loop());
+  attempt->deadline_timer_->Once(
       std::chrono::milliseconds(attempt->message_.deadline_ms_),
       [this, number] {
         if (slots_.Remove(number)) {
-          GiveUpWaiting(number, "the deadline passed before it could start");
+          RefuseQueued(number, "deadline passed before a slot was free");
         }
       });
 }
 
-void RunHandler::GiveUpWaiting(std::uint64_t number,
-                               const std::string& reason) {
-  const auto held = waiting_.extract(number);
-  const auto attempt = held.mapped();
+void RunHandler::RefuseQueued(std::uint64_t number, const std::string& reason) {
+  const auto entry = queued_.extract(number);
+  const auto attempt = entry.mapped();
   attempt->call_->OnClosed([] {});
   Refuse(attempt->call_, reason);
-  process_.loop().Post([attempt] { attempt->deadline_.reset(); });
+  process_.loop().Post([attempt] { attempt->deadline_timer_.reset(); });
 }
 
-void RunHandler::RefuseWaiting() {
+void RunHandler::RefuseAllQueued() {
   for (const auto number : slots_.TakeWaiting()) {
-    GiveUpWaiting(number, "endpoint takes no work");
+    RefuseQueued(number, "endpoint accepts no work");
   }
 }
 
-void RunHandler::StartWaiting() {
+void RunHandler::StartQueued() {
   while (const auto number = slots_.Next()) {
-    const auto attempt = waiting_.at(*number);
-    auto reason = ReasonToRefuse(attempt->message_);
+    const auto attempt = queued_.at(*number);
+    auto reason = RefusalReason(attempt->message_);
     if (!reason.empty()) {
       slots_.Release();
-      GiveUpWaiting(*number, reason);
+      RefuseQueued(*number, reason);
       continue;
     }
-    waiting_.erase(*number);
+    queued_.erase(*number);
     const auto waited = std::chrono::duration_cast<std::chrono::milliseconds>(
-        process_.loop().Now() - attempt->arrived_);
-    auto& deadline = attempt->message_.deadline_ms_;
-    const auto gone = static_cast<std::uint64_t>(waited.count());
-    deadline = deadline > gone ? deadline - gone : 1;
-    Forward(attempt);
+        process_.loop().Now() - attempt->queued_at_);
+    auto& deadline_ms = attempt->message_.deadline_ms_;
+    const auto waited_ms = static_cast<std::uint64_t>(waited.count());
+    deadline_ms = deadline_ms > waited_ms ? deadline_ms - waited_ms : 1;
+    ForwardToBackend(attempt);
   }
 }
 
-void RunHandler::Forward(const AttemptPtr& attempt) {
+void RunHandler::ForwardToBackend(const AttemptPtr& attempt) {
   const auto& message = attempt->message_;
   process_.stop().OnWorkAccepted();
   attempt->span_ =
       process_.tracer().Begin("agent " + message.path_, message.traceparent_);
   attempt->call_->OnClosed([this, attempt] {
-    // The entry gave the attempt up: the back end need not go on, unless the
-    // answer is kept for the caller's own retry.
+    // The entry abandoned the attempt: it is cancelled at the backend, unless
+    // the response is to be cached for a retry by the caller.
     if (!attempt->ticket_) {
-      Close(attempt, FrameOf(RunFrameKind::kUnknown));
+      CloseAttempt(attempt, MakeFrame(RunFrameKind::kUnknown));
     }
   });
-  attempt->deadline_ = std::make_unique<Timer>(process_.loop());
-  attempt->deadline_->Once(
+  attempt->deadline_timer_ = std::make_unique<Timer>(process_.loop());
+  attempt->deadline_timer_->Once(
       std::chrono::milliseconds(message.deadline_ms_), [this, attempt] {
-        Close(attempt, FrameOf(RunFrameKind::kUnknown, "deadline passed"));
+        CloseAttempt(attempt,
+                     MakeFrame(RunFrameKind::kUnknown, "deadline passed"));
       });
   attempt->call_->Start(200);
   HttpRequest request{
@@ -249,99 +252,107 @@
   }
   HttpCallbacks callbacks;
   callbacks.on_head_ = [this, attempt](int status, const HttpHeaders& headers) {
-    OnHead(attempt, status, headers);
+    OnResponseHead(attempt, status, headers);
   };
   callbacks.on_data_ = [this, attempt](std::string_view bytes) {
-    OnData(attempt, bytes);
+    OnResponseData(attempt, bytes);
   };
-  callbacks.on_end_ = [this, attempt](HttpEnd end) { OnEnd(attempt, end); };
-  attempt->http_ =
+  callbacks.on_end_ = [this, attempt](HttpEnd end) {
+    OnResponseEnd(attempt, end);
+  };
+  attempt->backend_call_ =
       process_.http().Send(backend_, request, std::move(callbacks));
 }
 
-void RunHandler::OnHead(const AttemptPtr& attempt, int status,
-                        const HttpHeaders& headers) {
+void RunHandler::OnResponseHead(const AttemptPtr& attempt, int status,
+                                const HttpHeaders& headers) {
   attempt->status_ = status;
-  if (status >= kServerError || attempt->closed_) {
+  if (status >= kMinServerErrorStatus || attempt->is_closed_) {
     return;
   }
-  attempt->begun_ = true;
+  attempt->has_begun_ = true;
   attempt->has_length_ = !FindHeader(headers, "content-length").empty();
   attempt->content_type_ = FindHeader(headers, "content-type");
-  auto frame = FrameOf(RunFrameKind::kBegin);
+  auto frame = MakeFrame(RunFrameKind::kBegin);
   frame.status_ = status;
   frame.content_type_ = attempt->content_type_;
   frame.manifest_ = FindHeader(headers, kWeightsHeader);
-  frame.resumed_from_ = NumberIn(FindHeader(headers, kResumedHeader));
+  frame.resumed_from_ = ParseNumber(FindHeader(headers, kResumedHeader));
   const auto packed = Pack(frame);
-  attempt->kept_ += packed;
+  attempt->cached_frames_ += packed;
   attempt->call_->Write(packed);
 }
 
-void RunHandler::OnData(const AttemptPtr& attempt, std::string_view bytes) {
-  if (!attempt->begun_ || attempt->closed_) {
+void RunHandler::OnResponseData(const AttemptPtr& attempt,
+                                std::string_view bytes) {
+  if (!attempt->has_begun_ || attempt->is_closed_) {
     return;
   }
-  on_live_bytes_(bytes.size());
-  Watch(*attempt, bytes);
-  auto frame = FrameOf(RunFrameKind::kData);
+  on_response_bytes_(bytes.size());
+  InspectBytes(*attempt, bytes);
+  auto frame = MakeFrame(RunFrameKind::kData);
   frame.data_ = bytes;
   const auto packed = Pack(frame);
-  if (attempt->ticket_ && attempt->kept_.size() < kMaxKeptAnswer) {
-    attempt->kept_ += packed;
+  if (attempt->ticket_ &&
+      attempt->cached_frames_.size() < kMaxCachedResponseBytes) {
+    attempt->cached_frames_ += packed;
   }
   attempt->call_->Write(packed);
 }
 
-bool RunHandler::IsWhole(const Attempt& attempt) {
+bool RunHandler::IsComplete(const Attempt& attempt) {
   if (attempt.has_length_) {
     return true;
   }
   if (attempt.content_type_.starts_with(kEventStream)) {
-    return attempt.seen_.ends_with(kStreamEnd);
+    return attempt.inspected_.ends_with(kStreamEndMarker);
   }
-  return nlohmann::json::accept(attempt.seen_);
+  return nlohmann::json::accept(attempt.inspected_);
 }
 
-void RunHandler::OnEnd(const AttemptPtr& attempt, HttpEnd end) {
+void RunHandler::OnResponseEnd(const AttemptPtr& attempt, HttpEnd end) {
   if (end == HttpEnd::kNotSent) {
-    Close(attempt, FrameOf(RunFrameKind::kRefused, "back end unreachable"));
+    CloseAttempt(attempt,
+                 MakeFrame(RunFrameKind::kRefused, "backend unreachable"));
   } else if (end == HttpEnd::kBroken) {
-    Close(attempt, FrameOf(RunFrameKind::kUnknown, "back end broke off"));
-  } else if (!attempt->begun_) {
-    Close(attempt,
-          FrameOf(RunFrameKind::kFailed, "back end answered status " +
-                                             std::to_string(attempt->status_)));
-  } else if (!IsWhole(*attempt)) {
-    Close(attempt, FrameOf(RunFrameKind::kUnknown, "answer has no end"));
+    CloseAttempt(attempt, MakeFrame(RunFrameKind::kUnknown,
+                                    "connection to the backend broke"));
+  } else if (!attempt->has_begun_) {
+    CloseAttempt(attempt, MakeFrame(RunFrameKind::kFailed,
+                                    "backend returned status " +
+                                        std::to_string(attempt->status_)));
+  } else if (!IsComplete(*attempt)) {
+    CloseAttempt(attempt,
+                 MakeFrame(RunFrameKind::kUnknown, "response is incomplete"));
   } else {
-    Close(attempt, FrameOf(RunFrameKind::kComplete));
+    CloseAttempt(attempt, MakeFrame(RunFrameKind::kComplete));
   }
 }
 
-void RunHandler::Close(const AttemptPtr& attempt, RunFrame frame) {
-  if (std::exchange(attempt->closed_, true)) {
+void RunHandler::CloseAttempt(const AttemptPtr& attempt, RunFrame frame) {
+  if (std::exchange(attempt->is_closed_, true)) {
     return;
   }
   slots_.Release();
   frame.load_ = slots_.in_use() + slots_.waiting();
-  frame.sharers_ = sharers();
+  frame.sharers_ = active_entries();
   const auto packed = Pack(frame);
   const bool complete =
       static_cast<RunFrameKind>(frame.kind_) == RunFrameKind::kComplete;
-  if (complete && attempt->ticket_ && attempt->kept_.size() < kMaxKeptAnswer) {
-    guard_.CacheResponse(*attempt->ticket_, attempt->kept_ + packed);
+  if (complete && attempt->ticket_ &&
+      attempt->cached_frames_.size() < kMaxCachedResponseBytes) {
+    guard_.CacheResponse(*attempt->ticket_, attempt->cached_frames_ + packed);
   }
   attempt->call_->Write(packed);
   attempt->call_->End();
   attempt->call_->OnClosed([] {});
-  if (attempt->http_) {
-    attempt->http_->Cancel();
+  if (attempt->backend_call_) {
+    attempt->backend_call_->Cancel();
   }
   process_.tracer().End(attempt->span_, complete);
-  process_.loop().Post([attempt] { attempt->deadline_.reset(); });
+  process_.loop().Post([attempt] { attempt->deadline_timer_.reset(); });
   process_.stop().OnWorkFinished();
-  StartWaiting();
+  StartQueued();
   if (slots_.in_use() == 0) {
     on_idle_();
   }
--- a/packages/daemon/src/daemon/swarm_links.cpp
+++ b/packages/daemon/src/daemon/swarm_links.cpp
@@ -1,4 +1,4 @@
-// Announcements as deltas, gathered for a moment before they are sent.
+// Announces changes only; changes within a short interval are combined.
 #include "daemon/swarm_links.hpp"
 
 #include <algorithm>
@@ -8,8 +8,8 @@
 namespace chalkwell::daemon {
 namespace {
 
-constexpr auto kGatherTime = std::chrono::milliseconds(20);
-constexpr auto kRetryDelay = std::chrono::milliseconds(250);
+constexpr auto kAnnouncementDelay = std::chrono::milliseconds(20);
+constexpr auto kResubscribeDelay = std::chrono::milliseconds(250);
 
 }  // namespace
 
@@ -19,7 +19,7 @@
       node_(node),
       settings_(std::move(settings)),
       observer_(std::move(observer)),
-      announce_timer_(loop) {}
+      announcement_timer_(loop) {}
 
 std::shared_ptr<PeerConnection> SwarmLinks::Connection(
     const core::InstanceId& id) const {
@@ -27,27 +27,27 @@
   return found == neighbours_.end() ? nullptr : found->second.connection_;
 }
 
-void SwarmLinks::Follow(const std::string& manifest,
-                        const std::vector<config::Instance>& neighbours) {
-  const bool same = manifest == manifest_;
+void SwarmLinks::Subscribe(const std::string& manifest,
+                           const std::vector<config::Instance>& neighbours) {
+  const bool same_manifest = manifest == manifest_;
   manifest_ = manifest;
   std::map<core::InstanceId, Neighbour> next;
-  std::vector<core::InstanceId> fresh;
+  std::vector<core::InstanceId> added_ids;
   for (const auto& instance : neighbours) {
-    auto known = neighbours_.extract(instance.id_);
+    auto existing = neighbours_.extract(instance.id_);
     auto& neighbour = next[instance.id_];
-    const bool kept =
-        !known.empty() && known.mapped().instance_.peer_ == instance.peer_;
-    if (kept) {
-      neighbour = std::move(known.mapped());
+    const bool retained = !existing.empty() &&
+                          existing.mapped().instance_.peer_ == instance.peer_;
+    if (retained) {
+      neighbour = std::move(existing.mapped());
     } else {
       neighbour.connection_ = std::make_shared<PeerConnection>(
           loop_, ParseAddress(instance.peer_), settings_);
-      neighbour.retry_ = std::make_shared<Timer>(loop_);
+      neighbour.retry_timer_ = std::make_shared<Timer>(loop_);
     }
     neighbour.instance_ = instance;
-    if (!kept || !same) {
-      fresh.push_back(instance.id_);
+    if (!retained || !same_manifest) {
+      added_ids.push_back(instance.id_);
     }
   }
   std::swap(neighbours_, next);
@@ -55,16 +55,16 @@
     if (neighbour.call_) {
       neighbour.call_->Cancel();
     }
-    observer_.on_lost_(id);
+    observer_.on_neighbour_lost_(id);
   }
-  for (const auto& id : fresh) {
-    Listen(id);
+  for (const auto& id : added_ids) {
+    SubscribeTo(id);
   }
 }
 
-void SwarmLinks::Unfollow() { Follow("", {}); }
+void SwarmLinks::Unsubscribe() { Subscribe("", {}); }
 
-void SwarmLinks::Listen(const core::InstanceId& id) {
+void SwarmLinks::SubscribeTo(const core::InstanceId& id) {
   const auto found = neighbours_.find(id);
   if (found == neighbours_.end() || manifest_.empty()) {
     return;
@@ -77,21 +77,22 @@
   neighbour.held_.clear();
   PeerCallbacks callbacks;
   callbacks.on_data_ = [this, id](std::string_view bytes) {
-    const auto held = neighbours_.find(id);
-    if (held == neighbours_.end()) {
+    const auto entry = neighbours_.find(id);
+    if (entry == neighbours_.end()) {
       return;
     }
     for (const auto& frame :
-         held->second.reader_->Read<HaveFrame>(bytes, id.value())) {
+         entry->second.reader_->Read<HaveFrame>(bytes, id.value())) {
       OnFrame(id, frame);
     }
   };
   callbacks.on_end_ = [this, id](PeerEnd) {
-    const auto held = neighbours_.find(id);
-    if (held != neighbours_.end()) {
-      held->second.held_.clear();
-      observer_.on_lost_(id);
-      held->second.retry_->Once(kRetryDelay, [this, id] { Listen(id); });
+    const auto entry = neighbours_.find(id);
+    if (entry != neighbours_.end()) {
+      entry->second.held_.clear();
+      observer_.on_neighbour_lost_(id);
+      entry->second.retry_timer_->Once(kResubscribeDelay,
+                                       [this, id] { SubscribeTo(id); });
     }
   };
   const HaveMessage message{.sender_ = node_.self().value(),
@@ -111,70 +112,71 @@
     held.erase(index);
   }
   if (!frame.added_.empty() || !frame.removed_.empty()) {
-    observer_.on_held_(id, held);
+    observer_.on_chunks_changed_(id, held);
   }
   for (const auto& [member, version] : frame.members_) {
-    SetServing(core::InstanceId(member), version);
+    SetServedVersion(core::InstanceId(member), version);
   }
 }
 
 void SwarmLinks::HandleHave(const PeerCallPtr& call) {
   const auto message = Unpack<HaveMessage>(call->body(), "have");
-  auto listener = std::make_shared<Listener>();
-  listener->call_ = call;
-  listener->manifest_ = message.manifest_;
-  listeners_.push_back(listener);
-  call->OnClosed([this, raw = listener.get()] {
-    std::erase_if(listeners_,
-                  [raw](const auto& held) { return held.get() == raw; });
+  auto subscriber = std::make_shared<Subscriber>();
+  subscriber->call_ = call;
+  subscriber->manifest_ = message.manifest_;
+  subscribers_.push_back(subscriber);
+  call->OnClosed([this, closed = subscriber.get()] {
+    std::erase_if(subscribers_, [closed](const auto& other) {
+      return other.get() == closed;
+    });
   });
   call->Start(200);
-  AnnounceTo(*listener);
+  AnnounceTo(*subscriber);
 }
 
-void SwarmLinks::SetHeld(const std::string& manifest,
-                         std::set<std::uint32_t> held) {
+void SwarmLinks::SetHeldChunks(const std::string& manifest,
+                               std::set<std::uint32_t> held) {
   held_manifest_ = manifest;
   held_ = std::move(held);
   Announce();
 }
 
-void SwarmLinks::SetServing(const core::InstanceId& member,
-                            std::uint64_t version) {
-  auto& known = serving_[member.value()];
-  if (version <= known) {
+void SwarmLinks::SetServedVersion(const core::InstanceId& member,
+                                  std::uint64_t version) {
+  auto& known_version = versions_[member.value()];
+  if (version <= known_version) {
     return;
   }
-  known = version;
-  observer_.on_serving_(member, version);
+  known_version = version;
+  observer_.on_version_served_(member, version);
   Announce();
 }
 
 void SwarmLinks::Announce() {
-  if (announce_due_) {
+  if (announcement_pending_) {
     return;
   }
-  announce_due_ = true;
-  announce_timer_.Once(kGatherTime, [this] {
-    announce_due_ = false;
-    const auto listeners = listeners_;
-    for (const auto& listener : listeners) {
-      AnnounceTo(*listener);
+  announcement_pending_ = true;
+  announcement_timer_.Once(kAnnouncementDelay, [this] {
+    announcement_pending_ = false;
+    const auto subscribers = subscribers_;
+    for (const auto& subscriber : subscribers) {
+      AnnounceTo(*subscriber);
     }
   });
 }
 
-void SwarmLinks::AnnounceTo(Listener& listener) {
-  static const std::set<std::uint32_t> kNothing;
-  const auto& held = listener.manifest_ == held_manifest_ ? held_ : kNothing;
+void SwarmLinks::AnnounceTo(Subscriber& subscriber) {
+  static const std::set<std::uint32_t> kNoChunks;
+  const auto& held = subscriber.manifest_ == held_manifest_ ? held_ : kNoChunks;
   HaveFrame frame;
-  std::ranges::set_difference(held, listener.told_,
+  std::ranges::set_difference(held, subscriber.announced_chunks_,
                               std::back_inserter(frame.added_));
-  std::ranges::set_difference(listener.told_, held,
+  std::ranges::set_difference(subscriber.announced_chunks_, held,
                               std::back_inserter(frame.removed_));
-  for (const auto& [member, version] : serving_) {
-    if (listener.told_serving_[member] < version) {
-      listener.told_serving_[member] = version;
+  for (const auto& [member, version] : versions_) {
+    if (subscriber.announced_versions_[member] < version) {
+      subscriber.announced_versions_[member] = version;
       frame.members_[member] = version;
     }
   }
@@ -182,8 +184,8 @@
       frame.members_.empty()) {
     return;
   }
-  listener.told_ = held;
-  listener.call_->Write(Pack(frame));
+  subscriber.announced_chunks_ = held;
+  subscriber.call_->Write(Pack(frame));
 }
 
 }  // namespace chalkwell::daemon
--- a/packages/daemon/src/daemon/swarm_links.hpp
+++ b/packages/daemon/src/daemon/swarm_links.hpp
@@ -1,5 +1,5 @@
-// An agent's streams to its neighbours in the swarm: who holds which chunk, and
-// which members serve which version.
+// Streams between an agent and its neighbours in the swarm, on which they
+// announce the chunks they hold and the versions that members serve.
 #pragma once
 
 #include <cstdint>
@@ -18,41 +18,52 @@
 
 namespace chalkwell::daemon {
 
-/// @brief Index of the manifest itself among what a swarm exchanges; chunk i of
+/// @brief Index of the manifest in announcements and chunk requests; chunk i of
 /// the weights has index i + 1.
 inline constexpr std::uint32_t kManifestIndex = 0;
 
-/// @brief Called for each change of what a neighbour holds.
+/// @brief Callbacks for the announcements of neighbours.
 struct SwarmObserver {
+  /// The set of chunks that a neighbour holds has changed; gets the whole set.
   std::function<void(const core::InstanceId& peer,
                      const std::set<std::uint32_t>& held)>
-      on_held_;
-  std::function<void(const core::InstanceId& peer)> on_lost_;
+      on_chunks_changed_;
+  /// The stream to a neighbour ended, or it is no neighbour any more.
+  std::function<void(const core::InstanceId& peer)> on_neighbour_lost_;
+  /// A member serves a higher bundle version than known before.
   std::function<void(const core::InstanceId& member, std::uint64_t version)>
-      on_serving_;
+      on_version_served_;
 };
 
-/// @brief Streams to neighbours, and the streams of those who listen here.
+/// @brief Subscriptions to the announcements of neighbours, and the subscribers
+/// of this process.
+///
+/// A subscription whose stream ends is renewed after a delay.
 class SwarmLinks {
  public:
   SwarmLinks(Loop& loop, ConfigNode& node, PeerConnectionSettings settings,
              SwarmObserver observer);
 
-  /// @brief Connection to a neighbour, or null.
+  /// @brief Connection to a neighbour; null if `id` is not a neighbour.
   [[nodiscard]] std::shared_ptr<PeerConnection> Connection(
       const core::InstanceId& id) const;
 
-  /// @brief Listens to these neighbours about one manifest.
-  void Follow(const std::string& manifest,
-              const std::vector<config::Instance>& neighbours);
-  /// @brief Stops listening; streams of others who listen here stay.
-  void Unfollow();
-  /// @brief Answers /v1/have.
+  /// @brief Subscribes to these neighbours, and no others, for one manifest.
+  /// @param manifest digest in hexadecimal.
+  void Subscribe(const std::string& manifest,
+                 const std::vector<config::Instance>& neighbours);
+  /// @brief Ends all subscriptions; the subscribers of this process stay.
+  void Unsubscribe();
+  /// @brief Handles a call of /v1/have, which adds a subscriber.
+  /// @throws core::Error if the request is malformed.
   void HandleHave(const PeerCallPtr& call);
-  /// @brief What this process holds of a manifest has changed.
-  void SetHeld(const std::string& manifest, std::set<std::uint32_t> held);
-  /// @brief A member is known to serve a version.
-  void SetServing(const core::InstanceId& member, std::uint64_t version);
+  /// @brief Sets the chunks that this process holds of a manifest and announces
+  /// the change to subscribers.
+  /// @param manifest digest in hexadecimal.
+  void SetHeldChunks(const std::string& manifest, std::set<std::uint32_t> held);
+  /// @brief Records that a member serves a version and announces it, unless the
+  /// same or a higher version is known.
+  void SetServedVersion(const core::InstanceId& member, std::uint64_t version);
 
  private:
   struct Neighbour {
@@ -61,35 +72,39 @@
     OutgoingCallPtr call_;
     std::unique_ptr<FrameReader> reader_;
     std::set<std::uint32_t> held_;
-    std::shared_ptr<Timer> retry_;
+    std::shared_ptr<Timer> retry_timer_;
   };
-  struct Listener {
+  struct Subscriber {
     PeerCallPtr call_;
     std::string manifest_;
-    std::set<std::uint32_t> told_;
-    std::map<std::string, std::uint64_t> told_serving_;
+    /// Chunks and versions announced to it so far.
+    std::set<std::uint32_t> announced_chunks_;
+    std::map<std::string, std::uint64_t> announced_versions_;
   };
 
-  void Listen(const core::InstanceId& id);
+  void SubscribeTo(const core::InstanceId& id);
   void OnFrame(const core::InstanceId& id, const HaveFrame& frame);
+  /// @brief Schedules an announcement to all subscribers.
   void Announce();
-  void AnnounceTo(Listener& listener);
+  /// @brief Sends the changes since the last announcement, if any.
+  void AnnounceTo(Subscriber& subscriber);
 
   Loop& loop_;
   ConfigNode& node_;
   PeerConnectionSettings settings_;
   SwarmObserver observer_;
-  /// Followed manifest as hexadecimal digits.
+  /// Manifest of the subscriptions, in hexadecimal; empty for none.
   std::string manifest_;
   std::map<core::InstanceId, Neighbour> neighbours_;
-  std::vector<std::shared_ptr<Listener>> listeners_;
-  /// What this process holds of `held_manifest_`.
+  std::vector<std::shared_ptr<Subscriber>> subscribers_;
+  /// Manifest, in hexadecimal, of the chunks in `held_`.
   std::string held_manifest_;
+  /// Chunks that this process holds of `held_manifest_`.
   std::set<std::uint32_t> held_;
-  /// Versions only rise.
-  std::map<std::string, std::uint64_t> serving_;
-  bool announce_due_ = false;
-  Timer announce_timer_;
+  /// Highest known version that each member serves.
+  std::map<std::string, std::uint64_t> versions_;
+  bool announcement_pending_ = false;
+  Timer announcement_timer_;
 };
 
 }  // namespace chalkwell::daemon
--- a/packages/daemon/src/daemon/swarm_members.cpp
+++ b/packages/daemon/src/daemon/swarm_members.cpp
@@ -1,4 +1,4 @@
-// Choice by rendezvous hashing over the published list.
+// Selection by rendezvous hashing over the published list.
 #include "daemon/swarm_members.hpp"
 
 #include <algorithm>
@@ -14,11 +14,11 @@
   std::vector<swarm::SwarmMember> members;
   const auto* bundle = process.config().documents().AcceptedBundle();
   for (const auto& instance : process.config().instances()) {
-    const bool takes_part = instance.kind_ == config::InstanceKind::kEndpoint &&
-                            instance.backend_ == config::BackendKind::kEngine &&
-                            !instance.leaving_ && bundle != nullptr &&
-                            bundle->AppliesTo(instance.role_);
-    if (takes_part) {
+    const bool is_member = instance.kind_ == config::InstanceKind::kEndpoint &&
+                           instance.backend_ == config::BackendKind::kEngine &&
+                           !instance.leaving_ && bundle != nullptr &&
+                           bundle->AppliesTo(instance.role_);
+    if (is_member) {
       members.push_back({instance.id_, instance.domain_});
     }
   }
@@ -27,29 +27,30 @@
 
 std::vector<config::Instance> NeighboursOf(Process& process) {
   const auto& settings = process.settings();
-  std::vector<core::InstanceId> own;
-  std::vector<core::InstanceId> foreign;
+  std::vector<core::InstanceId> local;
+  std::vector<core::InstanceId> remote;
   for (const auto& member : SwarmMembersOf(process)) {
     if (member.id_ != process.id()) {
-      (member.domain_ == process.domain() ? own : foreign)
+      (member.domain_ == process.domain() ? local : remote)
           .push_back(member.id_);
     }
   }
-  std::set<core::InstanceId> chosen;
-  const auto choose = [&](const std::vector<core::InstanceId>& from,
+  std::set<core::InstanceId> selected;
+  const auto select = [&](const std::vector<core::InstanceId>& candidates,
                           const char* key) {
-    for (auto& id : membership::HighestRanked(
-             process.id().value(), from, settings.Number("weights", key))) {
-      chosen.insert(std::move(id));
+    for (auto& id :
+         membership::HighestRanked(process.id().value(), candidates,
+                                   settings.Number("weights", key))) {
+      selected.insert(std::move(id));
     }
   };
-  choose(own, "neighbours");
-  choose(foreign, "neighbours_foreign");
+  select(local, "neighbours");
+  select(remote, "neighbours_foreign");
   std::vector<config::Instance> neighbours;
   std::ranges::copy_if(process.config().instances(),
                        std::back_inserter(neighbours),
                        [&](const config::Instance& instance) {
-                         return chosen.contains(instance.id_);
+                         return selected.contains(instance.id_);
                        });
   return neighbours;
 }
--- a/packages/daemon/src/daemon/swarm_members.hpp
+++ b/packages/daemon/src/daemon/swarm_members.hpp
@@ -1,5 +1,5 @@
-// Who takes part in spreading the weights of the bundle in force, and whom of
-// them an agent listens to.
+// Members of the swarm that distributes the weights of the active bundle, and
+// the neighbours of one agent among them.
 #pragma once
 
 #include <vector>
@@ -10,12 +10,13 @@
 
 namespace chalkwell::daemon {
 
-/// @brief Endpoints whose engines run the bundle in force, leaving ones left
-/// out.
+/// @brief Endpoints whose engines serve the active bundle, except draining
+/// ones.
 [[nodiscard]] std::vector<swarm::SwarmMember> SwarmMembersOf(Process& process);
 
-/// @brief Members that this agent listens to: by hash, some of its own domain
-/// and a few of others (settings `weights.neighbours`, `neighbours_foreign`).
+/// @brief Members to whose announcements this agent subscribes. They are
+/// selected by rendezvous hashing: up to `weights.neighbours` of the local
+/// failure domain and up to `weights.neighbours_foreign` of remote ones.
 [[nodiscard]] std::vector<config::Instance> NeighboursOf(Process& process);
 
 }  // namespace chalkwell::daemon
