--- a/packages/daemon/src/daemon/agent.cpp
+++ b/packages/daemon/src/daemon/agent.cpp
@@ -34,6 +34,7 @@
          (std::random_device{}() & ((1U << kRandomBits) - 1));
 }
 
+/// Multiplies a duration by a random factor from 1 to 1.5.
 core::Duration Jittered(core::Duration duration) {
   std::mt19937_64 random(std::random_device{}());
   std::uniform_real_distribution<double> factor(1.0, 1.5);
--- a/packages/daemon/src/daemon/agent.hpp
+++ b/packages/daemon/src/daemon/agent.hpp
@@ -82,6 +82,8 @@
   bool poll_in_flight_ = false;
   unsigned tick_count_ = 0;
   core::TimePoint last_entry_contact_;
+  /// Time without contact with an entry after which the agent itself reads the
+  /// configuration store.
   core::Duration isolation_timeout_;
   Timer tick_timer_;
 };
--- a/packages/daemon/src/daemon/engine_client.hpp
+++ b/packages/daemon/src/daemon/engine_client.hpp
@@ -17,8 +17,8 @@
 
 /// @brief Client for the control interface of one engine.
 ///
-/// Each call invokes its handler once. A call that fails or is refused is
-/// reported as not accepted, or as an empty optional.
+/// A call that fails or is refused is reported to its handler as not accepted,
+/// or as an empty optional.
 class EngineClient {
  public:
   using StateHandler = std::function<void(std::optional<rollout::EngineState>)>;
--- a/packages/daemon/src/daemon/request_runner.hpp
+++ b/packages/daemon/src/daemon/request_runner.hpp
@@ -126,6 +126,8 @@
   /// can resume the response.
   bool events_forwarded_ = false;
   bool streaming_ = false;
+  /// Why the last attempt ended or no endpoint was found; logged and reported
+  /// to the caller.
   std::string last_failure_;
   core::TimePoint started_;
   bool first_byte_seen_ = false;
