--- a/packages/daemon/src/daemon/event_log.cpp
+++ b/packages/daemon/src/daemon/event_log.cpp
@@ -1,4 +1,4 @@
-// Layout of log lines.
+// Formats log lines and passes them to log4cxx.
 #include "daemon/event_log.hpp"
 
 #include <log4cxx/basicconfigurator.h>
@@ -16,9 +16,9 @@
 namespace chalkwell::daemon {
 namespace {
 
-log4cxx::LoggerPtr Root() { return log4cxx::Logger::getRootLogger(); }
+log4cxx::LoggerPtr RootLogger() { return log4cxx::Logger::getRootLogger(); }
 
-log4cxx::LevelPtr LevelOf(core::Severity severity) {
+log4cxx::LevelPtr ToLog4cxxLevel(core::Severity severity) {
   switch (severity) {
     case core::Severity::kDebug:
       return log4cxx::Level::getDebug();
@@ -32,7 +32,7 @@
   return log4cxx::Level::getInfo();
 }
 
-/// An appender over a writer of ours; the base class alone cannot be made.
+/// WriterAppender is abstract; this makes it usable with a given writer.
 class LineAppender : public log4cxx::WriterAppender {
  public:
   LineAppender(const log4cxx::LayoutPtr& layout,
@@ -53,7 +53,8 @@
   return line;
 }
 
-/// The layout writes the braces, time and level.
+/// Fields of a JSON line without the braces; the layout of the appender adds
+/// braces, time and level.
 std::string JsonLine(const core::EventDescription& event,
                      const std::string& instance,
                      std::initializer_list<EventField> fields) {
@@ -70,43 +71,46 @@
 
 }  // namespace
 
-EventLog::EventLog(LogFormat format, core::Severity least, std::string instance)
-    : format_(format), least_(least), instance_(std::move(instance)) {
+EventLog::EventLog(LogFormat format, core::Severity min_severity,
+                   std::string instance)
+    : format_(format),
+      min_severity_(min_severity),
+      instance_(std::move(instance)) {
   const auto* pattern =
       format == LogFormat::kText
           ? "%d{ISO8601} %-5p %m%n"
           : "{\"time\":\"%d{ISO8601}\",\"level\":\"%p\",%m}%n";
   auto layout = std::make_shared<log4cxx::PatternLayout>(pattern);
-  writer_ = std::make_shared<LogWriter>(STDOUT_FILENO, LineBudgetSettings{},
-                                        BootTime);
-  log4cxx::LayoutPtr base = layout;
+  writer_ =
+      std::make_shared<LogWriter>(STDOUT_FILENO, LogRateLimit{}, BootTime);
+  log4cxx::LayoutPtr base_layout = layout;
   log4cxx::helpers::WriterPtr writer = writer_;
-  auto appender = std::make_shared<LineAppender>(base, writer);
-  Root()->removeAllAppenders();
-  Root()->addAppender(appender);
-  Root()->setLevel(LevelOf(least));
+  auto appender = std::make_shared<LineAppender>(base_layout, writer);
+  RootLogger()->removeAllAppenders();
+  RootLogger()->addAppender(appender);
+  RootLogger()->setLevel(ToLog4cxxLevel(min_severity));
 }
 
 void EventLog::OnEvent(std::function<void(core::EventNumber)> observer) {
-  observer_ = std::move(observer);
+  on_event_ = std::move(observer);
 }
 
 void EventLog::Write(core::EventNumber number,
                      std::initializer_list<EventField> fields) {
-  if (observer_) {
-    observer_(number);
+  if (on_event_) {
+    on_event_(number);
   }
   const auto& event = core::Describe(number);
-  if (event.severity_ < least_) {
+  if (event.severity_ < min_severity_) {
     return;
   }
-  Put(event, fields);
+  WriteLine(event, fields);
   if (const auto dropped = writer_->TakeDropped(); dropped > 0) {
     if (on_dropped_) {
       on_dropped_(dropped);
     }
-    Put(core::Describe(core::EventNumber::kLogDropped),
-        {{"lines", std::to_string(dropped)}});
+    WriteLine(core::Describe(core::EventNumber::kLogDropped),
+              {{"lines", std::to_string(dropped)}});
   }
 }
 
@@ -114,12 +118,12 @@
   on_dropped_ = std::move(observer);
 }
 
-void EventLog::Put(const core::EventDescription& event,
-                   std::initializer_list<EventField> fields) {
+void EventLog::WriteLine(const core::EventDescription& event,
+                         std::initializer_list<EventField> fields) {
   const auto line = format_ == LogFormat::kText
                         ? TextLine(event, instance_, fields)
                         : JsonLine(event, instance_, fields);
-  Root()->log(LevelOf(event.severity_), line);
+  RootLogger()->log(ToLog4cxxLevel(event.severity_), line);
 }
 
 }  // namespace chalkwell::daemon
--- a/packages/daemon/src/daemon/log_writer.hpp
+++ b/packages/daemon/src/daemon/log_writer.hpp
@@ -1,4 +1,4 @@
-// Writes log lines to standard output without ever waiting for its reader.
+// Writes log lines to a pipe without ever blocking on its reader.
 #pragma once
 
 #include <log4cxx/helpers/writer.h>
@@ -6,16 +6,18 @@
 #include <cstdint>
 #include <functional>
 
-#include "daemon/line_budget.hpp"
+#include "daemon/log_rate_limiter.hpp"
 
 namespace chalkwell::daemon {
 
-/// @brief Drops and counts the lines that are over the budget or for which the
-/// pipe has no room.
+/// @brief log4cxx writer that drops and counts lines over a rate limit and
+/// lines for which the pipe has no room. Lines longer than PIPE_BUF are
+/// truncated.
 class LogWriter : public log4cxx::helpers::Writer {
  public:
-  /// @param now clock of the budget.
-  LogWriter(int descriptor, LineBudgetSettings settings,
+  /// @param descriptor file descriptor of the pipe; not closed here.
+  /// @param now clock of the rate limit.
+  LogWriter(int descriptor, LogRateLimit limit,
             std::function<core::TimePoint()> now);
 
   void write(const log4cxx::LogString& line,
@@ -23,14 +25,14 @@
   void flush(log4cxx::helpers::Pool& /*pool*/) override {}
   void close(log4cxx::helpers::Pool& /*pool*/) override {}
 
-  /// @brief Lines dropped since the last call.
+  /// @return number of lines dropped since the last call.
   [[nodiscard]] std::uint64_t TakeDropped() noexcept;
 
  private:
   [[nodiscard]] bool HasRoom() const noexcept;
 
   int descriptor_;
-  LineBudget budget_;
+  LogRateLimiter rate_limiter_;
   std::function<core::TimePoint()> now_;
   std::uint64_t dropped_ = 0;
 };
--- a/tests/daemon/log_writer_test.cpp
+++ b/tests/daemon/log_writer_test.cpp
@@ -16,15 +16,15 @@
 const core::TimePoint kStart{1000s};
 
 TEST_CASE("lines beyond the burst wait for the rate", "[daemon]") {
-  LineBudget budget({.lines_per_second_ = 10, .burst_ = 3});
+  LogRateLimiter budget({.lines_per_second_ = 10, .burst_ = 3});
   int taken = 0;
   for (int i = 0; i < 10; ++i) {
-    taken += budget.Take(kStart) ? 1 : 0;
+    taken += budget.TryAcquire(kStart) ? 1 : 0;
   }
   CHECK(taken == 3);
-  CHECK_FALSE(budget.Take(kStart + 50ms));
-  CHECK(budget.Take(kStart + 100ms));
-  CHECK_FALSE(budget.Take(kStart + 100ms));
+  CHECK_FALSE(budget.TryAcquire(kStart + 50ms));
+  CHECK(budget.TryAcquire(kStart + 100ms));
+  CHECK_FALSE(budget.TryAcquire(kStart + 100ms));
 }
 
 TEST_CASE("a full pipe costs lines, not time", "[daemon]") {
