--- a/packages/daemon/src/daemon/address.cpp
+++ b/packages/daemon/src/daemon/address.cpp
@@ -1,4 +1,4 @@
-// Parsing of "ip:port".
+// Parses and formats "ip:port".
 #include "daemon/address.hpp"
 
 #include <uv.h>
@@ -12,7 +12,7 @@
 
 [[noreturn]] void Reject(const std::string& text) {
   throw core::Error(core::Step::kParse, text,
-                    "must be an IP number and port, such as 127.0.0.1:8080");
+                    "must be an IP address and port, such as 127.0.0.1:8080");
 }
 
 }  // namespace
--- a/packages/daemon/src/daemon/address.hpp
+++ b/packages/daemon/src/daemon/address.hpp
@@ -1,4 +1,4 @@
-// Socket addresses by number: names are never resolved.
+// Numeric socket addresses; host names are never resolved.
 #pragma once
 
 #include <sys/socket.h>
@@ -10,13 +10,14 @@
 
 namespace chalkwell::daemon {
 
-/// @brief An IP number and port.
+/// @brief IPv4 or IPv6 address and port.
 struct Address {
   std::string ip_;
   std::uint16_t port_ = 0;
 
+  /// @return "127.0.0.1:80" or "[::1]:80".
   [[nodiscard]] std::string ToString() const;
-  /// @throws core::Error when the IP number is malformed.
+  /// @throws core::Error when `ip_` is neither an IPv4 nor an IPv6 address.
   [[nodiscard]] sockaddr_storage ToSockaddr() const;
 
   friend bool operator==(const Address&, const Address&) = default;
@@ -24,7 +25,8 @@
 };
 
 /// @brief Parses "127.0.0.1:80" or "[::1]:80".
-/// @throws core::Error that says what is wrong.
+/// @throws core::Error with the rejected text when the address or the port is
+/// malformed.
 [[nodiscard]] Address ParseAddress(const std::string& text);
 
 }  // namespace chalkwell::daemon
--- a/packages/daemon/src/daemon/crash_report.cpp
+++ b/packages/daemon/src/daemon/crash_report.cpp
@@ -1,4 +1,4 @@
-// Only calls that are safe in a signal handler.
+// Signal handlers; they make only async-signal-safe calls.
 #include "daemon/crash_report.hpp"
 
 #include <execinfo.h>
@@ -12,34 +12,36 @@
 namespace {
 
 constexpr int kMaxFrames = 48;
-constexpr int kDecimal = 10;
+constexpr int kDecimalBase = 10;
 
-void Put(std::string_view text) {
-  // Nothing can be done about a failure here.
+void WriteText(std::string_view text) {
+  // A failed write cannot be reported anywhere.
   (void)!::write(STDOUT_FILENO, text.data(), text.size());
 }
 
-void OnCrash(int number) {
-  const std::array<char, 2> digits{static_cast<char>('0' + number / kDecimal),
-                                   static_cast<char>('0' + number % kDecimal)};
-  Put("{\"level\":\"FATAL\",\"name\":\"crashed\",\"signal\":\"");
-  Put({digits.data(), digits.size()});
-  Put("\"}\n");
+void OnCrash(int signal_number) {
+  const std::array<char, 2> digits{
+      static_cast<char>('0' + signal_number / kDecimalBase),
+      static_cast<char>('0' + signal_number % kDecimalBase)};
+  WriteText("{\"level\":\"FATAL\",\"name\":\"crashed\",\"signal\":\"");
+  WriteText({digits.data(), digits.size()});
+  WriteText("\"}\n");
   std::array<void*, kMaxFrames> frames{};
   const int count = ::backtrace(frames.data(), kMaxFrames);
   ::backtrace_symbols_fd(frames.data(), count, STDOUT_FILENO);
-  std::signal(number, SIG_DFL);
-  std::raise(number);
+  std::signal(signal_number, SIG_DFL);
+  std::raise(signal_number);
 }
 
 }  // namespace
 
 void ReportCrashes() {
-  // The first call loads what later ones need.
-  std::array<void*, 1> warm{};
-  (void)::backtrace(warm.data(), 1);
-  for (const int number : {SIGSEGV, SIGABRT, SIGBUS, SIGFPE, SIGILL}) {
-    std::signal(number, OnCrash);
+  // The first call of backtrace() loads a library and allocates memory, which a
+  // signal handler must not do.
+  std::array<void*, 1> frame{};
+  (void)::backtrace(frame.data(), 1);
+  for (const int signal_number : {SIGSEGV, SIGABRT, SIGBUS, SIGFPE, SIGILL}) {
+    std::signal(signal_number, OnCrash);
   }
 }
 
--- a/packages/daemon/src/daemon/crash_report.hpp
+++ b/packages/daemon/src/daemon/crash_report.hpp
@@ -1,10 +1,11 @@
-// A last line when the process dies by a fault of its own.
+// Report of a crash on standard output.
 #pragma once
 
 namespace chalkwell::daemon {
 
-/// @brief Writes the signal and the calls that led to it to standard output,
-/// then lets the signal take its course.
+/// @brief Installs handlers for SIGSEGV, SIGABRT, SIGBUS, SIGFPE and SIGILL.
+/// They write the signal number and a backtrace to standard output and raise
+/// the signal again with its default action.
 void ReportCrashes();
 
 }  // namespace chalkwell::daemon
--- a/packages/daemon/src/daemon/deflate.cpp
+++ b/packages/daemon/src/daemon/deflate.cpp
@@ -1,4 +1,4 @@
-// zlib's own format, which carries a checksum.
+// One-shot compression with zlib.
 #include "daemon/deflate.hpp"
 
 #include <zlib.h>
--- a/packages/daemon/src/daemon/deflate.hpp
+++ b/packages/daemon/src/daemon/deflate.hpp
@@ -1,4 +1,4 @@
-// Deflated bytes, for large messages between the system's processes.
+// zlib compression of large messages between processes.
 #pragma once
 
 #include <cstddef>
@@ -8,11 +8,16 @@
 
 namespace chalkwell::daemon {
 
-/// @throws core::Error when memory is short.
+/// @brief Compresses bytes.
+/// @return them in the zlib format, which carries a checksum.
+/// @throws core::Error when zlib cannot allocate memory.
 [[nodiscard]] std::string Deflate(std::string_view bytes);
 
-/// @param size of the bytes before they were deflated; bounded by the caller.
-/// @return nothing when they do not inflate to just this size.
+/// @brief Decompresses the output of Deflate.
+/// @param size uncompressed length in bytes. That much memory is allocated, so
+/// the caller checks it against a limit first.
+/// @return nothing when the input is corrupt or its uncompressed length is not
+/// exactly `size`.
 [[nodiscard]] std::optional<std::string> Inflate(std::string_view deflated,
                                                  std::size_t size);
 
--- a/packages/daemon/src/daemon/fwd.hpp
+++ b/packages/daemon/src/daemon/fwd.hpp
@@ -1,4 +1,5 @@
-// Vocabulary of the daemon package: event loop, transports and processes.
+// Forward declarations of the daemon package: event loop, transports and
+// processes.
 #pragma once
 
 namespace chalkwell::daemon {
--- a/packages/daemon/src/daemon/metrics.cpp
+++ b/packages/daemon/src/daemon/metrics.cpp
@@ -1,4 +1,4 @@
-// Families are made when first used; docs/OPERATING.md lists them.
+// Metric families are registered on first use; docs/OPERATING.md lists them.
 #include "daemon/metrics.hpp"
 
 #include <prometheus/text_serializer.h>
@@ -8,7 +8,7 @@
 namespace chalkwell::daemon {
 namespace {
 
-const prometheus::Histogram::BucketBoundaries kSeconds = {
+const prometheus::Histogram::BucketBoundaries kDurationBucketsSeconds = {
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5,
     1,     1.5,    2,     2.5,  3,     4,    5,   10,   30};
 
@@ -27,14 +27,15 @@
   return family == counters_.end() ? 0 : family->second->Add(labels).Value();
 }
 
-void Metrics::Count(const std::string& name, const Labels& labels, double by) {
+void Metrics::Count(const std::string& name, const Labels& labels,
+                    double increment) {
   auto& family = counters_[name];
   if (family == nullptr) {
     family = &prometheus::BuildCounter()
                   .Name("chalkwell_" + name)
                   .Register(registry_);
   }
-  family->Add(labels).Increment(by);
+  family->Add(labels).Increment(increment);
 }
 
 void Metrics::Set(const std::string& name, const Labels& labels, double value) {
@@ -55,7 +56,7 @@
                   .Register(registry_);
   }
   const auto seconds = std::chrono::duration<double>(duration).count();
-  family->Add(labels, kSeconds).Observe(seconds);
+  family->Add(labels, kDurationBucketsSeconds).Observe(seconds);
 }
 
 void Metrics::CountEvent(core::EventNumber number) {
--- a/packages/daemon/src/daemon/problem.cpp
+++ b/packages/daemon/src/daemon/problem.cpp
@@ -1,4 +1,4 @@
-// Problem documents.
+// Writes problem documents as JSON.
 #include "daemon/problem.hpp"
 
 #include <nlohmann/json.hpp>
--- a/packages/daemon/src/daemon/problem.hpp
+++ b/packages/daemon/src/daemon/problem.hpp
@@ -1,5 +1,5 @@
-// Error answers to callers: RFC 9457 problem documents that carry outcome,
-// event number and retry time.
+// Error responses to callers: RFC 9457 problem documents with the outcome of
+// the request, an event number and the retry delay.
 #pragma once
 
 #include <optional>
@@ -12,22 +12,28 @@
 
 namespace chalkwell::daemon {
 
-/// @brief What a caller is told when there is no answer.
+/// @brief Error response to a caller.
 struct Problem {
+  /// HTTP status.
   int status_ = 500;
   std::string title_;
   std::string detail_;
+  /// Event that explains the error; the `type` URL is built from its number.
   core::EventNumber event_{};
+  /// Whether the request was run, as far as the sender knows.
   routing::Outcome outcome_ = routing::Outcome::kRefusedNotRun;
+  /// Delay before a retry; empty when a retry makes no sense.
   std::optional<core::Duration> retry_after_;
+  /// Request id.
   std::string request_;
   /// Execution ticket under which the request was sent; may be empty.
   std::string ticket_;
 };
 
-/// @brief The document's body.
+/// @brief Body of the problem document.
 [[nodiscard]] std::string ToJson(const Problem& problem);
-/// @brief Sends the document, with `Retry-After` where a retry makes sense.
+/// @brief Sends the problem document, with `Retry-After` in whole seconds,
+/// rounded up, when `retry_after_` is set.
 void RespondProblem(HttpExchange& exchange, const Problem& problem);
 
 }  // namespace chalkwell::daemon
--- a/packages/daemon/src/daemon/tracer.cpp
+++ b/packages/daemon/src/daemon/tracer.cpp
@@ -1,4 +1,4 @@
-// OTLP/JSON by nlohmann-json over the h2o client.
+// Builds OTLP/JSON and posts it with HttpClient.
 #include "daemon/tracer.hpp"
 
 #include <algorithm>
@@ -8,16 +8,19 @@
 namespace chalkwell::daemon {
 namespace {
 
-constexpr std::size_t kMaxBuffered = 4096;
-constexpr std::size_t kTraceDigits = 32;
-constexpr std::size_t kSpanDigits = 16;
-constexpr std::size_t kHeaderSize = 55;
-constexpr std::size_t kTraceAt = 3;
-constexpr std::size_t kSpanAt = 36;
+constexpr std::size_t kMaxBufferedSpans = 4096;
+// Layout of `traceparent`: version "00", trace id, span id and flags, separated
+// by hyphens.
+constexpr std::size_t kTraceIdDigits = 32;
+constexpr std::size_t kSpanIdDigits = 16;
+constexpr std::size_t kTraceparentSize = 55;
+constexpr std::size_t kTraceIdOffset = 3;
+constexpr std::size_t kSpanIdOffset = 36;
 constexpr auto kExportPeriod = std::chrono::seconds(1);
+// Values of OTLP enumerations.
 constexpr int kStatusOk = 1;
 constexpr int kStatusError = 2;
-constexpr int kServerKind = 2;
+constexpr int kSpanKindServer = 2;
 
 std::chrono::nanoseconds SinceEpoch() {
   return std::chrono::system_clock::now().time_since_epoch();
@@ -32,15 +35,15 @@
 }  // namespace
 
 std::string SpanContext::ToHeader() const {
-  return "00-" + trace_ + "-" + span_ + "-01";
+  return "00-" + trace_id_ + "-" + span_id_ + "-01";
 }
 
 std::optional<SpanContext> SpanContext::FromHeader(std::string_view header) {
-  if (header.size() < kHeaderSize) {
+  if (header.size() < kTraceparentSize) {
     return std::nullopt;
   }
-  const auto trace = header.substr(kTraceAt, kTraceDigits);
-  const auto span = header.substr(kSpanAt, kSpanDigits);
+  const auto trace = header.substr(kTraceIdOffset, kTraceIdDigits);
+  const auto span = header.substr(kSpanIdOffset, kSpanIdDigits);
   if (!IsHex(trace) || !IsHex(span)) {
     return std::nullopt;
   }
@@ -69,20 +72,20 @@
 }
 
 Span Tracer::Begin(std::string name, std::string_view traceparent) {
-  Span span{.context_ = {}, .parent_ = "", .name_ = std::move(name)};
+  Span span{.context_ = {}, .parent_id_ = "", .name_ = std::move(name)};
   if (const auto parent = SpanContext::FromHeader(traceparent)) {
-    span.context_.trace_ = parent->trace_;
-    span.parent_ = parent->span_;
+    span.context_.trace_id_ = parent->trace_id_;
+    span.parent_id_ = parent->span_id_;
   } else {
-    span.context_.trace_ = RandomHex(kTraceDigits);
+    span.context_.trace_id_ = RandomHex(kTraceIdDigits);
   }
-  span.context_.span_ = RandomHex(kSpanDigits);
+  span.context_.span_id_ = RandomHex(kSpanIdDigits);
   span.start_ = SinceEpoch();
   return span;
 }
 
 void Tracer::End(const Span& span, bool ok) {
-  if (collector_ && finished_.size() < kMaxBuffered) {
+  if (collector_ && finished_.size() < kMaxBufferedSpans) {
     finished_.push_back({span, SinceEpoch(), ok});
   }
 }
@@ -93,11 +96,11 @@
   }
   auto spans = nlohmann::json::array();
   for (const auto& [span, end, ok] : std::exchange(finished_, {})) {
-    spans.push_back({{"traceId", span.context_.trace_},
-                     {"spanId", span.context_.span_},
-                     {"parentSpanId", span.parent_},
+    spans.push_back({{"traceId", span.context_.trace_id_},
+                     {"spanId", span.context_.span_id_},
+                     {"parentSpanId", span.parent_id_},
                      {"name", span.name_},
-                     {"kind", kServerKind},
+                     {"kind", kSpanKindServer},
                      {"startTimeUnixNano", std::to_string(span.start_.count())},
                      {"endTimeUnixNano", std::to_string(end.count())},
                      {"status", {{"code", ok ? kStatusOk : kStatusError}}}});
--- a/packages/daemon/src/daemon/tracer.hpp
+++ b/packages/daemon/src/daemon/tracer.hpp
@@ -1,4 +1,5 @@
-// One span for each hop, W3C traceparent in and out, exported as OTLP/JSON.
+// Distributed tracing: one span per hop, propagated in the W3C `traceparent`
+// header and exported as OTLP/JSON.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +15,12 @@
 
 namespace chalkwell::daemon {
 
-/// @brief Place of a span in its trace.
+/// @brief Identifiers of a span, as in the `traceparent` header.
 struct SpanContext {
-  /// 32 hexadecimal digits.
-  std::string trace_;
-  /// 16 hexadecimal digits.
-  std::string span_;
+  /// 32 lower-case hexadecimal digits.
+  std::string trace_id_;
+  /// 16 lower-case hexadecimal digits.
+  std::string span_id_;
 
   /// @brief Value of the `traceparent` header.
   [[nodiscard]] std::string ToHeader() const;
@@ -28,32 +29,39 @@
       std::string_view header);
 };
 
-/// @brief A span under way.
+/// @brief A span that has started.
 struct Span {
   SpanContext context_;
-  /// Empty for the first span of a trace.
-  std::string parent_;
+  /// Span id of the parent; empty for the first span of a trace.
+  std::string parent_id_;
   std::string name_;
-  /// Since the epoch.
+  /// Unix time.
   std::chrono::nanoseconds start_{};
 };
 
-/// @brief Makes spans and exports them in batches; drops them when the
-/// collector does not keep up.
+/// @brief Creates spans and posts the finished ones to a collector once a
+/// second. At most 4096 are buffered in between; further ones are dropped, as
+/// are those of a post that fails.
 class Tracer {
  public:
-  /// @param collector where OTLP/JSON is posted; nothing means no export.
+  /// @param service value of the `service.name` attribute.
+  /// @param collector receives OTLP/JSON at /v1/traces; nullopt disables the
+  /// export.
   Tracer(Loop& loop, HttpClient& client, std::string service,
          std::optional<Address> collector);
 
-  /// @param traceparent header of the caller; may be empty.
+  /// @brief Starts a span: a child of the caller's, or the first span of a new
+  /// trace.
+  /// @param traceparent header of the caller; empty or malformed for none.
   [[nodiscard]] Span Begin(std::string name, std::string_view traceparent);
+  /// @brief Finishes a span and buffers it for the export.
+  /// @param ok status of the span: ok or error.
   void End(const Span& span, bool ok);
-  /// @brief Whether spans go anywhere.
+  /// @brief Whether spans are exported.
   [[nodiscard]] bool exports() const noexcept { return collector_.has_value(); }
 
  private:
-  struct Finished {
+  struct FinishedSpan {
     Span span_;
     std::chrono::nanoseconds end_{};
     bool ok_ = true;
@@ -66,8 +74,8 @@
   std::string service_;
   std::optional<Address> collector_;
   std::mt19937_64 random_;
-  /// At most kMaxBuffered.
-  std::deque<Finished> finished_;
+  /// Not yet exported; at most kMaxBufferedSpans.
+  std::deque<FinishedSpan> finished_;
   Timer timer_;
 };
 
--- a/packages/daemon/src/daemon/version.hpp
+++ b/packages/daemon/src/daemon/version.hpp
@@ -1,4 +1,4 @@
-// Version of the product.
+// Product version.
 #pragma once
 
 #include <string_view>
