--- a/packages/daemon/src/daemon/h2_session.cpp
+++ b/packages/daemon/src/daemon/h2_session.cpp
@@ -1,4 +1,4 @@
-// nghttp2 session over a libuv stream.
+// Moves bytes between the nghttp2 session and the libuv stream.
 #include "daemon/h2_session.hpp"
 
 #include <algorithm>
@@ -9,11 +9,11 @@
 namespace chalkwell::daemon::internal {
 namespace {
 
-constexpr std::int32_t kStreamWindow = 4 << 20;
-constexpr std::int32_t kConnectionWindow = 32 << 20;
+constexpr std::int32_t kStreamWindowBytes = 4 << 20;
+constexpr std::int32_t kConnectionWindowBytes = 32 << 20;
 constexpr std::uint32_t kMaxStreams = 4096;
-/// Bytes handed to libuv at most before writing pauses.
-constexpr std::size_t kMaxWriting = 512 << 10;
+/// Limit of bytes queued in libuv; beyond it no more are taken from nghttp2.
+constexpr std::size_t kMaxQueuedWriteBytes = 512 << 10;
 
 struct WriteRequest {
   uv_write_t request_{};
@@ -22,16 +22,16 @@
 };
 
 std::vector<nghttp2_nv> ToNameValues(const HttpHeaders& headers) {
-  std::vector<nghttp2_nv> list;
-  list.reserve(headers.size());
+  std::vector<nghttp2_nv> name_values;
+  name_values.reserve(headers.size());
   const auto bytes = [](const std::string& text) {
     return reinterpret_cast<std::uint8_t*>(const_cast<char*>(text.data()));
   };
   for (const auto& [name, value] : headers) {
-    list.push_back({bytes(name), bytes(value), name.size(), value.size(),
-                    NGHTTP2_NV_FLAG_NONE});
+    name_values.push_back({bytes(name), bytes(value), name.size(), value.size(),
+                           NGHTTP2_NV_FLAG_NONE});
   }
-  return list;
+  return name_values;
 }
 
 }  // namespace
@@ -52,18 +52,19 @@
   }
 }
 
-/// nghttp2's C callbacks; each ends at Guarded.
+/// C callbacks for nghttp2; handlers run in Guarded, so that no exception
+/// passes through C.
 struct H2Session::Callbacks {
-  static H2Session* Of(void* data) { return static_cast<H2Session*>(data); }
+  static H2Session* Self(void* data) { return static_cast<H2Session*>(data); }
 
-  static H2StreamPtr Find(H2Session* self, std::int32_t id) {
+  static H2StreamPtr FindStream(H2Session* self, std::int32_t id) {
     const auto found = self->streams_.find(id);
     return found == self->streams_.end() ? nullptr : found->second;
   }
 
   static int OnBeginHeaders(nghttp2_session* /*session*/,
                             const nghttp2_frame* frame, void* data) {
-    auto* self = Of(data);
+    auto* self = Self(data);
     if (frame->hd.type == NGHTTP2_HEADERS && self->side_ == Side::kServer) {
       auto stream = std::make_shared<H2Stream>();
       stream->id_ = frame->hd.stream_id;
@@ -76,7 +77,7 @@
                       const std::uint8_t* name, std::size_t name_size,
                       const std::uint8_t* value, std::size_t value_size,
                       std::uint8_t /*flags*/, void* data) {
-    if (auto stream = Find(Of(data), frame->hd.stream_id)) {
+    if (auto stream = FindStream(Self(data), frame->hd.stream_id)) {
       stream->headers_.emplace_back(
           std::string(reinterpret_cast<const char*>(name), name_size),
           std::string(reinterpret_cast<const char*>(value), value_size));
@@ -86,8 +87,8 @@
 
   static int OnFrame(nghttp2_session* /*session*/, const nghttp2_frame* frame,
                      void* data) {
-    auto* self = Of(data);
-    auto stream = Find(self, frame->hd.stream_id);
+    auto* self = Self(data);
+    auto stream = FindStream(self, frame->hd.stream_id);
     if (!stream) {
       return 0;
     }
@@ -110,7 +111,7 @@
   static int OnData(nghttp2_session* /*session*/, std::uint8_t /*flags*/,
                     std::int32_t id, const std::uint8_t* bytes,
                     std::size_t size, void* data) {
-    auto stream = Find(Of(data), id);
+    auto stream = FindStream(Self(data), id);
     if (stream && stream->on_data_) {
       Guarded([&] {
         stream->on_data_({reinterpret_cast<const char*>(bytes), size});
@@ -121,8 +122,8 @@
 
   static int OnClose(nghttp2_session* /*session*/, std::int32_t id,
                      std::uint32_t error, void* data) {
-    auto* self = Of(data);
-    auto stream = Find(self, id);
+    auto* self = Self(data);
+    auto stream = FindStream(self, id);
     if (stream) {
       self->streams_.erase(id);
       stream->Finish(error);
@@ -130,38 +131,39 @@
     return 0;
   }
 
-  static ssize_t ReadBody(nghttp2_session* /*session*/, std::int32_t /*id*/,
-                          std::uint8_t* buffer, std::size_t length,
-                          std::uint32_t* flags, nghttp2_data_source* source,
-                          void* /*data*/) {
+  static ssize_t ReadSendBuffer(nghttp2_session* /*session*/,
+                                std::int32_t /*id*/, std::uint8_t* buffer,
+                                std::size_t length, std::uint32_t* flags,
+                                nghttp2_data_source* source, void* /*data*/) {
     auto* stream = static_cast<H2Stream*>(source->ptr);
     const auto size = std::min(length, stream->pending());
-    if (size == 0 && !stream->out_ended_) {
+    if (size == 0 && !stream->send_ended_) {
       stream->deferred_ = true;
       return NGHTTP2_ERR_DEFERRED;
     }
-    std::copy_n(stream->out_.data() + stream->out_at_, size, buffer);
-    stream->out_at_ += size;
+    std::copy_n(stream->send_buffer_.data() + stream->send_offset_, size,
+                buffer);
+    stream->send_offset_ += size;
     if (stream->pending() == 0) {
-      stream->out_.clear();
-      stream->out_at_ = 0;
-      if (stream->out_ended_) {
+      stream->send_buffer_.clear();
+      stream->send_offset_ = 0;
+      if (stream->send_ended_) {
         *flags |= NGHTTP2_DATA_FLAG_EOF;
       }
     }
     return static_cast<ssize_t>(size);
   }
 
-  static nghttp2_data_provider Provider(H2Stream& stream) {
+  static nghttp2_data_provider MakeProvider(H2Stream& stream) {
     nghttp2_data_provider provider{};
     provider.source.ptr = &stream;
-    provider.read_callback = ReadBody;
+    provider.read_callback = ReadSendBuffer;
     return provider;
   }
 };
 
 H2Session::H2Session(Loop& loop, Side side)
-    : loop_(loop), side_(side), tcp_(new uv_tcp_t), last_heard_(loop.Now()) {
+    : loop_(loop), side_(side), tcp_(new uv_tcp_t), last_received_(loop.Now()) {
   uv_tcp_init(loop.raw(), tcp_);
   nghttp2_session_callbacks* callbacks = nullptr;
   nghttp2_session_callbacks_new(&callbacks);
@@ -192,20 +194,20 @@
   uv_tcp_nodelay(tcp_, 1);
   const std::array settings = {
       nghttp2_settings_entry{NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE,
-                             kStreamWindow},
+                             kStreamWindowBytes},
       nghttp2_settings_entry{NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS,
                              kMaxStreams}};
   nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings.data(),
                           settings.size());
   nghttp2_session_set_local_window_size(session_, NGHTTP2_FLAG_NONE, 0,
-                                        kConnectionWindow);
-  last_heard_ = loop_.Now();
+                                        kConnectionWindowBytes);
+  last_received_ = loop_.Now();
   tcp_->data = this;
   uv_read_start(
       reinterpret_cast<uv_stream_t*>(tcp_),
       [](uv_handle_t*, std::size_t, uv_buf_t* buffer) {
-        static std::array<char, 256 << 10> shared;
-        *buffer = uv_buf_init(shared.data(), shared.size());
+        static std::array<char, 256 << 10> read_buffer;
+        *buffer = uv_buf_init(read_buffer.data(), read_buffer.size());
       },
       [](uv_stream_t* stream, ssize_t size, const uv_buf_t* buffer) {
         auto self = static_cast<H2Session*>(stream->data)->shared_from_this();
@@ -219,17 +221,17 @@
     Close();
     return;
   }
-  last_heard_ = loop_.Now();
-  if (const auto heard = std::exchange(on_next_heard_, nullptr)) {
-    Guarded(heard);
+  last_received_ = loop_.Now();
+  if (const auto handler = std::exchange(on_next_received_, nullptr)) {
+    Guarded(handler);
   }
   Totals().in_ += static_cast<std::uint64_t>(size);
   const auto* bytes = reinterpret_cast<const std::uint8_t*>(data);
   receiving_ = true;
-  const auto taken =
+  const auto consumed =
       nghttp2_session_mem_recv(session_, bytes, static_cast<std::size_t>(size));
   receiving_ = false;
-  if (taken < 0) {
+  if (consumed < 0) {
     Close();
     return;
   }
@@ -241,9 +243,9 @@
     return;
   }
   flushing_ = true;
-  while (writing_ < kMaxWriting) {
+  while (queued_write_bytes_ < kMaxQueuedWriteBytes) {
     std::string batch;
-    while (batch.size() < kMaxWriting / 4) {
+    while (batch.size() < kMaxQueuedWriteBytes / 4) {
       const std::uint8_t* bytes = nullptr;
       const auto size = nghttp2_session_mem_send(session_, &bytes);
       if (size <= 0) {
@@ -255,7 +257,7 @@
     if (batch.empty()) {
       break;
     }
-    writing_ += batch.size();
+    queued_write_bytes_ += batch.size();
     Totals().out_ += batch.size();
     auto* write = new WriteRequest{{}, weak_from_this(), std::move(batch)};
     write->request_.data = write;
@@ -266,7 +268,7 @@
                const std::unique_ptr<WriteRequest> done(
                    static_cast<WriteRequest*>(request->data));
                if (auto session = done->session_.lock()) {
-                 session->writing_ -= done->bytes_.size();
+                 session->queued_write_bytes_ -= done->bytes_.size();
                  if (status < 0) {
                    session->Close();
                  } else {
@@ -276,9 +278,9 @@
              });
   }
   flushing_ = false;
-  const bool over = nghttp2_session_want_read(session_) == 0 &&
-                    nghttp2_session_want_write(session_) == 0;
-  if (over && writing_ == 0) {
+  const bool finished = nghttp2_session_want_read(session_) == 0 &&
+                        nghttp2_session_want_write(session_) == 0;
+  if (finished && queued_write_bytes_ == 0) {
     Close();
   }
 }
@@ -288,13 +290,13 @@
     return nullptr;
   }
   auto stream = std::make_shared<H2Stream>();
-  stream->out_ = std::move(body);
-  stream->out_ended_ = true;
-  const auto list = ToNameValues(headers);
-  const auto provider = Callbacks::Provider(*stream);
+  stream->send_buffer_ = std::move(body);
+  stream->send_ended_ = true;
+  const auto name_values = ToNameValues(headers);
+  const auto provider = Callbacks::MakeProvider(*stream);
   stream->id_ = nghttp2_submit_request(
-      session_, nullptr, list.data(), list.size(),
-      stream->out_.empty() ? nullptr : &provider, nullptr);
+      session_, nullptr, name_values.data(), name_values.size(),
+      stream->send_buffer_.empty() ? nullptr : &provider, nullptr);
   if (stream->id_ < 0) {
     return nullptr;
   }
@@ -307,18 +309,18 @@
   if (closed_) {
     return;
   }
-  const auto list = ToNameValues(headers);
-  const auto provider = Callbacks::Provider(*stream);
-  nghttp2_submit_response(session_, stream->id_, list.data(), list.size(),
-                          &provider);
+  const auto name_values = ToNameValues(headers);
+  const auto provider = Callbacks::MakeProvider(*stream);
+  nghttp2_submit_response(session_, stream->id_, name_values.data(),
+                          name_values.size(), &provider);
   Flush();
 }
 
 void H2Session::Write(const H2StreamPtr& stream, std::string_view bytes) {
-  if (closed_ || stream->out_ended_) {
+  if (closed_ || stream->send_ended_) {
     return;
   }
-  stream->out_.append(bytes);
+  stream->send_buffer_.append(bytes);
   if (std::exchange(stream->deferred_, false)) {
     nghttp2_session_resume_data(session_, stream->id_);
   }
@@ -326,7 +328,7 @@
 }
 
 void H2Session::EndStream(const H2StreamPtr& stream) {
-  stream->out_ended_ = true;
+  stream->send_ended_ = true;
   if (closed_) {
     return;
   }
--- a/packages/daemon/src/daemon/peer_connection.cpp
+++ b/packages/daemon/src/daemon/peer_connection.cpp
@@ -1,4 +1,4 @@
-// Connects, pings, and maps the end of streams to what callers may conclude.
+// Connects, pings, and maps the end of a stream to a PeerEnd.
 #include "daemon/peer_connection.hpp"
 
 #include <charconv>
@@ -39,36 +39,37 @@
         address_(std::move(address)),
         settings_(std::move(settings)),
         timer_(loop),
-        stall_(loop) {}
+        stall_timer_(loop) {}
 
   void Connect();
   [[nodiscard]] int StartConnect(ConnectRequest& connect,
                                  internal::H2Session& session) const;
   void OnConnected(const std::shared_ptr<internal::H2Session>& session,
                    int status);
-  void Watch();
-  void Probe();
-  void TellStalled();
+  void StartPinging();
+  void SendPing();
+  void NotifyStalled();
   void Submit(const OutgoingCallPtr& call, const std::string& path,
               std::string body);
-  void FailWaiting();
+  void FailPendingCalls();
   void Close();
 
   Loop& loop_;
   Address address_;
   Settings settings_;
+  /// Connect timeout, then the ping interval.
   Timer timer_;
-  /// Runs while a probe is unanswered.
-  Timer stall_;
+  /// Stall timeout; runs while a ping is outstanding.
+  Timer stall_timer_;
   std::shared_ptr<internal::H2Session> session_;
   bool connected_ = false;
-  /// A ping went out and nothing was heard since.
-  bool probing_ = false;
+  /// A ping was sent and no byte has arrived since.
+  bool ping_outstanding_ = false;
   std::function<void(bool)> on_probe_;
-  /// Calls that want to know of a stall; some may have ended.
-  std::vector<std::weak_ptr<OutgoingCall>> open_;
-  /// Calls that wait for the connection.
-  std::vector<OutgoingCallPtr> waiting_;
+  /// Calls with `on_stalled_`; some may have ended.
+  std::vector<std::weak_ptr<OutgoingCall>> calls_with_stall_callback_;
+  /// Calls made before the connection was established.
+  std::vector<OutgoingCallPtr> pending_calls_;
 };
 
 namespace {
@@ -119,9 +120,9 @@
       return error;
     }
   }
-  const auto target = address_.ToSockaddr();
+  const auto peer = address_.ToSockaddr();
   return uv_tcp_connect(&connect.request_, session.tcp(),
-                        reinterpret_cast<const sockaddr*>(&target),
+                        reinterpret_cast<const sockaddr*>(&peer),
                         [](uv_connect_t* request, int status) {
                           const std::unique_ptr<ConnectRequest> held(
                               static_cast<ConnectRequest*>(request->data));
@@ -146,48 +147,49 @@
     }
   };
   session->Begin();
-  Watch();
-  for (const auto& call : std::exchange(waiting_, {})) {
+  StartPinging();
+  for (const auto& call : std::exchange(pending_calls_, {})) {
     if (const auto send = std::exchange(call->send_, nullptr)) {
       send();
     }
   }
 }
 
-void PeerConnection::State::Watch() {
+void PeerConnection::State::StartPinging() {
   timer_.Every(settings_.ping_interval_, [this] {
-    if (loop_.Now() - session_->last_heard() > settings_.silence_) {
+    if (loop_.Now() - session_->last_received() > settings_.silence_) {
       Close();
       return;
     }
-    Probe();
+    SendPing();
   });
 }
 
-void PeerConnection::State::Probe() {
+void PeerConnection::State::SendPing() {
   session_->Ping();
-  if (std::exchange(probing_, true)) {
+  if (std::exchange(ping_outstanding_, true)) {
     return;
   }
-  session_->on_next_heard_ = [weak = weak_from_this()] {
+  session_->on_next_received_ = [weak = weak_from_this()] {
     const auto self = weak.lock();
-    if (!self || !std::exchange(self->probing_, false)) {
+    if (!self || !std::exchange(self->ping_outstanding_, false)) {
       return;
     }
-    self->stall_.Cancel();
+    self->stall_timer_.Cancel();
     if (self->on_probe_) {
       self->on_probe_(false);
     }
   };
-  stall_.Once(settings_.stall_, [this] { TellStalled(); });
+  stall_timer_.Once(settings_.stall_timeout_, [this] { NotifyStalled(); });
   if (on_probe_) {
     on_probe_(true);
   }
 }
 
-void PeerConnection::State::TellStalled() {
-  std::erase_if(open_, [](const auto& call) { return call.expired(); });
-  for (const auto& weak : std::vector(open_)) {
+void PeerConnection::State::NotifyStalled() {
+  std::erase_if(calls_with_stall_callback_,
+                [](const auto& call) { return call.expired(); });
+  for (const auto& weak : std::vector(calls_with_stall_callback_)) {
     const auto call = weak.lock();
     if (call && call->callbacks_.on_stalled_) {
       Guarded(std::exchange(call->callbacks_.on_stalled_, nullptr));
@@ -195,8 +197,8 @@
   }
 }
 
-void PeerConnection::State::FailWaiting() {
-  for (const auto& call : std::exchange(waiting_, {})) {
+void PeerConnection::State::FailPendingCalls() {
+  for (const auto& call : std::exchange(pending_calls_, {})) {
     call->send_ = nullptr;
     EndCall(call, call->callbacks_, PeerEnd::kNotSent);
   }
@@ -205,13 +207,13 @@
 void PeerConnection::State::Close() {
   const auto self = shared_from_this();
   timer_.Cancel();
-  stall_.Cancel();
+  stall_timer_.Cancel();
   connected_ = false;
-  probing_ = false;
+  ping_outstanding_ = false;
   if (auto session = std::exchange(session_, nullptr)) {
     session->Close();
   }
-  FailWaiting();
+  FailPendingCalls();
 }
 
 void PeerConnection::State::Submit(const OutgoingCallPtr& call,
@@ -227,15 +229,16 @@
     EndCall(call, call->callbacks_, PeerEnd::kNotSent);
     return;
   }
-  if (!probing_ &&
-      loop_.Now() - session_->last_heard() > settings_.probe_after_) {
-    Probe();
+  if (!ping_outstanding_ &&
+      loop_.Now() - session_->last_received() > settings_.ping_after_idle_) {
+    SendPing();
   }
   call->session_ = session_;
   call->stream_ = stream;
   if (call->callbacks_.on_stalled_) {
-    std::erase_if(open_, [](const auto& held) { return held.expired(); });
-    open_.push_back(call);
+    std::erase_if(calls_with_stall_callback_,
+                  [](const auto& held) { return held.expired(); });
+    calls_with_stall_callback_.push_back(call);
   }
   const std::weak_ptr<internal::H2Stream> weak = stream;
   stream->on_headers_ = [call, weak] {
@@ -292,7 +295,7 @@
       state->Submit(held, path, std::move(body));
     }
   };
-  state_->waiting_.push_back(call);
+  state_->pending_calls_.push_back(call);
   if (!state_->session_) {
     state_->Connect();
   }
@@ -302,18 +305,18 @@
 OutgoingCallPtr PeerConnection::Ask(
     std::string path, std::string body,
     std::function<void(PeerEnd end, int status, std::string body)> done) {
-  struct Answer {
+  struct Response {
     int status_ = 0;
     std::string body_;
   };
-  auto answer = std::make_shared<Answer>();
+  auto response = std::make_shared<Response>();
   PeerCallbacks callbacks;
-  callbacks.on_head_ = [answer](int status) { answer->status_ = status; };
-  callbacks.on_data_ = [answer](std::string_view bytes) {
-    answer->body_.append(bytes);
+  callbacks.on_head_ = [response](int status) { response->status_ = status; };
+  callbacks.on_data_ = [response](std::string_view bytes) {
+    response->body_.append(bytes);
   };
-  callbacks.on_end_ = [answer, done = std::move(done)](PeerEnd end) {
-    done(end, answer->status_, std::move(answer->body_));
+  callbacks.on_end_ = [response, done = std::move(done)](PeerEnd end) {
+    done(end, response->status_, std::move(response->body_));
   };
   return Call(std::move(path), std::move(body), std::move(callbacks));
 }
--- a/packages/daemon/src/daemon/peer_connection.hpp
+++ b/packages/daemon/src/daemon/peer_connection.hpp
@@ -1,4 +1,4 @@
-// Client side of the streams between the system's processes (h2c, nghttp2).
+// HTTP/2 client (h2c) for calls to other processes of the system.
 #pragma once
 
 #include <cstdint>
@@ -14,26 +14,30 @@
 
 /// @brief How a call to a peer ended.
 enum class PeerEnd : std::uint8_t {
-  /// The whole answer arrived.
+  /// The complete response arrived.
   kWhole,
-  /// Nothing was sent, or the peer said it did not look at it.
+  /// The request was not sent, or the peer refused the stream (REFUSED_STREAM),
+  /// which means that it did not process the request.
   kNotSent,
-  /// The stream or connection broke after sending.
+  /// The stream or the connection broke after the request was sent: the peer
+  /// may have processed it.
   kBroken,
 };
 
-/// @brief What a connection reports of one call.
+/// @brief Callbacks of one call.
 struct PeerCallbacks {
+  /// The response headers arrived.
   std::function<void(int status)> on_head_;
+  /// A part of the response body arrived.
   std::function<void(std::string_view bytes)> on_data_;
-  /// The peer leaves a ping unanswered for so long that who can may go on
-  /// elsewhere; the call is still open.
+  /// A ping has been unanswered for the stall timeout. The call stays open, but
+  /// its owner may try another peer. Called at most once.
   std::function<void()> on_stalled_;
-  /// Called exactly once, last, unless cancelled.
+  /// Called exactly once, after all others, unless the call is cancelled.
   std::function<void(PeerEnd end)> on_end_;
 };
 
-/// @brief A call under way.
+/// @brief A call in flight. Dropping it does not cancel it.
 class OutgoingCall {
  public:
   /// @brief Resets the stream; no callback follows.
@@ -44,29 +48,32 @@
   std::weak_ptr<internal::H2Session> session_;
   internal::H2StreamPtr stream_;
   bool cancelled_ = false;
-  /// Set while the call waits for the connection.
+  /// Sends the request; set until the connection is established.
   std::function<void()> send_;
   PeerCallbacks callbacks_;
 };
 
 using OutgoingCallPtr = std::shared_ptr<OutgoingCall>;
 
-/// @brief Settings of a connection.
+/// @brief Timeouts of a connection and its local address.
 struct PeerConnectionSettings {
   core::Duration connect_timeout_ = std::chrono::milliseconds(1000);
+  /// A connected peer is pinged this often.
   core::Duration ping_interval_ = std::chrono::milliseconds(1000);
-  /// Without a byte for this long the connection is closed.
+  /// The connection is closed when no byte arrives for this long; checked at
+  /// every ping.
   core::Duration silence_ = std::chrono::milliseconds(3000);
-  /// A call on a connection that was silent for this long takes a ping along.
-  core::Duration probe_after_ = std::chrono::milliseconds(100);
-  /// A ping unanswered for this long stalls the calls under way.
-  core::Duration stall_ = std::chrono::milliseconds(500);
-  /// IP number that connections go out from; empty for the system's choice.
+  /// A call sends a ping too when no byte arrived for this long.
+  core::Duration ping_after_idle_ = std::chrono::milliseconds(100);
+  /// `on_stalled_` is called for the calls in flight when a ping is unanswered
+  /// for this long.
+  core::Duration stall_timeout_ = std::chrono::milliseconds(500);
+  /// Local IP address of the connection; empty when the system chooses it.
   std::string source_ip_;
 };
 
-/// @brief Connection to one peer; connects when first used and again after a
-/// loss.
+/// @brief Connection to one peer. The first call opens it, and so does the
+/// first call after it was lost; calls made meanwhile wait for it.
 class PeerConnection {
  public:
   using Settings = PeerConnectionSettings;
@@ -79,17 +86,20 @@
   [[nodiscard]] const Address& address() const noexcept;
   [[nodiscard]] bool connected() const noexcept;
 
-  /// @brief Sends a request; the answer arrives by the callbacks.
+  /// @brief Sends a POST request; the callbacks report the response.
   OutgoingCallPtr Call(std::string path, std::string body,
                        PeerCallbacks callbacks);
-  /// @brief Sends a request and collects the whole answer.
+  /// @brief Sends a POST request and collects the response.
+  /// @param done called once, unless cancelled. `status` is 0 when no headers
+  /// arrived; `body` holds what arrived, whatever `end` is.
   OutgoingCallPtr Ask(
       std::string path, std::string body,
       std::function<void(PeerEnd end, int status, std::string body)> done);
-  /// @brief Told when a ping goes out (true) and when the peer is heard after
-  /// it (false), once each.
+  /// @brief Sets the observer that is called with true when a ping is sent
+  /// while none is outstanding, and with false when the next bytes arrive.
   void OnProbe(std::function<void(bool unanswered)> observer);
-  /// @brief Closes; calls under way end as broken.
+  /// @brief Closes the connection: calls in flight end with kBroken, calls that
+  /// wait for the connection with kNotSent.
   void Close();
 
  private:
--- a/packages/daemon/src/daemon/peer_server.cpp
+++ b/packages/daemon/src/daemon/peer_server.cpp
@@ -1,4 +1,4 @@
-// Accepts peers' connections and gathers each call's body.
+// Accepts connections of peers and collects the body of each request.
 #include "daemon/peer_server.hpp"
 
 #include <set>
@@ -11,7 +11,7 @@
 
 constexpr int kBacklog = 1024;
 constexpr int kPayloadTooLarge = 413;
-constexpr int kWrongProtocol = 426;
+constexpr int kUpgradeRequired = 426;
 
 }  // namespace
 
@@ -23,22 +23,24 @@
 
 std::string_view PeerCall::path() const noexcept { return header(":path"); }
 
-const std::string& PeerCall::body() const noexcept { return stream_->body_in_; }
+const std::string& PeerCall::body() const noexcept {
+  return stream_->received_body_;
+}
 
 std::string_view PeerCall::header(std::string_view name) const noexcept {
   return FindHeader(stream_->headers_, name);
 }
 
 bool PeerCall::open() const noexcept {
-  return !*closed_ && !stream_->out_ended_;
+  return !*closed_ && !stream_->send_ended_;
 }
 
 std::size_t PeerCall::pending() const noexcept { return stream_->pending(); }
 
 void PeerCall::Respond(int status, std::string_view body) {
   if (open()) {
-    stream_->out_.append(body);
-    stream_->out_ended_ = true;
+    stream_->send_buffer_.append(body);
+    stream_->send_ended_ = true;
     Start(status);
   }
 }
@@ -103,13 +105,13 @@
   sessions_.insert(session);
   const std::weak_ptr<internal::H2Session> weak = session;
   session->on_closed_ = [this, weak] {
-    if (auto held = weak.lock()) {
-      sessions_.erase(held);
+    if (auto locked = weak.lock()) {
+      sessions_.erase(locked);
     }
   };
   session->on_stream_ = [this, weak](const internal::H2StreamPtr& stream) {
-    if (auto held = weak.lock()) {
-      OnStream(held, stream);
+    if (auto locked = weak.lock()) {
+      OnStream(locked, stream);
     }
   };
   session->Begin();
@@ -120,23 +122,23 @@
     const internal::H2StreamPtr& stream) {
   auto call = std::make_shared<PeerCall>(session, stream);
   if (call->header(kProtocolHeader) != kProtocolVersion) {
-    call->Respond(kWrongProtocol,
+    call->Respond(kUpgradeRequired,
                   "message version must be " + std::string(kProtocolVersion));
     return;
   }
   const std::weak_ptr<internal::H2Stream> weak = stream;
   stream->on_data_ = [this, weak, call](std::string_view bytes) {
-    auto held = weak.lock();
-    if (held->body_in_.size() + bytes.size() > max_body_bytes_) {
-      held->on_end_ = nullptr;
+    auto locked = weak.lock();
+    if (locked->received_body_.size() + bytes.size() > max_body_bytes_) {
+      locked->on_end_ = nullptr;
       call->Respond(kPayloadTooLarge, "body exceeds the limit");
       return;
     }
-    held->body_in_.append(bytes);
+    locked->received_body_.append(bytes);
   };
   stream->on_end_ = [this, weak, call] {
-    if (auto held = weak.lock()) {
-      held->on_data_ = nullptr;
+    if (auto locked = weak.lock()) {
+      locked->on_data_ = nullptr;
     }
     const auto handler = handler_;
     handler(call);
--- a/packages/daemon/src/daemon/peer_server.hpp
+++ b/packages/daemon/src/daemon/peer_server.hpp
@@ -1,4 +1,4 @@
-// Server side of the streams between the system's processes (h2c, nghttp2).
+// HTTP/2 server (h2c) for calls from other processes of the system.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,13 @@
 
 namespace chalkwell::daemon {
 
-/// @brief Version of the messages; both sides must speak the same.
+/// @brief Version of the messages between processes. A call with another
+/// version is refused with 426.
 inline constexpr std::string_view kProtocolVersion = "2";
+/// @brief Header that carries the version, in requests and responses.
 inline constexpr std::string_view kProtocolHeader = "x-chalkwell-protocol";
 
-/// @brief A call by a peer, with its whole body, and the answer to it.
+/// @brief A complete request from a peer, and the response to it.
 class PeerCall {
  public:
   PeerCall(std::shared_ptr<internal::H2Session> session,
@@ -25,19 +27,24 @@
   [[nodiscard]] std::string_view path() const noexcept;
   [[nodiscard]] const std::string& body() const noexcept;
   [[nodiscard]] std::string_view header(std::string_view name) const noexcept;
-  /// @brief False once the stream has closed; writes are then ignored.
+  /// @brief False once the response is complete or the stream has closed;
+  /// writes are then ignored.
   [[nodiscard]] bool open() const noexcept;
-  /// @brief Bytes written and not yet sent.
+  /// @brief Number of bytes written and not yet handed to HTTP/2.
   [[nodiscard]] std::size_t pending() const noexcept;
 
-  /// @brief Sends a whole answer.
+  /// @brief Sends a complete response.
   void Respond(int status, std::string_view body);
+  /// @brief Sends the headers of a streamed response.
   void Start(int status);
+  /// @brief Sends a part of its body.
   void Write(std::string_view bytes);
+  /// @brief Completes it.
   void End();
-  /// @brief Breaks the stream: the peer sees that the answer is not whole.
+  /// @brief Resets the stream, so that the peer sees an incomplete response.
   void Break();
-  /// @brief Called once when the stream closes, for whatever reason.
+  /// @brief Sets the handler that is called once when the stream closes, for
+  /// any reason.
   void OnClosed(std::function<void()> handler);
 
  private:
@@ -49,9 +56,10 @@
 using PeerCallPtr = std::shared_ptr<PeerCall>;
 using PeerHandler = std::function<void(PeerCallPtr)>;
 
-/// @brief Listener for peers.
+/// @brief Listener that hands each complete request to a handler.
 class PeerServer {
  public:
+  /// @param max_body_bytes larger request bodies are refused with 413.
   /// @throws core::Error when the address cannot be listened on.
   PeerServer(Loop& loop, const Address& address, std::size_t max_body_bytes,
              PeerHandler handler);
@@ -59,6 +67,7 @@
   PeerServer(const PeerServer&) = delete;
   PeerServer& operator=(const PeerServer&) = delete;
 
+  /// @brief Port listened on, also when the address had port 0.
   [[nodiscard]] std::uint16_t port() const noexcept;
 
  private:
