--- a/packages/daemon/src/daemon/clock.cpp
+++ b/packages/daemon/src/daemon/clock.cpp
@@ -1,4 +1,4 @@
-// Linux clocks as time points of one type.
+// Reads the Linux clocks.
 #include "daemon/clock.hpp"
 
 #include <algorithm>
@@ -8,8 +8,9 @@
 namespace chalkwell::daemon {
 namespace {
 
-/// Shorter suspensions are left to the timers' own lateness.
-constexpr auto kLeastSuspension = std::chrono::milliseconds(20);
+/// Shorter suspensions only make timers fire late and are not reported.
+constexpr auto kMinSuspension = std::chrono::milliseconds(20);
+
 core::TimePoint Read(clockid_t clock) noexcept {
   timespec time{};
   ::clock_gettime(clock, &time);
@@ -25,22 +26,22 @@
 
 core::Duration SuspensionDetector::Check(const LoopClocks& clocks) {
   const auto running = clocks.running_();
-  auto suspended = clocks.now_() - running;
-  if (!suspended_) {
-    suspended_ = suspended;
+  auto offset = clocks.now_() - running;
+  if (!reported_offset_) {
+    reported_offset_ = offset;
   }
-  if (suspended - *suspended_ >= kLeastSuspension) {
-    // The process may have been paused between the two reads: the other order
-    // shows the clocks too close then, not too far apart.
+  if (offset - *reported_offset_ >= kMinSuspension) {
+    // A pause of the process between the two reads makes the difference too
+    // large. Reading the clocks in the opposite order makes it too small.
     const auto now = clocks.now_();
-    suspended = std::min(suspended, now - clocks.running_());
+    offset = std::min(offset, now - clocks.running_());
   }
-  const auto grown = suspended - *suspended_;
-  if (grown < kLeastSuspension) {
+  const auto increase = offset - *reported_offset_;
+  if (increase < kMinSuspension) {
     return {};
   }
-  suspended_ = suspended;
-  return grown;
+  reported_offset_ = offset;
+  return increase;
 }
 
 }  // namespace chalkwell::daemon
--- a/packages/daemon/src/daemon/http1_server.cpp
+++ b/packages/daemon/src/daemon/http1_server.cpp
@@ -1,5 +1,5 @@
-// One request at a time on each connection; while it is handled, the
-// connection is read on, so that its end is seen at once.
+// A connection handles one request at a time. It is read meanwhile, so that a
+// disconnect is detected at once.
 #include "daemon/http1_server.hpp"
 
 #include <algorithm>
@@ -8,14 +8,15 @@
 namespace chalkwell::daemon {
 namespace {
 
-/// Bytes of a next request that are kept while one is handled.
-constexpr std::size_t kMaxPipelined = std::size_t{16} << 10;
+/// Bytes of further requests buffered while one is handled; beyond it reading
+/// pauses.
+constexpr std::size_t kMaxPipelinedBytes = std::size_t{16} << 10;
 
-int StatusOf(HttpFault fault) {
-  switch (fault) {
-    case HttpFault::kHeaderTooLarge:
+int ToStatus(HttpParseError error) {
+  switch (error) {
+    case HttpParseError::kHeaderTooLarge:
       return 431;
-    case HttpFault::kBodyTooLarge:
+    case HttpParseError::kBodyTooLarge:
       return 413;
     default:
       return 400;
@@ -39,7 +40,7 @@
 
 class Http1Exchange;
 
-/// One connection of a caller.
+/// Connection of a caller.
 class Http1Connection : public std::enable_shared_from_this<Http1Connection> {
  public:
   Http1Connection(Http1Server& server, TcpStream::Ptr stream)
@@ -50,69 +51,72 @@
         timer_(server.loop_) {}
 
   void Begin() {
-    peer_ = stream_->PeerIp();
+    peer_ip_ = stream_->PeerIp();
     parser_.OnBody([this](std::string_view bytes) { body_.append(bytes); });
-    timer_.Once(limits_.idle_time_, [this] { OnIdle(); });
-    stream_->Observe(
+    timer_.Once(limits_.idle_time_, [this] { OnTimeout(); });
+    stream_->SetCallbacks(
         {.on_data_ = [this](std::string_view bytes) { OnData(bytes); },
-         .on_end_ = [this](StreamEnd) { Drop(); },
+         .on_end_ = [this](StreamEnd) { Disconnect(); },
          .on_drained_ = [this] { OnDrained(); }});
   }
 
   [[nodiscard]] bool idle() const noexcept {
-    return exchange_ == nullptr && !parser_.begun();
+    return exchange_ == nullptr && !parser_.started();
   }
   [[nodiscard]] std::size_t pending() const noexcept {
     return stream_->pending();
   }
   void Write(std::string bytes) { stream_->Write(std::move(bytes)); }
-  [[nodiscard]] bool closes() const noexcept {
+  [[nodiscard]] bool closes_after_response() const noexcept {
     return !keep_alive_ || server_.closing_;
   }
   [[nodiscard]] bool http_1_0() const noexcept { return http_1_0_; }
-  void CloseAfterAnswer() noexcept { keep_alive_ = false; }
+  void CloseAfterResponse() noexcept { keep_alive_ = false; }
 
-  /// The exchange has written its whole answer.
-  void EndAnswer(bool whole);
-  /// Closes and forgets the connection.
-  void Drop();
-  void CloseQuietly() {
-    next_.clear();
-    stream_->Finish();
-    Forget();
+  /// Called when the exchange has written its response.
+  /// @param complete false resets the connection.
+  void EndResponse(bool complete);
+  /// Closes the connection at once and aborts the exchange.
+  void Disconnect();
+  /// Closes the connection after sending queued bytes.
+  void CloseGracefully() {
+    buffered_input_.clear();
+    stream_->CloseGracefully();
+    Unregister();
   }
 
  private:
   void OnData(std::string_view bytes);
   void OnDrained();
-  void Refuse(int status);
-  void Advance();
+  void Reject(int status);
+  void ProcessInput();
   void Dispatch();
-  void OnIdle() { idle() ? CloseQuietly() : Refuse(408); }
-  void Forget() {
+  void OnTimeout() { idle() ? CloseGracefully() : Reject(408); }
+  void Unregister() {
     const auto self = shared_from_this();
     timer_.Cancel();
     server_.connections_.erase(self);
   }
-  [[nodiscard]] bool Proper() const;
+  [[nodiscard]] bool HasUnambiguousFraming() const;
 
   Http1Server& server_;
   TcpStream::Ptr stream_;
   HttpLimits limits_;
   HttpParser parser_;
   std::string body_;
-  /// Bytes behind the request that is handled.
-  std::string next_;
-  std::string peer_;
+  /// Received bytes not yet parsed, such as those of a next request.
+  std::string buffered_input_;
+  std::string peer_ip_;
   bool keep_alive_ = true;
   bool http_1_0_ = false;
-  bool continued_ = false;
-  /// Null while no request is handled.
+  /// "100 Continue" was sent for this request.
+  bool continue_sent_ = false;
+  /// Request being handled; null when there is none.
   std::shared_ptr<Http1Exchange> exchange_;
   Timer timer_;
 };
 
-/// One request and its answer. It may outlive the connection.
+/// One request and its response. It may outlive the connection.
 class Http1Exchange final : public HttpExchange {
  public:
   Http1Exchange(std::weak_ptr<Http1Connection> connection, HttpRequest request)
@@ -139,7 +143,7 @@
       return;
     }
     started_ = true;
-    auto head = Head(*connection, status, headers);
+    auto head = BuildHead(*connection, status, headers);
     if (HasBody(status)) {
       head += "content-length: " + std::to_string(body.size()) + "\r\n";
     }
@@ -153,8 +157,8 @@
 
   void StartUnframed(int status, const HttpHeaders& headers) override {
     if (const auto connection = connection_.lock()) {
-      connection->CloseAfterAnswer();
-      unframed_ = true;
+      connection->CloseAfterResponse();
+      close_delimited_ = true;
     }
     Start(status, headers);
   }
@@ -165,9 +169,9 @@
       return;
     }
     started_ = true;
-    auto head = Head(*connection, status, headers);
+    auto head = BuildHead(*connection, status, headers);
     const bool bodyless = request_.method_ == "HEAD" || !HasBody(status);
-    chunked_ = !bodyless && !unframed_ && !connection->http_1_0() &&
+    chunked_ = !bodyless && !close_delimited_ && !connection->http_1_0() &&
                FindHeader(headers, "content-length").empty();
     bodyless_ = bodyless;
     if (chunked_) {
@@ -196,22 +200,22 @@
     connection->Write(std::move(chunk));
   }
 
-  void End(bool whole) override {
+  void End(bool complete) override {
     const auto connection = connection_.lock();
     if (connection == nullptr || ended_) {
       return;
     }
-    if (whole && chunked_) {
+    if (complete && chunked_) {
       connection->Write("0\r\n\r\n");
     }
-    Finish(*connection, whole);
+    Finish(*connection, complete);
   }
 
   void OnAbort(std::function<void()> handler) override {
     on_abort_ = std::move(handler);
   }
 
-  /// The connection has gone.
+  /// Called when the connection is lost.
   void Abort() {
     connection_.reset();
     on_drained_ = nullptr;
@@ -220,38 +224,38 @@
       Guarded(handler);
     }
   }
-  void Drained() {
-    // It may replace or clear itself.
+  void NotifyDrained() {
+    // Copied because the handler may replace or clear on_drained_.
     if (const auto handler = on_drained_) {
       Guarded(handler);
     }
   }
 
  private:
-  static std::string Head(const Http1Connection& connection, int status,
-                          const HttpHeaders& headers) {
+  static std::string BuildHead(const Http1Connection& connection, int status,
+                               const HttpHeaders& headers) {
     std::string head = "HTTP/1.1 " + std::to_string(status) + " ";
     head.append(StatusText(status)).append("\r\n");
     for (const auto& [name, value] : headers) {
       head.append(name).append(": ").append(value).append("\r\n");
     }
-    if (connection.closes()) {
+    if (connection.closes_after_response()) {
       head += "connection: close\r\n";
     }
     return head;
   }
 
-  void Finish(Http1Connection& connection, bool whole) {
+  void Finish(Http1Connection& connection, bool complete) {
     ended_ = true;
     on_abort_ = nullptr;
     on_drained_ = nullptr;
-    connection.EndAnswer(whole);
+    connection.EndResponse(complete);
   }
 
   std::weak_ptr<Http1Connection> connection_;
   HttpRequest request_;
   bool started_ = false;
-  bool unframed_ = false;
+  bool close_delimited_ = false;
   bool chunked_ = false;
   bool bodyless_ = false;
   bool ended_ = false;
@@ -261,52 +265,53 @@
 
 void Http1Connection::OnData(std::string_view bytes) {
   if (exchange_ != nullptr) {
-    next_.append(bytes);
-    if (next_.size() > kMaxPipelined) {
+    buffered_input_.append(bytes);
+    if (buffered_input_.size() > kMaxPipelinedBytes) {
       stream_->SetReading(false);
     }
     return;
   }
-  next_.append(bytes);
-  Advance();
+  buffered_input_.append(bytes);
+  ProcessInput();
 }
 
-void Http1Connection::Advance() {
+void Http1Connection::ProcessInput() {
   const auto self = shared_from_this();
-  while (stream_->open() && exchange_ == nullptr && !next_.empty()) {
-    if (!parser_.begun()) {
+  while (stream_->open() && exchange_ == nullptr && !buffered_input_.empty()) {
+    if (!parser_.started()) {
       limits_ = server_.hooks_.limits_();
       parser_.Next(limits_);
       body_.clear();
-      continued_ = false;
-      timer_.Once(limits_.request_time_, [this] { OnIdle(); });
+      continue_sent_ = false;
+      timer_.Once(limits_.request_time_, [this] { OnTimeout(); });
     }
-    const auto input = std::exchange(next_, {});
+    const auto input = std::exchange(buffered_input_, {});
     const auto taken = parser_.Feed(input);
-    next_.assign(input, taken);
-    if (parser_.fault() != HttpFault::kNone) {
-      Refuse(StatusOf(parser_.fault()));
+    buffered_input_.assign(input, taken);
+    if (parser_.error() != HttpParseError::kNone) {
+      Reject(ToStatus(parser_.error()));
       return;
     }
-    if (parser_.head_done() && !Proper()) {
-      Refuse(400);
+    if (parser_.head_done() && !HasUnambiguousFraming()) {
+      Reject(400);
       return;
     }
     if (parser_.done()) {
       Dispatch();
       continue;
     }
-    if (parser_.head_done() && !continued_ &&
+    if (parser_.head_done() && !continue_sent_ &&
         !FindHeader(parser_.headers(), "expect").empty()) {
-      continued_ = true;
+      continue_sent_ = true;
       stream_->Write("HTTP/1.1 100 Continue\r\n\r\n");
     }
     return;
   }
 }
 
-/// Whether the framing is beyond doubt, so that no request hides in another.
-bool Http1Connection::Proper() const {
+/// Whether the request has exactly one interpretation of its length and host;
+/// otherwise it could smuggle another request.
+bool Http1Connection::HasUnambiguousFraming() const {
   const auto& headers = parser_.headers();
   const auto coding = FindHeader(headers, "transfer-encoding");
   if (CountHeader(headers, "host") > 1 ||
@@ -323,7 +328,8 @@
 void Http1Connection::Dispatch() {
   timer_.Cancel();
   http_1_0_ = parser_.http_1_0();
-  // Without chunks only the end of the connection can end such an answer.
+  // HTTP/1.0 has no chunked coding, so closing the connection delimits the
+  // response.
   keep_alive_ = parser_.keep_alive() && !http_1_0_;
   HttpRequest request{.method_ = parser_.method(),
                       .path_ = parser_.target(),
@@ -337,23 +343,23 @@
   Guarded([&] { server_.handler_(exchange); });
 }
 
-void Http1Connection::EndAnswer(bool whole) {
+void Http1Connection::EndResponse(bool complete) {
   exchange_.reset();
-  if (!whole) {
+  if (!complete) {
     stream_->Reset();
-    Forget();
+    Unregister();
     return;
   }
-  if (closes() || !stream_->open()) {
-    CloseQuietly();
+  if (closes_after_response() || !stream_->open()) {
+    CloseGracefully();
     return;
   }
   stream_->SetReading(true);
-  timer_.Once(limits_.idle_time_, [this] { OnIdle(); });
-  if (!next_.empty()) {
+  timer_.Once(limits_.idle_time_, [this] { OnTimeout(); });
+  if (!buffered_input_.empty()) {
     server_.loop_.Post([weak = weak_from_this()] {
       if (const auto self = weak.lock()) {
-        self->Advance();
+        self->ProcessInput();
       }
     });
   }
@@ -361,26 +367,26 @@
 
 void Http1Connection::OnDrained() {
   if (exchange_ != nullptr) {
-    exchange_->Drained();
+    exchange_->NotifyDrained();
   }
 }
 
-void Http1Connection::Refuse(int status) {
+void Http1Connection::Reject(int status) {
   if (server_.hooks_.on_refused_) {
-    server_.hooks_.on_refused_(status, peer_);
+    server_.hooks_.on_refused_(status, peer_ip_);
   }
   std::string head = "HTTP/1.1 " + std::to_string(status) + " ";
   head.append(StatusText(status));
   head += "\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
   stream_->Write(std::move(head));
-  CloseQuietly();
+  CloseGracefully();
 }
 
-void Http1Connection::Drop() {
+void Http1Connection::Disconnect() {
   const auto self = shared_from_this();
   stream_->Close();
   const auto exchange = std::exchange(exchange_, nullptr);
-  Forget();
+  Unregister();
   if (exchange != nullptr) {
     exchange->Abort();
   }
@@ -404,7 +410,7 @@
   listener_.Stop();
   while (!connections_.empty()) {
     const auto connection = *connections_.begin();
-    connection->Drop();
+    connection->Disconnect();
   }
 }
 
@@ -412,7 +418,7 @@
   const auto all = connections_;
   for (const auto& connection : all) {
     if (connection->idle()) {
-      connection->CloseQuietly();
+      connection->CloseGracefully();
     }
   }
 }
--- a/packages/daemon/src/daemon/http1_server.hpp
+++ b/packages/daemon/src/daemon/http1_server.hpp
@@ -1,6 +1,6 @@
-// HTTP/1.1 server on our own streams: it notices a caller that leaves while its
-// request is being handled, and takes limits that change while it runs. h2o
-// does neither; docs/design/platform.md says how that was tried.
+// HTTP/1.1 server on TcpStream. It detects callers that disconnect while their
+// request is being handled, and its limits may change while it runs. h2o does
+// neither; docs/design/platform.md describes the attempt.
 #pragma once
 
 #include <cstdint>
@@ -19,15 +19,17 @@
 class Http1Connection;
 }
 
-/// @brief Hooks of a server.
+/// @brief Callbacks of an Http1Server.
 struct Http1ServerHooks {
-  /// Limits for the next request.
+  /// Returns the limits for the next request.
   std::function<HttpLimits()> limits_;
-  /// Told of each request refused by the server itself.
-  std::function<void(int status, const std::string& peer)> on_refused_;
+  /// Called for each request that the server itself refuses.
+  std::function<void(int status, const std::string& peer_ip)> on_refused_;
 };
 
-/// @brief Listener that hands each request, with its whole body, to a handler.
+/// @brief Listener that hands each complete request to a handler. It refuses
+/// malformed requests with 400, slow ones with 408, and requests over the
+/// limits with 413 (body) or 431 (headers), and closes their connections.
 class Http1Server {
  public:
   /// @throws core::Error when the address cannot be listened on.
@@ -37,14 +39,17 @@
   Http1Server(const Http1Server&) = delete;
   Http1Server& operator=(const Http1Server&) = delete;
 
+  /// @brief Port listened on, also when the address had port 0.
   [[nodiscard]] std::uint16_t port() const noexcept { return listener_.port(); }
+  /// @brief Number of open connections.
   [[nodiscard]] std::size_t connections() const noexcept {
     return connections_.size();
   }
-  /// @brief From now on each answer closes its connection.
+  /// @brief From now on closes each connection after its next response.
   void CloseAfterAnswers() noexcept { closing_ = true; }
+  /// @brief Accepts no further connections.
   void StopAccepting() { listener_.Stop(); }
-  /// @brief Closes connections on which no request is under way.
+  /// @brief Closes connections without a request in progress.
   void CloseIdle();
 
  private:
--- a/packages/daemon/src/daemon/http_client.cpp
+++ b/packages/daemon/src/daemon/http_client.cpp
@@ -1,5 +1,5 @@
-// A connection carries one request at a time. It is kept only when the response
-// was whole, nothing followed it and the server did not ask to close.
+// A connection carries one request at a time. It is kept only if the response
+// was complete, nothing followed it and the server did not ask to close.
 #include "daemon/http_client.hpp"
 
 #include <algorithm>
@@ -13,10 +13,11 @@
 namespace chalkwell::daemon {
 namespace {
 
-/// Part of the server's own limit within which a kept connection is used.
-constexpr double kKeepShare = 0.5;
-/// Connections at rest to one address; more are closed.
-constexpr std::size_t kMaxAtRest = 16;
+/// Fraction of the server's keep-alive timeout for which an idle connection is
+/// reused.
+constexpr double kKeepAliveShare = 0.5;
+/// Idle connections to one address; beyond it the oldest is closed.
+constexpr std::size_t kMaxIdlePerAddress = 16;
 
 std::string Serialize(const Address& address, const HttpRequest& request,
                       bool keep) {
@@ -37,8 +38,9 @@
   return head + "\r\n" + request.body_;
 }
 
-/// How long the server keeps a connection at rest, as its header says.
-std::optional<core::Duration> KeepAliveTime(const HttpHeaders& headers) {
+/// Timeout in the `keep-alive` header of a response: how long the server keeps
+/// an idle connection.
+std::optional<core::Duration> KeepAliveTimeout(const HttpHeaders& headers) {
   const auto value = FindHeader(headers, "keep-alive");
   const auto at = value.find("timeout=");
   if (at == std::string_view::npos) {
@@ -75,14 +77,17 @@
   State(Loop& loop, core::Duration io_timeout)
       : loop_(loop), io_timeout_(io_timeout) {}
 
-  ConnectionPtr TakeKept(const Address& address, core::Duration max_rest);
-  void Keep(const ConnectionPtr& connection);
-  /// A connection at rest is not to be used any more.
-  void Forget(const ConnectionPtr& connection);
+  /// Removes and returns an idle connection; null when none may be reused.
+  ConnectionPtr TakeIdle(const Address& address, core::Duration max_idle);
+  void AddIdle(const ConnectionPtr& connection);
+  /// Removes and closes an idle connection.
+  void CloseIdle(const ConnectionPtr& connection);
 
   Loop& loop_;
   core::Duration io_timeout_;
-  std::map<Address, std::deque<ConnectionPtr>> at_rest_;
+  /// Idle connections; the one used last is at the back.
+  std::map<Address, std::deque<ConnectionPtr>> idle_;
+  /// Number of connections, idle or in use.
   std::map<Address, std::size_t> connections_;
 };
 
@@ -105,9 +110,10 @@
   }
 
   [[nodiscard]] const Address& address() const noexcept { return address_; }
-  [[nodiscard]] bool Fresh(core::TimePoint now, core::Duration max_rest) const {
+  [[nodiscard]] bool IsReusable(core::TimePoint now,
+                                core::Duration max_idle) const {
     return stream_ != nullptr && stream_->open() &&
-           now - rested_since_ < std::min(max_rest, keep_time_);
+           now - idle_since_ < std::min(max_idle, keep_alive_timeout_);
   }
 
   void Start(const HttpRequest& request, HttpCallbacks callbacks,
@@ -116,23 +122,23 @@
     callbacks_ = std::move(callbacks);
     options_ = std::move(options);
     timer_.Cancel();
-    bytes_ = Serialize(address_, request, options_.keep_);
+    request_bytes_ = Serialize(address_, request, options_.keep_);
     parser_.Next(HttpLimits{});
     if (request.method_ == "HEAD") {
       parser_.ExpectNoBody();
     }
-    told_head_ = false;
+    head_delivered_ = false;
     if (stream_ != nullptr) {
-      SendBytes();
+      SendRequest();
       return;
     }
     StreamSettings settings;
     settings.connect_timeout_ = options_.connect_timeout_;
     stream_ = TcpStream::Connect(state_->loop_, address_, settings,
                                  [this](bool open) {
-                                   if (open && MaySend()) {
-                                     Watch();
-                                     SendBytes();
+                                   if (open && ShouldSend()) {
+                                     ObserveStream();
+                                     SendRequest();
                                    } else {
                                      Finish(HttpEnd::kNotSent);
                                    }
@@ -140,37 +146,39 @@
   }
 
   void Cancel() override {
-    // One of them may be running: they are destroyed by a later turn.
-    state_->loop_.Post([dead = std::exchange(callbacks_, {})] {});
+    // One of the callbacks may be running, so they are destroyed by a later
+    // task.
+    state_->loop_.Post([released = std::exchange(callbacks_, {})] {});
     options_ = {};
-    GiveUp();
+    Abandon();
   }
 
   [[nodiscard]] bool undelivered() const override {
-    const bool connecting = !bytes_.empty();
-    return connecting || (stream_ != nullptr && stream_->undelivered());
+    const bool connecting = !request_bytes_.empty();
+    return connecting ||
+           (stream_ != nullptr && stream_->has_unacknowledged_data());
   }
 
   void SetReading(bool reading) override {
     if (busy() && stream_ != nullptr) {
       stream_->SetReading(reading);
-      reading ? ExpectBytes() : timer_.Cancel();
+      reading ? StartReadTimeout() : timer_.Cancel();
     }
   }
 
-  /// Rests until it is used again, or no request may use it any more: then it
-  /// is closed, since the server counts it among those that it can take.
-  void Rest(core::Duration longest) {
-    rested_since_ = state_->loop_.Now();
-    timer_.Once(std::min(longest, keep_time_),
-                [this] { state_->Forget(shared_from_this()); });
+  /// Keeps the connection until it is reused or too old to be. It is then
+  /// closed, because it counts against the server's limit of connections.
+  void KeepForReuse(core::Duration max_idle) {
+    idle_since_ = state_->loop_.Now();
+    timer_.Once(std::min(max_idle, keep_alive_timeout_),
+                [this] { state_->CloseIdle(shared_from_this()); });
   }
 
-  /// A request that got no answer must not arrive any more. After a close the
-  /// system goes on sending it for as long as the path is silent; a reset makes
-  /// it forget what was not delivered.
-  void GiveUp() {
-    if (stream_ != nullptr && !told_head_) {
+  /// Closes the connection so that a request without a response cannot arrive
+  /// later. After a plain close the system keeps retransmitting it on a path
+  /// that does not reply; a reset discards the unacknowledged bytes.
+  void Abandon() {
+    if (stream_ != nullptr && !head_delivered_) {
       stream_->Reset();
     }
     Close();
@@ -181,105 +189,108 @@
     if (stream_ != nullptr) {
       stream_->Close();
     }
-    // The last reference may be this one.
+    // Holds what may be the last reference until the end of this function.
     const auto self = std::move(self_);
   }
 
  private:
   [[nodiscard]] bool busy() const noexcept { return self_ != nullptr; }
 
-  [[nodiscard]] bool MaySend() const {
+  [[nodiscard]] bool ShouldSend() const {
     return !options_.may_send_ || options_.may_send_();
   }
 
-  void Watch() {
-    stream_->Observe(
+  void ObserveStream() {
+    stream_->SetCallbacks(
         {.on_data_ = [this](std::string_view bytes) { OnData(bytes); },
          .on_end_ = [this](StreamEnd end) { OnEnd(end); },
          .on_drained_ = nullptr});
   }
 
-  void SendBytes() {
-    stream_->Write(std::exchange(bytes_, {}));
-    ExpectBytes();
+  void SendRequest() {
+    stream_->Write(std::exchange(request_bytes_, {}));
+    StartReadTimeout();
   }
 
-  void ExpectBytes() {
+  void StartReadTimeout() {
     timer_.Once(options_.silence_.value_or(state_->io_timeout_),
                 [this] { Finish(HttpEnd::kBroken); });
   }
 
   void OnData(std::string_view bytes) {
     if (!busy()) {
-      // Bytes that no request asked for belong to nobody.
+      // Bytes on an idle connection belong to no request.
       stream_->Close();
       return;
     }
     const auto self = self_;
-    ExpectBytes();
+    StartReadTimeout();
     while (!bytes.empty() && busy()) {
-      bytes.remove_prefix(FeedSome(bytes));
+      bytes.remove_prefix(FeedParser(bytes));
       if (!busy()) {
         return;
       }
-      if (parser_.fault() != HttpFault::kNone) {
+      if (parser_.error() != HttpParseError::kNone) {
         Finish(HttpEnd::kBroken);
         return;
       }
-      if (parser_.done() && !SkipIfNotFinal()) {
-        const bool clean = bytes.empty();
-        FinishWhole(clean);
+      if (parser_.done() && !SkipUnrelatedResponse()) {
+        const bool no_trailing_bytes = bytes.empty();
+        FinishComplete(no_trailing_bytes);
         return;
       }
     }
   }
 
-  /// Feeds up to the end of the head first, so that it is judged before any
-  /// byte of the body is handed on.
-  std::size_t FeedSome(std::string_view bytes) {
-    if (!told_head_) {
-      held_body_.clear();
+  /// Feeds the parser. Body bytes that come with the head are buffered until
+  /// the head has been checked.
+  /// @return number of bytes consumed.
+  std::size_t FeedParser(std::string_view bytes) {
+    if (!head_delivered_) {
+      early_body_.clear();
       parser_.OnBody(
-          [this](std::string_view body) { held_body_.append(body); });
+          [this](std::string_view body) { early_body_.append(body); });
     }
     const auto taken = parser_.Feed(bytes);
-    if (!told_head_ && parser_.head_done()) {
-      TellHead();
+    if (!head_delivered_ && parser_.head_done()) {
+      DeliverHead();
     }
     return taken;
   }
 
-  void TellHead() {
-    told_head_ = true;
+  void DeliverHead() {
+    head_delivered_ = true;
     const bool interim = parser_.status() < 200;
-    ours_ = !interim &&
-            (!options_.is_ours_ || options_.is_ours_(parser_.headers()));
+    matches_request_ = !interim && (!options_.is_ours_ ||
+                                    options_.is_ours_(parser_.headers()));
     parser_.OnBody([this](std::string_view body) {
-      if (ours_ && callbacks_.on_data_) {
+      if (matches_request_ && callbacks_.on_data_) {
         Guarded([&] { callbacks_.on_data_(body); });
       }
     });
-    if (!ours_) {
+    if (!matches_request_) {
       return;
     }
-    keep_time_ = core::Duration::max();
-    if (const auto time = KeepAliveTime(parser_.headers())) {
-      keep_time_ =
-          std::chrono::duration_cast<core::Duration>(*time * kKeepShare);
+    keep_alive_timeout_ = core::Duration::max();
+    if (const auto time = KeepAliveTimeout(parser_.headers())) {
+      keep_alive_timeout_ =
+          std::chrono::duration_cast<core::Duration>(*time * kKeepAliveShare);
     }
     if (callbacks_.on_head_) {
       Guarded(
           [&] { callbacks_.on_head_(parser_.status(), parser_.headers()); });
     }
-    const auto body = std::exchange(held_body_, {});
+    const auto body = std::exchange(early_body_, {});
     if (!body.empty() && callbacks_.on_data_) {
       Guarded([&] { callbacks_.on_data_(body); });
     }
   }
 
-  /// Whether the response that ended was an interim one or another request's.
-  bool SkipIfNotFinal() {
-    if (ours_) {
+  /// Prepares for the next response if the one that ended was interim (1xx) or
+  /// belongs to an earlier request.
+  /// @return whether another response is awaited.
+  bool SkipUnrelatedResponse() {
+    if (matches_request_) {
       return false;
     }
     const bool more = parser_.status() < 200 || parser_.keep_alive();
@@ -287,7 +298,7 @@
       return false;
     }
     parser_.Next(HttpLimits{});
-    told_head_ = false;
+    head_delivered_ = false;
     return true;
   }
 
@@ -296,18 +307,19 @@
       return;
     }
     const auto self = self_;
-    const bool whole =
-        end == StreamEnd::kClosed && told_head_ && ours_ && parser_.FeedEnd();
-    Finish(whole ? HttpEnd::kUnframed : HttpEnd::kBroken);
+    const bool complete = end == StreamEnd::kClosed && head_delivered_ &&
+                          matches_request_ && parser_.FeedEof();
+    Finish(complete ? HttpEnd::kUnframed : HttpEnd::kBroken);
   }
 
-  void FinishWhole(bool clean) {
-    if (!ours_) {
+  void FinishComplete(bool no_trailing_bytes) {
+    if (!matches_request_) {
       Finish(HttpEnd::kBroken);
       return;
     }
-    const bool keep = clean && options_.keep_ && parser_.keep_alive() &&
-                      stream_->open() && stream_->pending() == 0;
+    const bool keep = no_trailing_bytes && options_.keep_ &&
+                      parser_.keep_alive() && stream_->open() &&
+                      stream_->pending() == 0;
     if (!keep) {
       Finish(HttpEnd::kWhole);
       return;
@@ -315,12 +327,12 @@
     timer_.Cancel();
     const auto self = std::move(self_);
     const auto done = std::move(callbacks_.on_end_);
-    const auto longest = options_.max_rest_;
+    const auto max_idle = options_.max_rest_;
     callbacks_ = {};
     options_ = {};
     stream_->SetReading(true);
-    Rest(longest);
-    state_->Keep(self);
+    KeepForReuse(max_idle);
+    state_->AddIdle(self);
     if (done) {
       Guarded([&] { done(HttpEnd::kWhole); });
     }
@@ -331,7 +343,7 @@
     const auto done = std::move(callbacks_.on_end_);
     callbacks_ = {};
     options_ = {};
-    GiveUp();
+    Abandon();
     if (done) {
       Guarded([&] { done(end); });
     }
@@ -343,58 +355,62 @@
   HttpParser parser_;
   HttpCallbacks callbacks_;
   HttpSendOptions options_;
-  std::string bytes_;
-  std::string held_body_;
-  bool told_head_ = false;
-  bool ours_ = true;
-  core::Duration keep_time_ = core::Duration::max();
-  core::TimePoint rested_since_;
+  /// Request not yet written; empty once it is sent.
+  std::string request_bytes_;
+  /// Body bytes that arrived with the head.
+  std::string early_body_;
+  bool head_delivered_ = false;
+  /// The current response is final and accepted by the options.
+  bool matches_request_ = true;
+  /// kKeepAliveShare of the server's keep-alive timeout; unlimited without one.
+  core::Duration keep_alive_timeout_ = core::Duration::max();
+  core::TimePoint idle_since_;
   Timer timer_;
-  /// Set while a request is under way; keeps the connection alive.
+  /// Set while a request is in flight; keeps the connection alive.
   std::shared_ptr<Connection> self_;
 };
 
-HttpClient::State::ConnectionPtr HttpClient::State::TakeKept(
-    const Address& address, core::Duration max_rest) {
-  const auto found = at_rest_.find(address);
-  if (found == at_rest_.end()) {
+HttpClient::State::ConnectionPtr HttpClient::State::TakeIdle(
+    const Address& address, core::Duration max_idle) {
+  const auto found = idle_.find(address);
+  if (found == idle_.end()) {
     return nullptr;
   }
-  auto& kept = found->second;
+  auto& idle = found->second;
   const auto now = loop_.Now();
   ConnectionPtr taken;
-  while (!kept.empty() && taken == nullptr) {
-    // The one used last is the least likely to have been closed.
-    auto connection = std::move(kept.back());
-    kept.pop_back();
-    if (connection->Fresh(now, max_rest)) {
+  while (!idle.empty() && taken == nullptr) {
+    // The connection used last is the least likely to have been closed.
+    auto connection = std::move(idle.back());
+    idle.pop_back();
+    if (connection->IsReusable(now, max_idle)) {
       taken = std::move(connection);
     } else {
       connection->Close();
     }
   }
-  if (kept.empty()) {
-    at_rest_.erase(found);
+  if (idle.empty()) {
+    idle_.erase(found);
   }
   return taken;
 }
 
-void HttpClient::State::Keep(const ConnectionPtr& connection) {
-  auto& kept = at_rest_[connection->address()];
-  kept.push_back(connection);
-  if (kept.size() > kMaxAtRest) {
-    const auto oldest = kept.front();
-    kept.pop_front();
+void HttpClient::State::AddIdle(const ConnectionPtr& connection) {
+  auto& idle = idle_[connection->address()];
+  idle.push_back(connection);
+  if (idle.size() > kMaxIdlePerAddress) {
+    const auto oldest = idle.front();
+    idle.pop_front();
     oldest->Close();
   }
 }
 
-void HttpClient::State::Forget(const ConnectionPtr& connection) {
-  const auto found = at_rest_.find(connection->address());
-  if (found != at_rest_.end()) {
+void HttpClient::State::CloseIdle(const ConnectionPtr& connection) {
+  const auto found = idle_.find(connection->address());
+  if (found != idle_.end()) {
     std::erase(found->second, connection);
     if (found->second.empty()) {
-      at_rest_.erase(found);
+      idle_.erase(found);
     }
   }
   connection->Close();
@@ -403,14 +419,14 @@
 HttpClient::HttpClient(Loop& loop, core::Duration io_timeout)
     : state_(std::make_shared<State>(loop, io_timeout)) {}
 
-HttpClient::~HttpClient() { state_->at_rest_.clear(); }
+HttpClient::~HttpClient() { state_->idle_.clear(); }
 
 std::shared_ptr<HttpCall> HttpClient::Send(const Address& address,
                                            const HttpRequest& request,
                                            HttpCallbacks callbacks,
                                            HttpSendOptions options) {
   auto connection =
-      options.keep_ ? state_->TakeKept(address, options.max_rest_) : nullptr;
+      options.keep_ ? state_->TakeIdle(address, options.max_rest_) : nullptr;
   if (connection == nullptr) {
     connection = std::make_shared<State::Connection>(state_, address);
   }
--- a/packages/daemon/src/daemon/http_client.hpp
+++ b/packages/daemon/src/daemon/http_client.hpp
@@ -1,5 +1,5 @@
-// HTTP/1.1 client towards endpoints, platform, weight store and origin, with
-// kept connections. A cut never looks like a whole response.
+// HTTP/1.1 client for endpoints, platform, weight store and origin, with
+// keep-alive connections. A response cut short is never reported as complete.
 #pragma once
 
 #include <functional>
@@ -17,98 +17,109 @@
 
 /// @brief How a response ended.
 enum class HttpEnd : std::uint8_t {
-  /// The whole response arrived.
+  /// The complete response arrived, as its framing shows.
   kWhole,
-  /// The response gave no length and its connection was closed, not reset:
-  /// whole as far as can be told. A server that dies looks the same.
+  /// The response had no length and its connection was closed, not reset. It is
+  /// probably complete, but a server that crashes looks the same.
   kUnframed,
   /// The connection could not be opened: nothing was sent.
   kNotSent,
-  /// The connection broke or timed out after the request was sent.
+  /// The connection broke or timed out after the request was sent, or the
+  /// response was malformed: the server may have processed the request.
   kBroken,
 };
 
-/// @brief Text of a response's end in logs.
+/// @brief Text of the result for logs.
 [[nodiscard]] std::string_view ToString(HttpEnd end) noexcept;
 
-/// @brief What the client reports of one response.
+/// @brief Callbacks of one request.
 struct HttpCallbacks {
+  /// Status and headers of the final response arrived.
   std::function<void(int status, const HttpHeaders& headers)> on_head_;
+  /// A part of the body arrived.
   std::function<void(std::string_view bytes)> on_data_;
-  /// Called exactly once, last, unless cancelled.
+  /// Called exactly once, after all others, unless the request is cancelled.
   std::function<void(HttpEnd end)> on_end_;
 };
 
-/// @brief How one request uses connections.
+/// @brief Options of one request.
 struct HttpSendOptions {
-  /// Whether a kept connection may be used, and kept afterwards.
+  /// Whether an idle connection may be reused and the connection kept
+  /// afterwards.
   bool keep_ = false;
-  /// A connection at rest for longer is not used again: the server may be
-  /// closing it, or the path may have gone silent.
+  /// A connection that was idle for longer is not reused: the server may be
+  /// closing it, or the path may have broken without a reset.
   core::Duration max_rest_ = std::chrono::seconds(2);
   core::Duration connect_timeout_ = std::chrono::milliseconds(1000);
-  /// Longest silence of the server; the client's own when left out.
+  /// Longest time without a byte from the server. Without a value, the client's
+  /// `io_timeout`.
   std::optional<core::Duration> silence_;
-  /// Asked when a new connection has opened: false when the request is not to
-  /// be sent any more. None for always.
+  /// Called once a new connection is open; the request is sent only if it
+  /// returns true. Without it, the request is always sent.
   std::function<bool()> may_send_;
-  /// False for a response that belongs to an earlier request on the same
-  /// connection: it is dropped and the next one is awaited.
+  /// Returns false for a response to an earlier request on the same connection:
+  /// it is discarded and the next one awaited. Without it, every response is
+  /// accepted.
   std::function<bool(const HttpHeaders& headers)> is_ours_;
 };
 
-/// @brief A request under way; dropping it does not cancel it.
+/// @brief A request in flight; dropping it does not cancel it.
 class HttpCall {
  public:
   virtual ~HttpCall() = default;
   /// @brief Closes the connection; no callback follows.
   virtual void Cancel() = 0;
-  /// @brief Whether the server's system has not acknowledged some of the
-  /// request; false when the system does not tell.
+  /// @brief Whether some of the request is not yet acknowledged by the server's
+  /// TCP; false when the local system cannot tell.
   [[nodiscard]] virtual bool undelivered() const { return false; }
-  /// @brief Holds back the response while its reader is slow.
+  /// @brief Pauses or resumes reading the response, for a slow consumer. No
+  /// timeout runs while paused.
   virtual void SetReading(bool /*reading*/) {}
 };
 
-/// @brief A whole response.
+/// @brief A response collected by HttpClient::Fetch.
 struct HttpResponse {
   HttpEnd end_ = HttpEnd::kNotSent;
   int status_ = 0;
   HttpHeaders headers_;
   std::string body_;
 
+  /// @brief Whether the response ended normally with a 2xx status.
   [[nodiscard]] bool ok() const noexcept {
     return (end_ == HttpEnd::kWhole || end_ == HttpEnd::kUnframed) &&
            status_ >= 200 && status_ < 300;
   }
 };
 
-/// @brief Client on one loop.
+/// @brief Client on one loop. Idle connections are kept per address.
 class HttpClient {
  public:
-  /// @param io_timeout longest silence of a server.
+  /// @param io_timeout default of the longest time without a byte from the
+  /// server.
   HttpClient(Loop& loop, core::Duration io_timeout);
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
+  /// @brief Sends a request; the callbacks report the response.
   std::shared_ptr<HttpCall> Send(const Address& address,
                                  const HttpRequest& request,
                                  HttpCallbacks callbacks,
                                  HttpSendOptions options = {});
-  /// @brief Sends a request and collects the whole response.
-  /// @param max_bytes longer bodies count as broken.
+  /// @brief Sends a request and collects the response.
+  /// @param done called once, unless cancelled.
+  /// @param max_bytes limit of the body; a longer one ends as kBroken.
   std::shared_ptr<HttpCall> Fetch(const Address& address,
                                   const HttpRequest& request,
                                   std::function<void(HttpResponse)> done,
                                   std::size_t max_bytes = std::size_t{64} << 20,
                                   HttpSendOptions options = {});
-  /// @brief Connections to an address, at rest or in use.
+  /// @brief Number of connections to an address, idle or in use.
   [[nodiscard]] std::size_t ConnectionsTo(const Address& address) const;
 
  private:
   struct State;
-  /// Connections and calls share it: it may outlive the client.
+  /// Shared with connections and calls, so it may outlive the client.
   std::shared_ptr<State> state_;
 };
 
--- a/packages/daemon/src/daemon/http_parser.cpp
+++ b/packages/daemon/src/daemon/http_parser.cpp
@@ -1,4 +1,4 @@
-// Boost.Beast's basic_parser with our own sinks. Only this file includes it.
+// Adapts Boost.Beast's basic_parser; no other file includes Beast.
 #include "daemon/http_parser.hpp"
 
 #include <algorithm>
@@ -17,18 +17,19 @@
 using ErrorCode = boost::beast::error_code;
 using TextView = boost::beast::string_view;
 
-/// What both kinds of parser write into.
+/// Message under construction, filled by either kind of parser.
 struct Message {
   std::string method_;
   std::string target_;
   int status_ = 0;
+  /// 10 for HTTP/1.0, 11 for HTTP/1.1.
   int version_ = 11;
   HttpHeaders headers_;
   bool head_done_ = false;
   std::function<void(std::string_view)> on_body_;
 };
 
-std::string Lower(TextView text) {
+std::string ToLower(TextView text) {
   std::string lower(text.data(), text.size());
   std::ranges::transform(lower, lower.begin(), [](unsigned char c) {
     return static_cast<char>(std::tolower(c));
@@ -59,7 +60,7 @@
   }
   void on_field_impl(http::field, TextView name, TextView value,
                      ErrorCode&) override {
-    message_->headers_.emplace_back(Lower(name),
+    message_->headers_.emplace_back(ToLower(name),
                                     std::string(value.data(), value.size()));
   }
   void on_header_impl(ErrorCode&) override { message_->head_done_ = true; }
@@ -85,14 +86,14 @@
   Message* message_;
 };
 
-HttpFault FaultOf(const ErrorCode& error) {
+HttpParseError ToParseError(const ErrorCode& error) {
   if (error == http::error::header_limit) {
-    return HttpFault::kHeaderTooLarge;
+    return HttpParseError::kHeaderTooLarge;
   }
   if (error == http::error::body_limit) {
-    return HttpFault::kBodyTooLarge;
+    return HttpParseError::kBodyTooLarge;
   }
-  return HttpFault::kMalformed;
+  return HttpParseError::kMalformed;
 }
 
 }  // namespace
@@ -102,41 +103,43 @@
   Message message_;
   std::optional<Parser<true>> request_;
   std::optional<Parser<false>> response_;
-  HttpFault fault_ = HttpFault::kNone;
-  bool begun_ = false;
-  /// Bytes that the parser wants to see again with more behind them.
-  std::string held_;
+  HttpParseError error_ = HttpParseError::kNone;
+  bool started_ = false;
+  /// Bytes that Beast did not consume yet; passed again together with the next.
+  std::string unparsed_;
 
   template <typename Task>
-  [[nodiscard]] auto With(Task task) const {
+  [[nodiscard]] auto WithParser(Task task) const {
     return kind_ == Kind::kRequest ? task(*request_) : task(*response_);
   }
   template <typename Task>
-  auto With(Task task) {
+  auto WithParser(Task task) {
     return kind_ == Kind::kRequest ? task(*request_) : task(*response_);
   }
 
-  std::size_t Put(std::string_view bytes) {
-    std::size_t taken = 0;
-    while (taken < bytes.size()) {
+  std::size_t Parse(std::string_view bytes) {
+    std::size_t consumed = 0;
+    while (consumed < bytes.size()) {
       ErrorCode error;
-      const auto rest = bytes.substr(taken);
-      const auto size = With([&](auto& parser) {
-        return parser.put(boost::asio::buffer(rest.data(), rest.size()), error);
+      const auto remaining = bytes.substr(consumed);
+      const auto size = WithParser([&](auto& parser) {
+        return parser.put(
+            boost::asio::buffer(remaining.data(), remaining.size()), error);
       });
-      taken += size;
+      consumed += size;
       if (error == http::error::need_more) {
         break;
       }
       if (error) {
-        fault_ = FaultOf(error);
+        error_ = ToParseError(error);
         break;
       }
-      if (size == 0 || With([](auto& parser) { return parser.is_done(); })) {
+      if (size == 0 ||
+          WithParser([](auto& parser) { return parser.is_done(); })) {
         break;
       }
     }
-    return taken;
+    return consumed;
   }
 };
 
@@ -156,9 +159,9 @@
   auto on_body = std::move(state_->message_.on_body_);
   state_->message_ = {};
   state_->message_.on_body_ = std::move(on_body);
-  state_->fault_ = HttpFault::kNone;
-  state_->begun_ = false;
-  state_->held_.clear();
+  state_->error_ = HttpParseError::kNone;
+  state_->started_ = false;
+  state_->unparsed_.clear();
   if (state_->kind_ == Kind::kRequest) {
     state_->request_.emplace(state_->message_, limits);
   } else {
@@ -173,55 +176,56 @@
 }
 
 std::size_t HttpParser::Feed(std::string_view bytes) {
-  if (bytes.empty() || done() || state_->fault_ != HttpFault::kNone) {
+  if (bytes.empty() || done() || state_->error_ != HttpParseError::kNone) {
     return 0;
   }
-  state_->begun_ = true;
-  if (state_->held_.empty()) {
-    const auto taken = state_->Put(bytes);
-    if (done() || state_->fault_ != HttpFault::kNone) {
-      return taken;
+  state_->started_ = true;
+  if (state_->unparsed_.empty()) {
+    const auto consumed = state_->Parse(bytes);
+    if (done() || state_->error_ != HttpParseError::kNone) {
+      return consumed;
     }
-    state_->held_.assign(bytes.substr(taken));
+    state_->unparsed_.assign(bytes.substr(consumed));
     return bytes.size();
   }
-  const auto held = state_->held_.size();
-  auto whole = std::exchange(state_->held_, {});
-  whole.append(bytes);
-  const auto taken = state_->Put(whole);
-  if (done() || state_->fault_ != HttpFault::kNone) {
-    return taken > held ? taken - held : 0;
+  const auto unparsed_size = state_->unparsed_.size();
+  auto joined = std::exchange(state_->unparsed_, {});
+  joined.append(bytes);
+  const auto consumed = state_->Parse(joined);
+  if (done() || state_->error_ != HttpParseError::kNone) {
+    return consumed > unparsed_size ? consumed - unparsed_size : 0;
   }
-  state_->held_.assign(whole, taken);
+  state_->unparsed_.assign(joined, consumed);
   return bytes.size();
 }
 
-bool HttpParser::FeedEnd() {
+bool HttpParser::FeedEof() {
   if (done()) {
     return true;
   }
-  if (!head_done() || !state_->held_.empty()) {
+  if (!head_done() || !state_->unparsed_.empty()) {
     return false;
   }
   ErrorCode error;
-  state_->With([&](auto& parser) { parser.put_eof(error); });
+  state_->WithParser([&](auto& parser) { parser.put_eof(error); });
   return !error && done();
 }
 
-HttpFault HttpParser::fault() const noexcept { return state_->fault_; }
+HttpParseError HttpParser::error() const noexcept { return state_->error_; }
 
-bool HttpParser::begun() const noexcept { return state_->begun_; }
+bool HttpParser::started() const noexcept { return state_->started_; }
 
 bool HttpParser::head_done() const noexcept {
   return state_->message_.head_done_;
 }
 
 bool HttpParser::done() const noexcept {
-  return state_->With([](const auto& parser) { return parser.is_done(); });
+  return state_->WithParser(
+      [](const auto& parser) { return parser.is_done(); });
 }
 
 bool HttpParser::keep_alive() const noexcept {
-  return state_->With([](const auto& parser) {
+  return state_->WithParser([](const auto& parser) {
     return parser.is_header_done() && parser.keep_alive();
   });
 }
--- a/packages/daemon/src/daemon/http_parser.hpp
+++ b/packages/daemon/src/daemon/http_parser.hpp
@@ -1,5 +1,5 @@
-// Incremental HTTP/1.1 parser for both directions, by Boost.Beast. Strict: a
-// message whose length is not certain is an error, never a guess.
+// Incremental HTTP/1.1 parser for requests and responses, with Boost.Beast. A
+// message of ambiguous length is an error.
 #pragma once
 
 #include <cstdint>
@@ -12,25 +12,26 @@
 
 namespace chalkwell::daemon {
 
-/// @brief Limits on one message.
+/// @brief Limits of a server on messages and connections.
 struct HttpLimits {
+  /// Size of start line and headers.
   std::size_t header_bytes_ = std::size_t{16} << 10;
   std::size_t body_bytes_ = std::size_t{64} << 20;
-  /// From the first byte of a request to the end of its body.
+  /// Time from the first byte of a request to the end of its body.
   core::Duration request_time_ = std::chrono::seconds(10);
   /// A connection without a request for this long is closed.
   core::Duration idle_time_ = std::chrono::seconds(60);
 };
 
-/// @brief Why a message was refused.
-enum class HttpFault : std::uint8_t {
+/// @brief Why a message was rejected.
+enum class HttpParseError : std::uint8_t {
   kNone,
   kMalformed,
   kHeaderTooLarge,
   kBodyTooLarge,
 };
 
-/// @brief Parser of the messages of one connection, one after the other.
+/// @brief Parses the messages of one connection, one after the other.
 class HttpParser {
  public:
   enum class Kind : std::uint8_t { kRequest, kResponse };
@@ -40,33 +41,41 @@
   HttpParser(const HttpParser&) = delete;
   HttpParser& operator=(const HttpParser&) = delete;
 
-  /// @brief Called as the body arrives.
+  /// @brief Sets the handler that receives the body in parts as they arrive; it
+  /// stays set for later messages.
   void OnBody(std::function<void(std::string_view)> handler);
 
-  /// @brief Takes bytes of the connection until the message ends.
-  /// @return bytes taken; what is left belongs to the next message.
+  /// @brief Parses bytes received, up to the end of the message.
+  /// @return number of bytes consumed. The rest belongs to the next message; no
+  /// bytes are consumed after the end or after an error.
   std::size_t Feed(std::string_view bytes);
-  /// @brief The connection ended without a reset.
-  /// @return whether that made the message whole.
-  bool FeedEnd();
-  /// @brief Makes ready for the next message.
+  /// @brief Reports that the connection ended without a reset.
+  /// @return whether the message is complete.
+  bool FeedEof();
+  /// @brief Discards the message and prepares for the next one.
   void Next(const HttpLimits& limits);
-  /// @brief A response to HEAD has no body.
+  /// @brief Declares that the response has no body, as after HEAD.
   void ExpectNoBody();
 
-  [[nodiscard]] HttpFault fault() const noexcept;
-  /// @brief Whether bytes of a message have arrived.
-  [[nodiscard]] bool begun() const noexcept;
+  /// @return kNone unless the message was rejected.
+  [[nodiscard]] HttpParseError error() const noexcept;
+  /// @brief Whether some bytes of the message have arrived.
+  [[nodiscard]] bool started() const noexcept;
+  /// @brief Whether start line and headers are parsed.
   [[nodiscard]] bool head_done() const noexcept;
+  /// @brief Whether the message is complete.
   [[nodiscard]] bool done() const noexcept;
-  /// @brief Whether the connection may carry another message after this one.
+  /// @brief Whether the connection may carry another message after this one;
+  /// false before the headers are parsed.
   [[nodiscard]] bool keep_alive() const noexcept;
+  /// @brief Whether the version of the message is HTTP/1.0.
   [[nodiscard]] bool http_1_0() const noexcept;
   [[nodiscard]] int status() const noexcept;
   [[nodiscard]] const std::string& method() const noexcept;
   [[nodiscard]] const std::string& target() const noexcept;
-  /// @brief Names in lower case, in order of arrival.
+  /// @brief Headers in order of arrival, with names in lower case.
   [[nodiscard]] const HttpHeaders& headers() const noexcept;
+  /// @brief Moves the headers out of the parser.
   [[nodiscard]] HttpHeaders TakeHeaders();
 
  private:
@@ -74,9 +83,10 @@
   std::unique_ptr<State> state_;
 };
 
-/// @brief Whether a header concerns one connection only and is not forwarded.
+/// @brief Whether a header is hop-by-hop, so that it must not be forwarded.
+/// @param name in lower case.
 [[nodiscard]] bool IsConnectionHeader(std::string_view name) noexcept;
-/// @brief Reason phrase of a status.
+/// @brief Standard reason phrase of a status.
 [[nodiscard]] std::string_view StatusText(int status) noexcept;
 
 }  // namespace chalkwell::daemon
--- a/packages/daemon/src/daemon/http_server.cpp
+++ b/packages/daemon/src/daemon/http_server.cpp
@@ -1,5 +1,5 @@
-// h2o on a libuv listener. The State lives as long as the process: h2o's
-// contexts cannot be freed while connections are open.
+// Connects h2o to a libuv listener. HttpServer::State is never deleted, because
+// the contexts of h2o cannot be freed while connections are open.
 #include "daemon/http_server.hpp"
 
 #include <h2o.h>
@@ -26,18 +26,19 @@
 
 std::string ToText(const h2o_iovec_t& text) { return {text.base, text.len}; }
 
-class Exchange;
+class H2oExchange;
 
-/// Pool-allocated, so that h2o tells when it lets go of the request.
+/// Allocated from the pool of the request, so that h2o calls Dispose when it
+/// releases the request.
 struct Generator {
   h2o_generator_t super_;
-  std::shared_ptr<Exchange>* exchange_;
+  std::shared_ptr<H2oExchange>* exchange_;
 };
 
-class Exchange final : public HttpExchange,
-                       public std::enable_shared_from_this<Exchange> {
+class H2oExchange final : public HttpExchange,
+                          public std::enable_shared_from_this<H2oExchange> {
  public:
-  explicit Exchange(h2o_req_t* req) : req_(req) {
+  explicit H2oExchange(h2o_req_t* req) : req_(req) {
     request_.method_ = ToText(req->method);
     request_.path_ = ToText(req->path);
     for (std::size_t i = 0; i < req->headers.size; ++i) {
@@ -63,7 +64,7 @@
         h2o_mem_alloc_shared(&req_->pool, sizeof(Generator), Dispose));
     generator->super_.proceed = Proceed;
     generator->super_.stop = Stop;
-    generator->exchange_ = new std::shared_ptr<Exchange>(shared_from_this());
+    generator->exchange_ = new std::shared_ptr<H2oExchange>(shared_from_this());
     generator_ = generator;
   }
 
@@ -94,10 +95,10 @@
     }
   }
 
-  void End(bool whole) override {
+  void End(bool complete) override {
     if (open()) {
       ended_ = true;
-      whole_ = whole;
+      complete_ = complete;
       Flush();
     }
   }
@@ -109,8 +110,9 @@
  private:
   static void Dispose(void* pointer) {
     auto* generator = static_cast<Generator*>(pointer);
-    const std::unique_ptr<std::shared_ptr<Exchange>> held(generator->exchange_);
-    (*held)->Detach();
+    const std::unique_ptr<std::shared_ptr<H2oExchange>> owner(
+        generator->exchange_);
+    (*owner)->Detach();
   }
 
   static void Proceed(h2o_generator_t* self, h2o_req_t* /*req*/) {
@@ -136,7 +138,8 @@
     started_ = true;
   }
 
-  /// One send may be outstanding at a time; h2o calls Proceed after it.
+  /// Sends buffered bytes. One send may be outstanding at a time; h2o calls
+  /// Proceed when it is done.
   void Flush() {
     if (req_ == nullptr || !started_ || sending_ || finished_) {
       return;
@@ -144,14 +147,15 @@
     if (pending_.empty() && !ended_ && headers_sent_) {
       return;
     }
-    in_flight_ = std::move(pending_);
+    send_buffer_ = std::move(pending_);
     pending_.clear();
     sending_ = true;
     headers_sent_ = true;
     finished_ = ended_;
-    h2o_iovec_t buffer = h2o_iovec_init(in_flight_.data(), in_flight_.size());
-    const auto last = whole_ ? H2O_SEND_STATE_FINAL : H2O_SEND_STATE_ERROR;
-    h2o_send(req_, &buffer, in_flight_.empty() ? 0 : 1,
+    h2o_iovec_t buffer =
+        h2o_iovec_init(send_buffer_.data(), send_buffer_.size());
+    const auto last = complete_ ? H2O_SEND_STATE_FINAL : H2O_SEND_STATE_ERROR;
+    h2o_send(req_, &buffer, send_buffer_.empty() ? 0 : 1,
              finished_ ? last : H2O_SEND_STATE_IN_PROGRESS);
   }
 
@@ -168,18 +172,19 @@
     }
   }
 
-  /// Null once h2o has let go of the request.
+  /// Null once h2o has released the request.
   h2o_req_t* req_;
   Generator* generator_ = nullptr;
   HttpRequest request_;
+  /// Bytes not yet handed to h2o.
   std::string pending_;
-  /// Must stay until Proceed.
-  std::string in_flight_;
+  /// Bytes handed to h2o; must stay unchanged until Proceed.
+  std::string send_buffer_;
   bool started_ = false;
   bool headers_sent_ = false;
   bool sending_ = false;
   bool ended_ = false;
-  bool whole_ = true;
+  bool complete_ = true;
   bool finished_ = false;
   std::function<void()> on_abort_;
 };
@@ -189,7 +194,7 @@
   HttpHandler* handler_;
 };
 
-/// The library's own limit is some 400 KB.
+/// Stricter than h2o's own limit of about 400 KB.
 constexpr std::size_t kMaxHeaderBytes = std::size_t{32} << 10;
 constexpr int kHeadersTooLarge = 431;
 
@@ -205,11 +210,11 @@
 int OnRequest(h2o_handler_t* self, h2o_req_t* req) {
   auto* handler = reinterpret_cast<Handler*>(self);
   Guarded([&] {
-    auto exchange = std::make_shared<Exchange>(req);
+    auto exchange = std::make_shared<H2oExchange>(req);
     exchange->Attach();
     if (HeaderBytes(*req) > kMaxHeaderBytes) {
       exchange->Respond(kHeadersTooLarge, {},
-                        "headers are over " + std::to_string(kMaxHeaderBytes) +
+                        "headers exceed " + std::to_string(kMaxHeaderBytes) +
                             " bytes; send fewer or shorter ones");
       return;
     }
--- a/packages/daemon/src/daemon/loop.cpp
+++ b/packages/daemon/src/daemon/loop.cpp
@@ -1,4 +1,4 @@
-// libuv loop, timers and signals.
+// Event loop, timers and signals with libuv.
 #include "daemon/loop.hpp"
 
 #include <algorithm>
@@ -13,10 +13,10 @@
   return handler;
 }
 
-std::uint64_t Milliseconds(core::Duration duration) {
-  const auto whole = std::chrono::ceil<std::chrono::milliseconds>(duration);
+std::uint64_t ToMilliseconds(core::Duration duration) {
+  const auto rounded = std::chrono::ceil<std::chrono::milliseconds>(duration);
   return static_cast<std::uint64_t>(
-      std::max<std::chrono::milliseconds::rep>(0, whole.count()));
+      std::max<std::chrono::milliseconds::rep>(0, rounded.count()));
 }
 
 struct SignalState {
@@ -42,14 +42,15 @@
 
 namespace internal {
 
-/// Of one timer; the handle may outlive the timer until the loop has closed it.
+/// State of one timer. It outlives the Timer until the loop has closed the
+/// handle.
 struct TimerState {
   explicit TimerState(Loop& loop) : loop_(loop) {}
 
-  /// Starts libuv's timer for what is left until this one is due.
+  /// Starts libuv's timer with the time left until `due_`.
   void Arm() {
     uv_update_time(handle_.loop);
-    uv_timer_start(&handle_, Fire, Milliseconds(due_ - loop_.Now()), 0);
+    uv_timer_start(&handle_, Fire, ToMilliseconds(due_ - loop_.Now()), 0);
   }
 
   static void Fire(uv_timer_t* handle);
@@ -65,7 +66,7 @@
 }  // namespace internal
 
 Loop::Loop(LoopClocks clocks) : clocks_(std::move(clocks)) {
-  // What was suspended before does not count.
+  // Sets the baseline: earlier suspensions do not count.
   (void)suspension_.Check(clocks_);
   uv_loop_init(&loop_);
   uv_check_init(&loop_, &check_);
@@ -80,7 +81,7 @@
   const bool idle = uv_loop_alive(&loop_) == 0;
   uv_close(reinterpret_cast<uv_handle_t*>(&check_), nullptr);
   if (idle) {
-    // Nothing but the closing of the check is left to run.
+    // Closes check_, the only handle left.
     uv_run(&loop_, UV_RUN_NOWAIT);
   }
   uv_loop_close(&loop_);
@@ -110,9 +111,9 @@
 void Loop::After(core::Duration delay, std::function<void()> task) {
   auto* timer = new Timer(*this);
   timer->Once(delay, [timer, task = std::move(task)] {
-    const auto held = task;
+    const auto task_copy = task;
     delete timer;
-    held();
+    task_copy();
   });
 }
 
@@ -175,7 +176,7 @@
 void Timer::Cancel() noexcept {
   state_->loop_.timers_.erase(state_);
   uv_timer_stop(&state_->handle_);
-  // What the task holds is let go of with it.
+  // Releases what the task captured.
   state_->task_ = nullptr;
 }
 
--- a/packages/daemon/src/daemon/loop.hpp
+++ b/packages/daemon/src/daemon/loop.hpp
@@ -1,5 +1,5 @@
-// The event loop and its timers. Timers are due by the time that includes
-// suspensions of the machine; libuv's own are not.
+// Event loop and timers. Timers run on a clock that includes suspensions of the
+// machine, unlike libuv's own.
 #pragma once
 
 #include <uv.h>
@@ -19,7 +19,7 @@
 struct TimerState;
 }
 
-/// @brief Owner of one libuv loop.
+/// @brief Event loop on top of libuv. Everything runs in the thread of Run.
 class Loop {
  public:
   explicit Loop(LoopClocks clocks = {});
@@ -28,20 +28,21 @@
   Loop& operator=(const Loop&) = delete;
 
   [[nodiscard]] uv_loop_t* raw() noexcept { return &loop_; }
-  /// @brief Monotonic time now, suspensions included.
+  /// @brief Monotonic time, suspensions included.
   [[nodiscard]] core::TimePoint Now() const { return clocks_.now_(); }
 
-  /// @brief Runs until Stop.
+  /// @brief Runs until Stop, or until nothing is left to wait for.
   void Run();
   void Stop() noexcept;
-  /// @brief Runs a task on the next turn of the loop.
+  /// @brief Runs a task in a later iteration of the loop.
   void Post(std::function<void()> task) { After({}, std::move(task)); }
-  /// @brief Runs a task once, later; it cannot be cancelled.
+  /// @brief Runs a task once after a delay; it cannot be cancelled.
   void After(core::Duration delay, std::function<void()> task);
-  /// @brief Calls `handler` at each arrival of a signal.
+  /// @brief Calls `handler` each time the process receives a signal.
   void OnSignal(int number, std::function<void()> handler);
-  /// @brief Calls `handler` after a suspension of the machine, with its length,
-  /// once the timers are set anew. It is noticed at the next event or timer.
+  /// @brief Sets the handler that is called with the length of a suspension of
+  /// the machine, after the timers have been rearmed. A suspension is detected
+  /// when the loop next wakes up for an event or a timer.
   void OnResume(std::function<void(core::Duration suspended)> handler);
 
  private:
@@ -54,13 +55,14 @@
   SuspensionDetector suspension_;
   std::function<void(core::Duration)> on_resume_;
   uv_loop_t loop_{};
-  /// Runs after each wait for events.
+  /// Detects suspensions after each wait for events.
   uv_check_t check_{};
-  /// Timers that are set.
+  /// Armed timers.
   std::set<internal::TimerState*> timers_;
 };
 
-/// @brief A timer; destroying it cancels it.
+/// @brief A timer. Destroying it cancels it, and starting it again replaces the
+/// pending task.
 class Timer {
  public:
   explicit Timer(Loop& loop);
@@ -68,7 +70,10 @@
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
+  /// @brief Runs `task` once, `delay` from now.
   void Once(core::Duration delay, std::function<void()> task);
+  /// @brief Runs `task` repeatedly, first one `period` from now. Each run is
+  /// scheduled one period after the previous one has started.
   void Every(core::Duration period, std::function<void()> task);
   void Cancel() noexcept;
 
@@ -76,13 +81,15 @@
   void Start(core::Duration delay, core::Duration period,
              std::function<void()> task);
 
-  /// Freed by the loop.
+  /// Deleted by the loop once the handle is closed.
   internal::TimerState* state_;
 };
 
-/// @brief Runs a task at the edge of a C callback: no exception passes it.
+/// @brief Runs a task on behalf of a C callback. Passes exceptions derived from
+/// std::exception to the handler of SetUncaughtHandler; without a handler they
+/// are dropped. Other exceptions terminate the process.
 void Guarded(const std::function<void()>& task) noexcept;
-/// @brief Receives what Guarded caught.
+/// @brief Sets the handler of exceptions caught by Guarded in this process.
 void SetUncaughtHandler(std::function<void(const std::exception&)> handler);
 
 }  // namespace chalkwell::daemon
--- a/packages/daemon/src/daemon/tcp_stream.cpp
+++ b/packages/daemon/src/daemon/tcp_stream.cpp
@@ -1,4 +1,4 @@
-// TCP by libuv. The handle outlives its owner until the loop has closed it.
+// TCP with libuv. A handle outlives its owner until the loop has closed it.
 #include "daemon/tcp_stream.hpp"
 
 #include <arpa/inet.h>
@@ -16,18 +16,18 @@
 namespace {
 
 constexpr int kBacklog = 1024;
-/// One read at a time on a loop: the buffer is shared by all streams of its
-/// thread.
-constexpr std::size_t kReadBytes = std::size_t{32} << 10;
-/// How long a finished connection goes on dropping what the peer sends.
-constexpr auto kLinger = std::chrono::milliseconds(1000);
-/// Keep-alive probes find a peer that is gone while nothing is written.
-constexpr int kProbeIdleSeconds = 2;
-constexpr int kProbeIntervalSeconds = 1;
-constexpr int kProbeCount = 3;
-
-std::array<char, kReadBytes>& ReadBuffer() {
-  thread_local std::array<char, kReadBytes> buffer;
+/// Size of the read buffer. All streams of a thread share it, since a loop
+/// reads one stream at a time.
+constexpr std::size_t kReadBufferBytes = std::size_t{32} << 10;
+/// How long received bytes are discarded after the write side was shut down.
+constexpr auto kLingerTimeout = std::chrono::milliseconds(1000);
+/// TCP keep-alive detects a lost peer while nothing is written.
+constexpr int kKeepAliveIdleSeconds = 2;
+constexpr int kKeepAliveIntervalSeconds = 1;
+constexpr int kKeepAliveProbeCount = 3;
+
+std::array<char, kReadBufferBytes>& ReadBuffer() {
+  thread_local std::array<char, kReadBufferBytes> buffer;
   return buffer;
 }
 
@@ -72,7 +72,7 @@
                                   const StreamSettings& settings,
                                   std::function<void(bool open)> done) {
   Ptr stream(new TcpStream(loop, settings));
-  stream->connected_ = std::move(done);
+  stream->on_connect_ = std::move(done);
   auto* request = new uv_connect_t;
   const auto storage = address.ToSockaddr();
   const int error = uv_tcp_connect(
@@ -89,7 +89,8 @@
   if (error != 0) {
     delete request;
   }
-  // A refused call is reported from the loop, as every other end is.
+  // A connect that fails at once is reported from the loop too, as any other
+  // result.
   stream->timer_ = std::make_unique<Timer>(loop);
   stream->timer_->Once(
       error == 0 ? settings.connect_timeout_ : core::Duration{},
@@ -100,7 +101,7 @@
 void TcpStream::OnConnected(bool open) {
   const auto self = shared_from_this();
   timer_.reset();
-  const auto handler = std::exchange(connected_, nullptr);
+  const auto handler = std::exchange(on_connect_, nullptr);
   if (!handler) {
     return;
   }
@@ -119,25 +120,25 @@
   if (uv_fileno(raw, &descriptor) != 0) {
     return;
   }
-  const auto limit = std::chrono::duration_cast<std::chrono::milliseconds>(
-      settings_.unacknowledged_);
+  const auto timeout = std::chrono::duration_cast<std::chrono::milliseconds>(
+      settings_.unacknowledged_timeout_);
   SetOption(descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
   SetOption(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT,
-            static_cast<int>(limit.count()));
+            static_cast<int>(timeout.count()));
   SetOption(descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
-  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, kProbeIdleSeconds);
-  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, kProbeIntervalSeconds);
-  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, kProbeCount);
+  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, kKeepAliveIdleSeconds);
+  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, kKeepAliveIntervalSeconds);
+  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, kKeepAliveProbeCount);
 }
 
-void TcpStream::Observe(StreamObserver observer) {
-  observer_ = std::move(observer);
-  if (open() && !connected_ && !reading_) {
+void TcpStream::SetCallbacks(StreamCallbacks callbacks) {
+  callbacks_ = std::move(callbacks);
+  if (open() && !on_connect_ && !reading_) {
     StartReading();
   }
 }
 
-bool TcpStream::undelivered() const {
+bool TcpStream::has_unacknowledged_data() const {
   uv_os_fd_t descriptor = -1;
   if (handle_ == nullptr ||
       uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->tcp_),
@@ -145,8 +146,8 @@
     return false;
   }
   int unacknowledged = 0;
-  const bool told = ::ioctl(descriptor, SIOCOUTQ, &unacknowledged) == 0;
-  return pending_ > 0 || (told && unacknowledged > 0);
+  const bool supported = ::ioctl(descriptor, SIOCOUTQ, &unacknowledged) == 0;
+  return pending_ > 0 || (supported && unacknowledged > 0);
 }
 
 std::string TcpStream::PeerIp() const {
@@ -173,7 +174,7 @@
   uv_read_start(
       reinterpret_cast<uv_stream_t*>(&handle_->tcp_),
       [](uv_handle_t*, std::size_t, uv_buf_t* buffer) {
-        *buffer = uv_buf_init(ReadBuffer().data(), kReadBytes);
+        *buffer = uv_buf_init(ReadBuffer().data(), kReadBufferBytes);
       },
       [](uv_stream_t* raw, ssize_t size, const uv_buf_t* buffer) {
         auto* owner = static_cast<Handle*>(raw->data)->owner_;
@@ -198,26 +199,28 @@
 void TcpStream::OnRead(ssize_t size, const char* bytes) {
   const auto self = shared_from_this();
   if (size < 0) {
-    End(size == UV_EOF ? StreamEnd::kClosed : StreamEnd::kBroken);
+    CloseAndNotify(size == UV_EOF ? StreamEnd::kClosed : StreamEnd::kBroken);
     return;
   }
-  if (finishing_ || !observer_.on_data_) {
+  if (closing_ || !callbacks_.on_data_) {
     return;
   }
-  Guarded([&] { observer_.on_data_({bytes, static_cast<std::size_t>(size)}); });
+  Guarded([&] {
+    callbacks_.on_data_({bytes, static_cast<std::size_t>(size)});
+  });
 }
 
-void TcpStream::End(StreamEnd end) {
-  const auto handler = std::move(observer_.on_end_);
-  const bool told = !finishing_;
+void TcpStream::CloseAndNotify(StreamEnd end) {
+  const auto handler = std::move(callbacks_.on_end_);
+  const bool notify = !closing_;
   Close();
-  if (told && handler) {
+  if (notify && handler) {
     Guarded([&] { handler(end); });
   }
 }
 
 void TcpStream::Write(std::string bytes) {
-  if (!open() || finishing_ || bytes.empty()) {
+  if (!open() || closing_ || bytes.empty()) {
     return;
   }
   auto* raw = reinterpret_cast<uv_stream_t*>(&handle_->tcp_);
@@ -249,7 +252,7 @@
         }
       });
   if (error != 0) {
-    // The read side reports the broken connection.
+    // The read callback reports the broken connection.
     pending_ -= size;
     delete request;
   }
@@ -259,22 +262,22 @@
   const auto self = shared_from_this();
   pending_ -= size;
   if (status != 0) {
-    End(StreamEnd::kBroken);
+    CloseAndNotify(StreamEnd::kBroken);
     return;
   }
   if (pending_ > 0) {
     return;
   }
-  if (finishing_) {
-    ShutDown();
-  } else if (observer_.on_drained_) {
-    Guarded(observer_.on_drained_);
+  if (closing_) {
+    ShutDownWrites();
+  } else if (callbacks_.on_drained_) {
+    Guarded(callbacks_.on_drained_);
   }
 }
 
 void TcpStream::Close() {
   timer_.reset();
-  connected_ = nullptr;
+  on_connect_ = nullptr;
   auto* handle = std::exchange(handle_, nullptr);
   if (handle == nullptr) {
     return;
@@ -299,22 +302,22 @@
   Close();
 }
 
-void TcpStream::Finish() {
-  if (!open() || finishing_) {
+void TcpStream::CloseGracefully() {
+  if (!open() || closing_) {
     return;
   }
-  finishing_ = true;
+  closing_ = true;
   SetReading(true);
-  // The stream keeps itself alive until it has ended.
+  // The timer keeps the stream alive until it has closed.
   timer_ = std::make_unique<Timer>(loop_);
-  timer_->Once(settings_.unacknowledged_,
+  timer_->Once(settings_.unacknowledged_timeout_,
                [self = shared_from_this()] { self->Close(); });
   if (pending_ == 0) {
-    ShutDown();
+    ShutDownWrites();
   }
 }
 
-void TcpStream::ShutDown() {
+void TcpStream::ShutDownWrites() {
   auto* request = new uv_shutdown_t;
   const int error =
       uv_shutdown(request, reinterpret_cast<uv_stream_t*>(&handle_->tcp_),
@@ -322,7 +325,7 @@
   if (error != 0) {
     delete request;
   }
-  timer_->Once(kLinger, [self = shared_from_this()] { self->Close(); });
+  timer_->Once(kLingerTimeout, [self = shared_from_this()] { self->Close(); });
 }
 
 struct TcpListener::State {
--- a/packages/daemon/src/daemon/tcp_stream.hpp
+++ b/packages/daemon/src/daemon/tcp_stream.hpp
@@ -1,4 +1,4 @@
-// One TCP connection on the loop: reads, bounded writes, and how it ended.
+// TCP connections and listeners on the event loop.
 #pragma once
 
 #include <uv.h>
@@ -16,39 +16,42 @@
 
 /// @brief How a connection ended.
 enum class StreamEnd : std::uint8_t {
-  /// The peer closed its side after all its bytes.
+  /// The peer closed its side after its last byte.
   kClosed,
-  /// Reset, unreachable, or silent past the system's limits.
+  /// Reset, unreachable, or timed out by TCP.
   kBroken,
 };
 
-/// @brief What a connection tells its owner.
-struct StreamObserver {
+/// @brief Callbacks of a connection.
+struct StreamCallbacks {
   std::function<void(std::string_view bytes)> on_data_;
-  /// Called at most once; not after Close.
+  /// Called at most once, with the connection closed; not after Close.
   std::function<void(StreamEnd end)> on_end_;
-  /// All bytes written were handed to the system.
+  /// Queued bytes have all been handed to the system.
   std::function<void()> on_drained_;
 };
 
-/// @brief Limits of a connection.
+/// @brief Timeouts of a connection.
 struct StreamSettings {
   core::Duration connect_timeout_ = std::chrono::milliseconds(500);
-  /// Bytes unacknowledged for this long break the connection
-  /// (TCP_USER_TIMEOUT); a link that was cut says nothing.
-  core::Duration unacknowledged_ = std::chrono::milliseconds(3000);
+  /// TCP_USER_TIMEOUT: the connection breaks when sent bytes stay
+  /// unacknowledged for this long, since a cut link causes no reset. Also the
+  /// time that CloseGracefully allows for queued bytes.
+  core::Duration unacknowledged_timeout_ = std::chrono::milliseconds(3000);
 };
 
-/// @brief A connection; dropping it closes it.
+/// @brief A connection. Releasing the last reference closes it.
 class TcpStream : public std::enable_shared_from_this<TcpStream> {
  public:
   using Ptr = std::shared_ptr<TcpStream>;
 
-  /// @brief Takes a connection that waits at a listener; null when it is gone.
+  /// @brief Accepts a pending connection of a listener.
+  /// @return null when the connection has gone.
   [[nodiscard]] static Ptr Accept(Loop& loop, uv_stream_t* listener,
                                   const StreamSettings& settings = {});
   /// @brief Opens a connection.
-  /// @param done told whether it is open; not called after Close.
+  /// @param done called once from the loop with whether the connection is open;
+  /// not called after Close.
   [[nodiscard]] static Ptr Connect(Loop& loop, const Address& address,
                                    const StreamSettings& settings,
                                    std::function<void(bool open)> done);
@@ -56,27 +59,32 @@
   TcpStream(const TcpStream&) = delete;
   TcpStream& operator=(const TcpStream&) = delete;
 
-  void Observe(StreamObserver observer);
+  /// @brief Sets the callbacks and starts reading.
+  void SetCallbacks(StreamCallbacks callbacks);
   [[nodiscard]] bool open() const noexcept { return handle_ != nullptr; }
-  /// @brief Whether the peer's system refused the connection: nothing listens
-  /// there.
+  /// @brief Whether the connection attempt was refused (ECONNREFUSED): the host
+  /// is up and nothing listens on the port.
   [[nodiscard]] bool refused() const noexcept { return refused_; }
-  /// @brief Bytes written and not yet handed to the system.
+  /// @brief Number of bytes written and not yet handed to the system.
   [[nodiscard]] std::size_t pending() const noexcept { return pending_; }
-  /// @brief Whether the peer's system has not acknowledged some of what was
-  /// written; false when the own system does not tell.
-  [[nodiscard]] bool undelivered() const;
-  /// @brief IP number of the other side.
+  /// @brief Whether some written bytes are not yet acknowledged by the peer's
+  /// TCP; false when the local system cannot tell.
+  [[nodiscard]] bool has_unacknowledged_data() const;
+  /// @return IP address of the peer; empty when it is unknown.
   [[nodiscard]] std::string PeerIp() const;
 
+  /// @brief Sends bytes; those that the system does not take at once are
+  /// queued.
   void Write(std::string bytes);
+  /// @brief Resumes or pauses reading.
   void SetReading(bool reading);
-  /// @brief Closes at once; bytes not yet sent are lost.
+  /// @brief Closes at once; queued bytes are lost.
   void Close();
-  /// @brief Sends what is pending, then ends the connection without a reset:
-  /// what the peer still sends is read and dropped for a short time.
-  void Finish();
-  /// @brief Resets, so that the peer sees an abnormal end.
+  /// @brief Sends queued bytes, shuts down the write side, and closes when the
+  /// peer does or 1 s later. Bytes received meanwhile are read and discarded,
+  /// since closing with unread bytes would send a reset.
+  void CloseGracefully();
+  /// @brief Closes with a TCP reset, so that the peer sees an abnormal end.
   void Reset();
 
  private:
@@ -89,25 +97,28 @@
   void ApplyOptions();
   void OnRead(ssize_t size, const char* bytes);
   void OnWritten(std::size_t size, int status);
-  void End(StreamEnd end);
-  void ShutDown();
+  void CloseAndNotify(StreamEnd end);
+  void ShutDownWrites();
 
   Loop& loop_;
   StreamSettings settings_;
-  /// Null once closed; freed by the loop.
+  /// Null once closed; deleted by the loop.
   Handle* handle_ = nullptr;
-  StreamObserver observer_;
+  StreamCallbacks callbacks_;
   std::size_t pending_ = 0;
   bool reading_ = false;
-  bool finishing_ = false;
+  /// Set by CloseGracefully.
+  bool closing_ = false;
   bool refused_ = false;
-  std::function<void(bool)> connected_;
+  std::function<void(bool)> on_connect_;
+  /// Connect timeout, or the time limit of CloseGracefully.
   std::unique_ptr<Timer> timer_;
 };
 
-/// @brief A listening socket that hands out connections.
+/// @brief A listening socket.
 class TcpListener {
  public:
+  /// @param on_connection receives each accepted connection.
   /// @throws core::Error when the address cannot be listened on.
   TcpListener(Loop& loop, const Address& address,
               std::function<void(TcpStream::Ptr)> on_connection);
@@ -115,12 +126,14 @@
   TcpListener(const TcpListener&) = delete;
   TcpListener& operator=(const TcpListener&) = delete;
 
+  /// @brief Port listened on, also when the address had port 0.
   [[nodiscard]] std::uint16_t port() const noexcept { return port_; }
+  /// @brief Stops listening; accepted connections stay open.
   void Stop();
 
  private:
   struct State;
-  /// Null once stopped; freed by the loop.
+  /// Null once stopped; deleted by the loop.
   State* state_;
   std::uint16_t port_ = 0;
 };
--- a/packages/daemon/src/daemon/udp_socket.cpp
+++ b/packages/daemon/src/daemon/udp_socket.cpp
@@ -1,4 +1,4 @@
-// UDP by libuv.
+// UDP with libuv.
 #include "daemon/udp_socket.hpp"
 
 #include <netinet/in.h>
@@ -11,10 +11,10 @@
 namespace chalkwell::daemon {
 namespace {
 
-constexpr std::size_t kMaxDatagram = std::size_t{64} << 10;
+constexpr std::size_t kMaxDatagramBytes = std::size_t{64} << 10;
 
-std::array<char, kMaxDatagram>& ReceiveBuffer() {
-  thread_local std::array<char, kMaxDatagram> buffer;
+std::array<char, kMaxDatagramBytes>& ReceiveBuffer() {
+  thread_local std::array<char, kMaxDatagramBytes> buffer;
   return buffer;
 }
 
@@ -37,12 +37,12 @@
     error = uv_udp_recv_start(
         &state_->udp_,
         [](uv_handle_t*, std::size_t, uv_buf_t* buffer) {
-          *buffer = uv_buf_init(ReceiveBuffer().data(), kMaxDatagram);
+          *buffer = uv_buf_init(ReceiveBuffer().data(), kMaxDatagramBytes);
         },
         [](uv_udp_t* udp, ssize_t size, const uv_buf_t* buffer,
            const sockaddr* from, unsigned flags) {
-          const bool whole = (flags & UV_UDP_PARTIAL) == 0;
-          if (size > 0 && from != nullptr && whole) {
+          const bool complete = (flags & UV_UDP_PARTIAL) == 0;
+          if (size > 0 && from != nullptr && complete) {
             auto* state = static_cast<State*>(udp->data);
             Guarded([&] {
               state->on_datagram_(
--- a/packages/daemon/src/daemon/udp_socket.hpp
+++ b/packages/daemon/src/daemon/udp_socket.hpp
@@ -1,5 +1,5 @@
-// Datagrams between the system's processes: small, frequent, and worth nothing
-// a moment later.
+// Datagrams between processes of the system. They are small, frequent and soon
+// outdated, so none is queued or sent again.
 #pragma once
 
 #include <uv.h>
@@ -13,9 +13,10 @@
 
 namespace chalkwell::daemon {
 
-/// @brief A bound socket.
+/// @brief A bound UDP socket.
 class UdpSocket {
  public:
+  /// @param on_datagram receives each datagram that arrived untruncated.
   /// @throws core::Error when the address cannot be bound.
   UdpSocket(Loop& loop, const Address& address,
             std::function<void(std::string_view bytes)> on_datagram);
@@ -23,14 +24,16 @@
   UdpSocket(const UdpSocket&) = delete;
   UdpSocket& operator=(const UdpSocket&) = delete;
 
+  /// @brief Port bound, also when the address had port 0.
   [[nodiscard]] std::uint16_t port() const noexcept { return port_; }
-  /// @brief Sends if the system takes it now; else the datagram is lost.
-  /// @return whether it was taken.
+  /// @brief Sends a datagram unless the system cannot take it at once; it is
+  /// then dropped.
+  /// @return whether the system took it.
   bool Send(const Address& address, std::string_view bytes);
 
  private:
   struct State;
-  /// Freed by the loop.
+  /// Deleted by the loop once the handle is closed.
   State* state_;
   std::uint16_t port_ = 0;
 };
