--- a/tests/platform/standins.cpp
+++ b/tests/platform/standins.cpp
@@ -6,6 +6,7 @@
 
 #include <algorithm>
 #include <csignal>
+#include <exception>
 #include <future>
 #include <utility>
 
@@ -110,11 +111,15 @@
   {
     const std::lock_guard lock(mutex_);
     tasks_.emplace_back([&] {
-      task();
-      done.set_value();
+      try {
+        task();
+        done.set_value();
+      } catch (...) {
+        done.set_exception(std::current_exception());
+      }
     });
   }
-  done.get_future().wait();
+  done.get_future().get();
 }
 
 StoreStandin::StoreStandin(LoopThread& thread, const daemon::Address& listen,
--- a/tests/platform/standins.hpp
+++ b/tests/platform/standins.hpp
@@ -37,6 +37,7 @@
   /// @brief Runs a task on the loop thread and blocks until it has returned.
   ///
   /// Deadlocks when called on the loop thread itself.
+  /// @throws whatever the task throws.
   void Do(const std::function<void()>& task);
 
  private:
