--- a/tests/soak/troubles.cpp
+++ b/tests/soak/troubles.cpp
@@ -169,6 +169,8 @@
   if (place == nullptr || !place->relayed_) {
     return;
   }
+  // Until it departs, no other departure may choose it.
+  busy_[place] = true;
   Hold(*place, fleet::Way::kBoth, Between(2000, 2800));
   Later(Between(0, 300), [this, place] { Depart(*place, true, false); });
 }
