--- a/tests/fleet/child.cpp
+++ b/tests/fleet/child.cpp
@@ -1,4 +1,4 @@
-// posix_spawn with redirected output.
+// Children are started by posix_spawn with their output redirected to a file.
 #include "fleet/child.hpp"
 
 #include <arpa/inet.h>
@@ -19,39 +19,40 @@
 namespace chalkwell::fleet {
 namespace {
 
-/// Below the range the system takes outgoing ports from, so that a connection
-/// never sits on a port that a child is about to listen on.
+/// Below the system's range of ephemeral ports, so that no outgoing connection
+/// occupies a port that a child is about to listen on.
 constexpr int kFirstPort = 10000;
-/// Ports are claimed in blocks, so that test processes side by side never give
-/// out the same ones.
-constexpr int kBlock = 500;
-constexpr int kBlocks = 44;
-constexpr int kSignalBase = 128;
-constexpr auto kPoll = std::chrono::milliseconds(5);
-
-/// Children that live, for a handler of signals: 0 is a free place.
-constexpr std::size_t kMostChildren = 1024;
-std::array<std::atomic<pid_t>, kMostChildren> living;
-
-void Enlist(pid_t pid) {
-  for (auto& place : living) {
-    pid_t none = 0;
-    if (place.compare_exchange_strong(none, pid)) {
+/// Ports are claimed in blocks, so that concurrent test processes never return
+/// the same ones.
+constexpr int kPortsPerBlock = 500;
+constexpr int kPortBlocks = 44;
+constexpr int kSignalExitBase = 128;
+constexpr auto kPollInterval = std::chrono::milliseconds(5);
+
+/// Process ids of running children; 0 marks a free slot. Atomic, as a signal
+/// handler reads it.
+constexpr std::size_t kMaxChildren = 1024;
+std::array<std::atomic<pid_t>, kMaxChildren> running_children;
+
+void RegisterChild(pid_t pid) {
+  for (auto& slot : running_children) {
+    pid_t expected = 0;
+    if (slot.compare_exchange_strong(expected, pid)) {
       return;
     }
   }
 }
 
-void Strike(pid_t pid) {
-  for (auto& place : living) {
-    pid_t own = pid;
-    place.compare_exchange_strong(own, 0);
+void UnregisterChild(pid_t pid) {
+  for (auto& slot : running_children) {
+    pid_t expected = pid;
+    slot.compare_exchange_strong(expected, 0);
   }
 }
 
 void KillChildren(int signal) {
-  for (const auto& place : living) {
-    if (const pid_t pid = place; pid != 0) {
+  for (const auto& slot : running_children) {
+    if (const pid_t pid = slot; pid != 0) {
       ::kill(pid, SIGKILL);
     }
   }
@@ -59,8 +60,8 @@
   std::raise(signal);
 }
 
-/// Binds a port of this machine.
-/// @return the socket, -1 when the port is taken.
+/// Binds a loopback port.
+/// @return the socket, -1 if the port is in use.
 int Bind(int port, bool reuse) {
   const int descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const int on = reuse ? 1 : 0;
@@ -77,21 +78,22 @@
   return descriptor;
 }
 
-/// Claims a block of ports for as long as this process runs: it listens on the
-/// first one.
-/// @return that port.
+/// Claims a block of ports until this process ends, by listening on the first
+/// one.
+/// @return the first port.
 int ClaimPorts() {
-  for (int i = 0; i < kBlocks; ++i) {
-    const int port = kFirstPort + (::getpid() + i) % kBlocks * kBlock;
-    const int claim = Bind(port, false);
-    if (claim >= 0 && ::listen(claim, 1) == 0) {
+  for (int i = 0; i < kPortBlocks; ++i) {
+    const int port =
+        kFirstPort + (::getpid() + i) % kPortBlocks * kPortsPerBlock;
+    const int listener = Bind(port, false);
+    if (listener >= 0 && ::listen(listener, 1) == 0) {
       return port;
     }
   }
-  throw std::runtime_error("no free block of ports");
+  throw std::runtime_error("all blocks of test ports are in use");
 }
 
-std::vector<char*> Pointers(const std::vector<std::string>& texts) {
+std::vector<char*> ToPointers(const std::vector<std::string>& texts) {
   std::vector<char*> pointers;
   pointers.reserve(texts.size() + 1);
   for (const auto& text : texts) {
@@ -112,9 +114,9 @@
 
 Child::Child(const std::vector<std::string>& arguments, const std::string& log,
              const std::vector<std::string>& environment) {
-  auto argv = Pointers(arguments);
+  auto argv = ToPointers(arguments);
   argv.push_back(nullptr);
-  auto variables = Pointers(environment);
+  auto variables = ToPointers(environment);
   for (char** inherited = environ; *inherited != nullptr; ++inherited) {
     variables.push_back(*inherited);
   }
@@ -128,9 +130,9 @@
                                 argv.data(), variables.data());
   posix_spawn_file_actions_destroy(&actions);
   if (error != 0) {
-    throw std::runtime_error("cannot start " + arguments.front());
+    throw std::runtime_error("cannot start child process " + arguments.front());
   }
-  Enlist(pid_);
+  RegisterChild(pid_);
 }
 
 Child::~Child() { Kill(); }
@@ -160,16 +162,16 @@
   while (pid_ != 0) {
     int status = 0;
     if (::waitpid(pid_, &status, WNOHANG) == pid_) {
-      Strike(pid_);
+      UnregisterChild(pid_);
       pid_ = 0;
       exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status)
-                                     : kSignalBase + WTERMSIG(status);
+                                     : kSignalExitBase + WTERMSIG(status);
       break;
     }
     if (std::chrono::steady_clock::now() >= until) {
       return std::nullopt;
     }
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return exit_code_;
 }
@@ -179,9 +181,9 @@
     ::kill(pid_, SIGKILL);
     int status = 0;
     ::waitpid(pid_, &status, 0);
-    Strike(pid_);
+    UnregisterChild(pid_);
     pid_ = 0;
-    exit_code_ = kSignalBase + SIGKILL;
+    exit_code_ = kSignalExitBase + SIGKILL;
   }
 }
 
@@ -197,11 +199,11 @@
 
 std::uint16_t FreePort() {
   static int next = ClaimPorts();
-  static int end = next + kBlock - 1;
+  static int end = next + kPortsPerBlock - 1;
   for (;;) {
     if (next == end) {
       next = ClaimPorts();
-      end = next + kBlock - 1;
+      end = next + kPortsPerBlock - 1;
     }
     const auto port = static_cast<std::uint16_t>(++next);
     if (IsFree(port)) {
--- a/tests/fleet/child.hpp
+++ b/tests/fleet/child.hpp
@@ -1,4 +1,4 @@
-// Child processes of tests: started with their output in a file, ended by id.
+// Child processes of tests, with their output redirected to a file.
 #pragma once
 
 #include <sys/types.h>
@@ -10,12 +10,16 @@
 
 namespace chalkwell::fleet {
 
-/// @brief One child process; destroying it kills it.
+/// @brief One child process; the destructor kills it.
 class Child {
  public:
   Child() = default;
-  /// @param log file that gets its standard output and error.
-  /// @param environment "NAME=VALUE", beside what this process has.
+  /// @brief Starts a process.
+  /// @param arguments path of the program, then its arguments.
+  /// @param log file to which its standard output and error are appended.
+  /// @param environment "NAME=VALUE", in addition to this process's
+  /// environment.
+  /// @throws std::runtime_error if it cannot be started.
   Child(const std::vector<std::string>& arguments, const std::string& log,
         const std::vector<std::string>& environment = {});
   ~Child();
@@ -26,21 +30,23 @@
 
   [[nodiscard]] pid_t pid() const noexcept { return pid_; }
   [[nodiscard]] bool running();
+  /// @brief Sends a signal; does nothing after the process has ended.
   void Signal(int number) const;
-  /// @brief Waits for its end.
-  /// @return the exit code, 128 plus the signal number, or nothing when the
-  /// time is up.
+  /// @brief Waits for the process to end.
+  /// @return the exit code, 128 plus the number of the signal that ended it, or
+  /// nothing if it still runs when the limit has passed.
   [[nodiscard]] std::optional<int> Wait(std::chrono::milliseconds limit);
+  /// @brief Sends SIGKILL and waits for the process to end.
   void Kill();
 
  private:
-  /// 0 when there is no process, or it has been waited for.
+  /// 0 if no process was started, or after it was waited for.
   pid_t pid_ = 0;
   int exit_code_ = 0;
 };
 
-/// @brief From now on children are killed when this process is ended by SIGINT,
-/// SIGTERM or SIGHUP: nobody else would end them.
+/// @brief Installs handlers of SIGINT, SIGTERM and SIGHUP that kill all
+/// children before this process ends; they would keep running otherwise.
 void KillChildrenWhenEnded();
 
 /// @brief Paths of the programs under test.
@@ -48,7 +54,9 @@
 [[nodiscard]] std::string CliPath();
 [[nodiscard]] std::string StandinPath();
 
-/// @brief A loopback port that is free now.
+/// @brief Returns a loopback port that is not in use and that this process and
+/// concurrent test processes have not returned before.
+/// @throws std::runtime_error if no block of ports is left.
 [[nodiscard]] std::uint16_t FreePort();
 
 }  // namespace chalkwell::fleet
--- a/tests/fleet/fleet.cpp
+++ b/tests/fleet/fleet.cpp
@@ -1,4 +1,5 @@
-// Settings, processes and published documents of a fleet.
+// Writes the settings of the nodes, starts the processes and publishes
+// documents.
 #include "fleet/fleet.hpp"
 
 #include <algorithm>
@@ -16,25 +17,25 @@
 namespace chalkwell::fleet {
 namespace {
 
-constexpr auto kPoll = std::chrono::milliseconds(20);
-/// Processes that share the engines of a large fleet.
-constexpr std::size_t kSharedEngines = 4;
+constexpr auto kPollInterval = std::chrono::milliseconds(20);
+/// Number of processes that run the engines with shared_backends_.
+constexpr std::size_t kSharedEngineProcesses = 4;
 
 std::string NewAddress() { return "127.0.0.1:" + std::to_string(FreePort()); }
 
-/// Domains behind a relay have a loopback number each, so that the relay can
-/// tell who connects.
-std::string IpOf(std::size_t domain) {
+/// Each failure domain has its own loopback address, so that the relay can tell
+/// the domain of a connection by its source.
+std::string DomainIp(std::size_t domain) {
   return "127.0.0." + std::to_string(domain + 2);
 }
 
-void WaitListening(const std::string& address) {
-  const bool up = Fleet::WaitFor(
+void WaitUntilListening(const std::string& address) {
+  const bool listening = Fleet::WaitFor(
       [&] {
         return Get(address, "/healthz").end_ != daemon::HttpEnd::kNotSent;
       },
       std::chrono::seconds(10));
-  if (!up) {
+  if (!listening) {
     throw std::runtime_error("no process listens on " + address);
   }
 }
@@ -74,25 +75,25 @@
 void Fleet::AddRelay() {
   std::vector<RelayRoute> routes;
   std::map<std::string, std::string> domain_of_ip;
-  std::map<std::string, std::string> platform_of;
+  std::map<std::string, std::string> platform_relay_of;
   for (std::size_t i = 0; i < spec_.domains_.size(); ++i) {
     const auto& domain = spec_.domains_[i];
-    domain_of_ip[IpOf(i)] = domain;
-    platform_of[domain] = NewAddress();
-    routes.push_back({.listen_ = platform_of[domain],
+    domain_of_ip[DomainIp(i)] = domain;
+    platform_relay_of[domain] = NewAddress();
+    routes.push_back({.listen_ = platform_relay_of[domain],
                       .target_ = platform_,
                       .from_ = domain,
                       .to_ = ""});
     for (auto& node : nodes_) {
       if (node.domain_ == domain) {
-        node.peer_ = IpOf(i) + node.peer_.substr(node.peer_.find(':'));
+        node.peer_ = DomainIp(i) + node.peer_.substr(node.peer_.find(':'));
         node.listed_peer_ = NewAddress();
         routes.push_back({.listen_ = node.listed_peer_,
                           .target_ = node.peer_,
                           .from_ = "",
                           .to_ = domain});
         SetNodeSetting(node.id_, "listen.advertised", node.listed_peer_);
-        SetNodeSetting(node.id_, "platform.address", platform_of[domain]);
+        SetNodeSetting(node.id_, "platform.address", platform_relay_of[domain]);
       }
     }
   }
@@ -142,39 +143,39 @@
 Node& Fleet::node(const std::string& id) {
   const auto found = std::ranges::find(nodes_, id, &Node::id_);
   if (found == nodes_.end()) {
-    throw std::out_of_range("no node " + id);
+    throw std::out_of_range("the fleet has no node " + id);
   }
   return *found;
 }
 
 std::vector<Node*> Fleet::Entries() {
-  std::vector<Node*> chosen;
+  std::vector<Node*> selected;
   for (auto& node : nodes_) {
     if (node.is_entry_) {
-      chosen.push_back(&node);
+      selected.push_back(&node);
     }
   }
-  return chosen;
+  return selected;
 }
 
 std::vector<Node*> Fleet::Engines() {
-  std::vector<Node*> chosen;
+  std::vector<Node*> selected;
   for (auto& node : nodes_) {
     if (node.is_engine_) {
-      chosen.push_back(&node);
+      selected.push_back(&node);
     }
   }
-  return chosen;
+  return selected;
 }
 
 std::vector<Node*> Fleet::Services() {
-  std::vector<Node*> chosen;
+  std::vector<Node*> selected;
   for (auto& node : nodes_) {
     if (!node.is_entry_ && !node.is_engine_) {
-      chosen.push_back(&node);
+      selected.push_back(&node);
     }
   }
-  return chosen;
+  return selected;
 }
 
 void Fleet::WriteSettings(const Node& node) const {
@@ -198,9 +199,9 @@
   for (const auto& [name, value] : extra) {
     values[name] = value;
   }
-  if (const auto own = spec_.node_settings_.find(node.id_);
-      own != spec_.node_settings_.end()) {
-    for (const auto& [name, value] : own->second) {
+  if (const auto node_settings = spec_.node_settings_.find(node.id_);
+      node_settings != spec_.node_settings_.end()) {
+    for (const auto& [name, value] : node_settings->second) {
       values[name] = value;
     }
   }
@@ -241,13 +242,13 @@
       StartBackend(node);
     }
   }
-  WaitListening(platform_);
-  WaitListening(store_);
-  WaitListening(origin_);
+  WaitUntilListening(platform_);
+  WaitUntilListening(store_);
+  WaitUntilListening(origin_);
 }
 
 void Fleet::StartSharedBackends() {
-  std::vector<std::vector<std::string>> engines(kSharedEngines,
+  std::vector<std::vector<std::string>> engines(kSharedEngineProcesses,
                                                 {StandinPath(), "engine"});
   for (auto& arguments : engines) {
     arguments.insert(arguments.end(), spec_.engine_arguments_.begin(),
@@ -258,15 +259,16 @@
   for (const auto& node : nodes_) {
     if (!node.is_entry_) {
       auto& arguments =
-          node.is_engine_ ? engines[next++ % kSharedEngines] : services;
+          node.is_engine_ ? engines[next++ % kSharedEngineProcesses] : services;
       arguments.insert(arguments.end(), {"--listen", node.backend_});
     }
   }
-  for (std::size_t i = 0; i < std::min(next, kSharedEngines); ++i) {
-    shared_.emplace_back(engines[i], LogPath("engines-" + std::to_string(i)));
+  for (std::size_t i = 0; i < std::min(next, kSharedEngineProcesses); ++i) {
+    shared_backend_processes_.emplace_back(
+        engines[i], LogPath("engines-" + std::to_string(i)));
   }
   if (spec_.services_ > 0) {
-    shared_.emplace_back(services, LogPath("services"));
+    shared_backend_processes_.emplace_back(services, LogPath("services"));
   }
 }
 
@@ -300,9 +302,9 @@
 }
 
 void Fleet::Publish(const std::string& key, const std::string& value) {
-  const auto answer = Post(platform_, "/control/values/" + key, value);
-  if (!answer.ok()) {
-    throw std::runtime_error("cannot publish " + key);
+  const auto response = Post(platform_, "/control/values/" + key, value);
+  if (!response.ok()) {
+    throw std::runtime_error("configuration store refused to publish " + key);
   }
 }
 
@@ -387,7 +389,7 @@
     if (std::chrono::steady_clock::now() >= until) {
       return false;
     }
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return true;
 }
--- a/tests/fleet/fleet.hpp
+++ b/tests/fleet/fleet.hpp
@@ -1,4 +1,4 @@
-// A fleet of real processes with stand-ins around it.
+// A fleet of real entry and agent processes with fakes of the external systems.
 #pragma once
 
 #include <chrono>
@@ -17,16 +17,16 @@
 
 namespace chalkwell::fleet {
 
-/// @brief "section.key" to value, over the fleet's own settings.
+/// @brief Values by "section.key"; they override the fleet's settings.
 using ExtraSettings = std::map<std::string, std::string>;
 
-/// @brief Shape of a fleet.
+/// @brief Size and settings of a fleet.
 struct FleetSpec {
   std::vector<std::string> domains_ = {"port-louis"};
-  unsigned entries_ = 1;
-  unsigned engines_ = 1;
-  unsigned services_ = 0;
-  /// Folder for settings, logs and blobs; made if it is not there.
+  unsigned entries_ = 1;   ///< per failure domain
+  unsigned engines_ = 1;   ///< per failure domain, each with an agent
+  unsigned services_ = 0;  ///< per failure domain, each with an agent
+  /// Folder for settings, logs and blobs; created if it does not exist.
   std::string folder_;
   ExtraSettings entry_settings_;
   ExtraSettings agent_settings_;
@@ -35,15 +35,17 @@
   std::vector<std::string> origin_arguments_;
   std::uint64_t list_lag_ms_ = 0;
   bool checks_fencing_ = true;
-  /// All engines in one process, and all services in another.
+  /// Whether a few processes run all engines and one runs all services, instead
+  /// of one process per backend.
   bool shared_backends_ = false;
-  /// Peers reach each other by relays that can cut domains off.
+  /// Whether peers and the configuration store are reached through relays, so
+  /// that failure domains can be isolated.
   bool relayed_ = false;
-  /// Added to instances: settings of single nodes, by id.
+  /// Settings of single nodes, by id; they override the others.
   std::map<std::string, ExtraSettings> node_settings_;
 };
 
-/// @brief One process of the system with its addresses.
+/// @brief An entry, or an agent with its backend, and their addresses.
 struct Node {
   std::string id_;
   std::string domain_;
@@ -53,18 +55,20 @@
   std::string caller_;
   std::string admin_;
   std::string peer_;
-  /// The address published; that of a relay, if there is one.
+  /// Published peer address: that of the relay, if there is one.
   std::string listed_peer_;
   std::string backend_;
   std::string settings_path_;
   std::string log_path_;
+  /// Whether its row is published.
   bool listed_ = true;
+  /// Whether its row says that it is draining.
   bool leaving_ = false;
   Child process_;
   Child backend_process_;
 };
 
-/// @brief The fleet; destroying it ends all its processes.
+/// @brief Owns the processes of a fleet; the destructor kills them.
 class Fleet {
  public:
   explicit Fleet(FleetSpec spec);
@@ -86,38 +90,49 @@
   /// @brief Bearer key of the fleet's first account.
   [[nodiscard]] static std::string CallerKey();
 
-  /// @brief Starts platform, weight store, origin and back ends.
+  /// @brief Starts the configuration store, the weights store, the origin and
+  /// the backends, and waits until the first three listen.
+  /// @throws std::runtime_error if one of them does not listen within 10 s.
   void StartOutside();
   /// @brief Starts all entries and agents.
   void StartSystem();
   void StartNode(Node& node);
-  /// @brief Settings of one node over those of its kind.
+  /// @brief Overrides a setting of one node; takes effect at its next start.
   void SetNodeSetting(const std::string& id, const std::string& name,
                       const std::string& value);
   void StartBackend(Node& node);
-  /// @brief Cuts a domain off from the others and from the platform.
+  /// @brief Isolates a failure domain from the others and from the
+  /// configuration store. Requires FleetSpec::relayed_.
   void CutOff(const std::string& domain);
+  /// @brief Ends all isolations.
   void Heal();
   /// @brief Publishes instances, accounts and routes.
   void PublishFleet();
   void PublishInstances();
+  /// @brief Publishes a document in the configuration store.
+  /// @throws std::runtime_error if the store refuses it.
   void Publish(const std::string& key, const std::string& value);
-  /// @brief Makes weights from a seed, signs a bundle; does not publish it.
+  /// @brief Creates weights from a seed and signs their bundle, without
+  /// publishing it.
   /// @return the signed document.
   [[nodiscard]] std::string MakeBundle(std::uint64_t version,
                                        std::uint64_t seed,
                                        std::uint64_t model_bytes,
                                        std::uint64_t chunk_bytes);
-  /// @brief Engines that serve a version, by their own word.
+  /// @brief Number of listed engines whose agent reports that it is ready and
+  /// serves a version.
   [[nodiscard]] std::size_t CountServing(std::uint64_t version);
-  /// @brief Waits until a condition holds.
-  /// @return false when the time is up.
+  /// @brief Polls a condition until it holds.
+  /// @return false if it does not hold within the limit.
   [[nodiscard]] static bool WaitFor(const std::function<bool()>& condition,
                                     std::chrono::milliseconds limit);
-  /// @brief Waits until all listed engines serve a version and every entry
-  /// knows it.
+  /// @brief Waits until all listed engines serve a version.
+  /// @return false if they do not within the limit.
   [[nodiscard]] bool WaitLive(std::uint64_t version,
                               std::chrono::milliseconds limit);
+  /// @brief Waits until every entry is ready and knows as many ready endpoints
+  /// as are listed.
+  /// @return false if this does not hold within the limit.
   [[nodiscard]] bool WaitEntriesReady(std::chrono::milliseconds limit);
 
  private:
@@ -137,10 +152,10 @@
   Child platform_process_;
   Child store_process_;
   Child origin_process_;
-  std::vector<Child> shared_;
+  std::vector<Child> shared_backend_processes_;
 };
 
-/// @brief Writes a file of pseudo-random bytes made from a seed.
+/// @brief Writes a file of pseudo-random bytes generated from a seed.
 void WriteRandomFile(const std::string& path, std::uint64_t seed,
                      std::uint64_t bytes);
 
--- a/tests/fleet/http.cpp
+++ b/tests/fleet/http.cpp
@@ -1,4 +1,4 @@
-// One loop for each process of tests; calls run one at a time.
+// All calls of a test process share one event loop, one call at a time.
 #include "fleet/http.hpp"
 
 namespace chalkwell::fleet {
@@ -14,8 +14,8 @@
   static daemon::HttpClient client(loop, kTimeout);
   daemon::HttpResponse response;
   client.Fetch(daemon::ParseAddress(address), request,
-               [&](daemon::HttpResponse answer) {
-                 response = std::move(answer);
+               [&](daemon::HttpResponse received) {
+                 response = std::move(received);
                  loop.Stop();
                });
   loop.Run();
--- a/tests/fleet/http.hpp
+++ b/tests/fleet/http.hpp
@@ -1,4 +1,4 @@
-// Blocking HTTP calls for tests.
+// Blocking HTTP calls for tests; not callable from several threads.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,7 +8,7 @@
 
 namespace chalkwell::fleet {
 
-/// @brief Sends a request and waits for the whole response.
+/// @brief Sends a request and waits for the complete response.
 [[nodiscard]] daemon::HttpResponse Call(const std::string& address,
                                         const daemon::HttpRequest& request);
 [[nodiscard]] daemon::HttpResponse Get(const std::string& address,
@@ -16,7 +16,8 @@
 daemon::HttpResponse Post(const std::string& address, const std::string& path,
                           const std::string& body,
                           const daemon::HttpHeaders& headers = {});
-/// @brief JSON of a GET; null when it does not answer.
+/// @brief Body of a GET as JSON; null if the call fails or the body is not
+/// JSON.
 [[nodiscard]] nlohmann::json GetJson(const std::string& address,
                                      const std::string& path);
 
--- a/tests/fleet/preload/suspended_clock.cpp
+++ b/tests/fleet/preload/suspended_clock.cpp
@@ -1,5 +1,5 @@
-// Preloaded into children of tests: their boot clock and time of day run ahead
-// of the system's by the length that the file of CHALKWELL_SUSPENDED holds.
+// Preloaded into child processes of tests: advances their boot clock and wall
+// clock by the nanoseconds stored in the file that CHALKWELL_SUSPENDED names.
 #include <fcntl.h>
 #include <sys/mman.h>
 #include <sys/syscall.h>
@@ -14,7 +14,7 @@
 
 constexpr std::int64_t kNanosecondsPerSecond = 1'000'000'000;
 
-std::int64_t* MapLength() {
+std::int64_t* MapSuspendedTime() {
   const char* file = std::getenv("CHALKWELL_SUSPENDED");
   const int descriptor = file == nullptr ? -1 : ::open(file, O_RDWR);
   if (descriptor < 0) {
@@ -27,10 +27,10 @@
 }
 
 std::int64_t SuspendedNs() {
-  static std::int64_t* const length = MapLength();
-  return length == nullptr ? 0
-                           : std::atomic_ref<std::int64_t>(*length).load(
-                                 std::memory_order_relaxed);
+  static std::int64_t* const suspended_ns = MapSuspendedTime();
+  return suspended_ns == nullptr ? 0
+                                 : std::atomic_ref<std::int64_t>(*suspended_ns)
+                                       .load(std::memory_order_relaxed);
 }
 
 bool CountsSuspension(clockid_t id) {
@@ -40,12 +40,12 @@
 
 }  // namespace
 
-extern "C" int clock_gettime(clockid_t id, timespec* out) noexcept {
-  const auto result = ::syscall(SYS_clock_gettime, id, out);
+extern "C" int clock_gettime(clockid_t id, timespec* now) noexcept {
+  const auto result = ::syscall(SYS_clock_gettime, id, now);
   if (result == 0 && CountsSuspension(id)) {
-    const auto total = out->tv_nsec + SuspendedNs();
-    out->tv_sec += total / kNanosecondsPerSecond;
-    out->tv_nsec = total % kNanosecondsPerSecond;
+    const auto nanoseconds = now->tv_nsec + SuspendedNs();
+    now->tv_sec += nanoseconds / kNanosecondsPerSecond;
+    now->tv_nsec = nanoseconds % kNanosecondsPerSecond;
   }
   return static_cast<int>(result);
 }
--- a/tests/fleet/relay.cpp
+++ b/tests/fleet/relay.cpp
@@ -1,4 +1,4 @@
-// One thread that polls all sockets; blocking writes are short on loopback.
+// One thread polls all sockets; its writes block, which is short on loopback.
 #include "fleet/relay.hpp"
 
 #include <arpa/inet.h>
@@ -15,10 +15,10 @@
 namespace chalkwell::fleet {
 namespace {
 
-constexpr int kPollMilliseconds = 20;
-constexpr std::size_t kBlock = std::size_t{1} << 16;
+constexpr int kPollTimeoutMs = 20;
+constexpr std::size_t kBufferBytes = std::size_t{1} << 16;
 
-int Open(const std::string& address, bool listens) {
+int OpenSocket(const std::string& address, bool listens) {
   const auto to = daemon::ParseAddress(address).ToSockaddr();
   const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const int on = 1;
@@ -34,7 +34,7 @@
   return socket;
 }
 
-/// Its system forgets what it has not delivered, and the peer sees a reset.
+/// Drops undelivered data; the peer sees a reset.
 void CloseWithReset(int socket) {
   const linger abort{.l_onoff = 1, .l_linger = 0};
   (void)setsockopt(socket, SOL_SOCKET, SO_LINGER, &abort, sizeof(abort));
@@ -48,9 +48,10 @@
   return error != 0;
 }
 
-/// @return false when either side is gone.
+/// Copies the available data.
+/// @return false if either side has closed its socket.
 bool Forward(int from, int to) {
-  std::array<char, kBlock> block{};
+  std::array<char, kBufferBytes> block{};
   const auto size = recv(from, block.data(), block.size(), MSG_DONTWAIT);
   if (size <= 0) {
     return false;
@@ -74,16 +75,16 @@
   int socket_ = -1;
 };
 
-/// The two sockets of one relayed connection.
-struct Relay::Pair {
+/// A relayed connection; its sockets are those of the source and the target.
+struct Relay::Connection {
   std::string from_;
   std::string to_;
   std::string target_;
-  /// Address of the route.
+  /// Listening address of its route.
   std::string listen_;
   std::array<int, 2> sockets_{-1, -1};
   bool closed_ = false;
-  /// Both sides are to see a reset.
+  /// Whether both sides are closed with a reset.
   bool reset_ = false;
 };
 
@@ -91,7 +92,7 @@
              std::map<std::string, std::string> domain_of_ip)
     : domain_of_ip_(std::move(domain_of_ip)) {
   for (auto& route : routes) {
-    const int socket = Open(route.listen_, true);
+    const int socket = OpenSocket(route.listen_, true);
     if (socket < 0) {
       throw std::runtime_error("relay cannot listen on " + route.listen_);
     }
@@ -106,31 +107,31 @@
   for (const auto& listener : listeners_) {
     close(listener.socket_);
   }
-  for (const auto& pair : pairs_) {
-    close(pair.sockets_[0]);
-    close(pair.sockets_[1]);
+  for (const auto& connection : connections_) {
+    close(connection.sockets_[0]);
+    close(connection.sockets_[1]);
   }
 }
 
 void Relay::CutOff(const std::string& domain) {
   const std::lock_guard lock(mutex_);
-  cut_.insert(domain);
+  isolated_.insert(domain);
 }
 
 void Relay::Heal() {
   const std::lock_guard lock(mutex_);
-  cut_.clear();
-  silent_.clear();
+  isolated_.clear();
+  held_.clear();
 }
 
 void Relay::Silence(const std::string& listen, Way way) {
   const std::lock_guard lock(mutex_);
-  silent_[listen] = way;
+  held_[listen] = way;
 }
 
 void Relay::Restore(const std::string& listen) {
   const std::lock_guard lock(mutex_);
-  silent_.erase(listen);
+  held_.erase(listen);
 }
 
 void Relay::ResetAll(const std::string& listen) {
@@ -138,34 +139,35 @@
   resets_.insert(listen);
 }
 
-bool Relay::IsSilent(const Pair& pair, std::size_t side) {
+bool Relay::IsHeld(const Connection& connection, std::size_t side) {
   const std::lock_guard lock(mutex_);
-  const auto found = silent_.find(pair.listen_);
-  if (found == silent_.end()) {
+  const auto found = held_.find(connection.listen_);
+  if (found == held_.end()) {
     return false;
   }
   const auto held = side == 0 ? Way::kToTarget : Way::kBack;
   return found->second == Way::kBoth || found->second == held;
 }
 
-void Relay::CloseMarked() {
+void Relay::MarkResets() {
   std::set<std::string> resets;
   {
     const std::lock_guard lock(mutex_);
     resets.swap(resets_);
   }
-  for (auto& pair : pairs_) {
-    if (resets.contains(pair.listen_)) {
-      pair.closed_ = true;
-      pair.reset_ = true;
+  for (auto& connection : connections_) {
+    if (resets.contains(connection.listen_)) {
+      connection.closed_ = true;
+      connection.reset_ = true;
     }
   }
 }
 
-bool Relay::IsCut(const Pair& pair) {
+bool Relay::IsIsolated(const Connection& connection) {
   const std::lock_guard lock(mutex_);
-  return pair.from_ != pair.to_ &&
-         (cut_.contains(pair.from_) || cut_.contains(pair.to_));
+  return connection.from_ != connection.to_ &&
+         (isolated_.contains(connection.from_) ||
+          isolated_.contains(connection.to_));
 }
 
 void Relay::Accept(const Listener& listener) {
@@ -179,15 +181,15 @@
   }
   const auto found = domain_of_ip_.find(inet_ntoa(source.sin_addr));
   const auto& route = listener.route_;
-  Pair pair{.from_ = route.from_,
-            .to_ = route.to_,
-            .target_ = route.target_,
-            .listen_ = route.listen_,
-            .sockets_ = {socket, -1}};
-  if (pair.from_.empty() && found != domain_of_ip_.end()) {
-    pair.from_ = found->second;
+  Connection connection{.from_ = route.from_,
+                        .to_ = route.to_,
+                        .target_ = route.target_,
+                        .listen_ = route.listen_,
+                        .sockets_ = {socket, -1}};
+  if (connection.from_.empty() && found != domain_of_ip_.end()) {
+    connection.from_ = found->second;
   }
-  pairs_.push_back(std::move(pair));
+  connections_.push_back(std::move(connection));
 }
 
 void Relay::Run() {
@@ -196,50 +198,50 @@
     for (const auto& listener : listeners_) {
       polled.push_back({listener.socket_, POLLIN, 0});
     }
-    std::vector<std::pair<Pair*, std::size_t>> sides;
-    CloseMarked();
-    for (auto& pair : pairs_) {
-      if (IsCut(pair) || pair.closed_) {
+    std::vector<std::pair<Connection*, std::size_t>> sides;
+    MarkResets();
+    for (auto& connection : connections_) {
+      if (IsIsolated(connection) || connection.closed_) {
         continue;
       }
-      if (pair.sockets_[1] < 0 && !IsSilent(pair, 0)) {
-        pair.sockets_[1] = Open(pair.target_, false);
-        pair.closed_ = pair.sockets_[1] < 0;
+      if (connection.sockets_[1] < 0 && !IsHeld(connection, 0)) {
+        connection.sockets_[1] = OpenSocket(connection.target_, false);
+        connection.closed_ = connection.sockets_[1] < 0;
       }
-      for (std::size_t side = 0; side < 2 && !pair.closed_; ++side) {
-        if (pair.sockets_[1] < 0 || IsSilent(pair, side)) {
+      for (std::size_t side = 0; side < 2 && !connection.closed_; ++side) {
+        if (connection.sockets_[1] < 0 || IsHeld(connection, side)) {
           continue;
         }
-        polled.push_back({pair.sockets_.at(side), POLLIN, 0});
-        sides.emplace_back(&pair, side);
+        polled.push_back({connection.sockets_.at(side), POLLIN, 0});
+        sides.emplace_back(&connection, side);
       }
     }
-    (void)poll(polled.data(), polled.size(), kPollMilliseconds);
+    (void)poll(polled.data(), polled.size(), kPollTimeoutMs);
     std::size_t next = 0;
     for (const auto& listener : listeners_) {
       if (polled[next++].revents != 0) {
         Accept(listener);
       }
     }
-    for (const auto& [pair, side] : sides) {
-      // It may have fallen silent while the sockets were polled.
-      if (polled[next++].revents == 0 || pair->closed_ ||
-          IsSilent(*pair, side)) {
+    for (const auto& [connection, side] : sides) {
+      // The connection may have become held during the poll.
+      if (polled[next++].revents == 0 || connection->closed_ ||
+          IsHeld(*connection, side)) {
         continue;
       }
-      const int from = pair->sockets_.at(side);
-      pair->reset_ = WasReset(from);
-      pair->closed_ =
-          pair->reset_ || !Forward(from, pair->sockets_.at(1 - side));
+      const int from = connection->sockets_.at(side);
+      connection->reset_ = WasReset(from);
+      connection->closed_ = connection->reset_ ||
+                            !Forward(from, connection->sockets_.at(1 - side));
     }
-    pairs_.remove_if([](const Pair& pair) {
-      if (pair.closed_) {
-        const auto end =
-            pair.reset_ ? CloseWithReset : [](int socket) { close(socket); };
-        end(pair.sockets_[0]);
-        end(pair.sockets_[1]);
+    connections_.remove_if([](const Connection& connection) {
+      if (connection.closed_) {
+        const auto end = connection.reset_ ? CloseWithReset
+                                           : [](int socket) { close(socket); };
+        end(connection.sockets_[0]);
+        end(connection.sockets_[1]);
       }
-      return pair.closed_;
+      return connection.closed_;
     });
   }
 }
--- a/tests/fleet/relay.hpp
+++ b/tests/fleet/relay.hpp
@@ -1,5 +1,6 @@
-// A relay between the processes of a fleet that cuts failure domains off: what
-// crosses the cut is held in silence, as on a broken link.
+// A TCP relay between the processes of a fleet that simulates network faults:
+// it isolates failure domains and holds or resets the connections of a route.
+// Held data is not delivered and connections stay open, as on a broken link.
 #pragma once
 
 #include <atomic>
@@ -14,63 +15,65 @@
 
 namespace chalkwell::fleet {
 
-/// @brief One address that is relayed to another.
+/// @brief An address whose connections are relayed to another address.
 struct RelayRoute {
   std::string listen_;
   std::string target_;
-  /// Domain of whoever connects; told by the source address when empty.
+  /// Failure domain of the connecting processes; if empty, it follows from the
+  /// source address.
   std::string from_;
-  /// Domain of the target; empty for systems outside.
+  /// Failure domain of the target; empty for external systems.
   std::string to_;
 };
 
-/// @brief Directions of a route.
+/// @brief Directions of a route whose data is held.
 enum class Way : std::uint8_t { kBoth, kToTarget, kBack };
 
-/// @brief Relays until it is destroyed.
+/// @brief Relays on its own thread until it is destroyed; callable from any
+/// thread.
 class Relay {
  public:
-  /// @param domain_of_ip domain of each source address.
-  /// @throws std::runtime_error when an address cannot be listened on.
+  /// @param domain_of_ip failure domain by source IP address.
+  /// @throws std::runtime_error if a listening address is not available.
   Relay(std::vector<RelayRoute> routes,
         std::map<std::string, std::string> domain_of_ip);
   ~Relay();
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
-  /// @brief Holds what goes between the domain and the rest from now on.
+  /// @brief Holds all data between a failure domain and the others from now on.
   void CutOff(const std::string& domain);
-  /// @brief Holds what comes over one route from now on, or what goes back.
-  /// @param listen address of the route.
+  /// @brief Holds the data of one route from now on.
+  /// @param listen listening address of the route.
   void Silence(const std::string& listen, Way way);
-  /// @brief Ends the silence of one route: what its sides gave up meanwhile by
-  /// a reset is dropped, as their systems would not send it any more.
+  /// @brief Delivers the held data of one route, except for connections that a
+  /// side has reset: its operating system would not send their data any more.
   void Restore(const std::string& listen);
   /// @brief Resets all connections of one route.
   void ResetAll(const std::string& listen);
-  /// @brief Ends all cuts and silences.
+  /// @brief Ends all isolations and holds.
   void Heal();
 
  private:
   struct Listener;
-  struct Pair;
+  struct Connection;
 
   void Run();
   void Accept(const Listener& listener);
-  [[nodiscard]] bool IsCut(const Pair& pair);
-  /// @param side 0 for what comes from the one who connected.
-  [[nodiscard]] bool IsSilent(const Pair& pair, std::size_t side);
-  void CloseMarked();
+  [[nodiscard]] bool IsIsolated(const Connection& connection);
+  /// @param side 0 for data from the source, 1 for data from the target.
+  [[nodiscard]] bool IsHeld(const Connection& connection, std::size_t side);
+  void MarkResets();
 
   std::map<std::string, std::string> domain_of_ip_;
   std::list<Listener> listeners_;
-  std::list<Pair> pairs_;
+  std::list<Connection> connections_;
   std::mutex mutex_;
   /// Guarded by `mutex_`.
-  std::set<std::string> cut_;
-  /// By listening address. Guarded by `mutex_`.
-  std::map<std::string, Way> silent_;
-  /// Routes whose connections are to be reset. Guarded by `mutex_`.
+  std::set<std::string> isolated_;
+  /// Held direction by listening address. Guarded by `mutex_`.
+  std::map<std::string, Way> held_;
+  /// Listening addresses of routes to reset. Guarded by `mutex_`.
   std::set<std::string> resets_;
   std::atomic<bool> stopping_ = false;
   std::thread thread_;
--- a/tests/fleet/scenario.cpp
+++ b/tests/fleet/scenario.cpp
@@ -1,4 +1,4 @@
-// Load on a fleet and the judgement after it.
+// Runs the load and compares its result with the services' execution logs.
 #include "fleet/scenario.hpp"
 
 #include <csignal>
@@ -36,7 +36,8 @@
   fleet_->Publish("bundle", fleet_->MakeBundle(1, 1, kModelBytes, kChunkBytes));
   fleet_->StartSystem();
   if (!fleet_->WaitLive(1, 40s) || !fleet_->WaitEntriesReady(20s)) {
-    throw std::runtime_error("version 1 did not become live");
+    throw std::runtime_error(
+        "engines and entries did not become ready with version 1");
   }
 }
 
@@ -61,34 +62,35 @@
 LoadResult Scenario::StopLoad() {
   load_.Signal(SIGTERM);
   if (load_.Wait(60s) != 0) {
-    throw std::runtime_error("the load did not come to its end");
+    throw std::runtime_error(
+        "the load process failed or did not end within 60 s");
   }
   std::ifstream file(result_path_);
   LoadResult result;
   result.raw_ = nlohmann::json::parse(file);
-  const auto count = [&](const char* name) {
+  const auto read_count = [&](const char* name) {
     return result.raw_.at(name).get<std::uint64_t>();
   };
-  result.sent_ = count("sent");
-  result.answered_ = count("answered");
-  result.refused_ = count("refused");
-  result.unknown_ = count("unknown");
-  result.failed_ = count("failed");
-  result.lost_ = count("lost");
-  result.wrong_ = count("wrong");
-  result.broken_ = count("broken");
+  result.sent_ = read_count("sent");
+  result.answered_ = read_count("answered");
+  result.refused_ = read_count("refused");
+  result.unknown_ = read_count("unknown");
+  result.failed_ = read_count("failed");
+  result.lost_ = read_count("lost");
+  result.wrong_ = read_count("wrong");
+  result.broken_ = read_count("broken");
   std::map<std::string, std::uint64_t> executed;
   for (auto* node : fleet_->Services()) {
     std::ifstream log(fleet_->folder() + "/" + node->id_ + "-backend.log");
     for (std::string line; std::getline(log, line);) {
-      const std::string mark = standins::kExecutedMark;
-      if (line.starts_with(mark)) {
-        ++executed[line.substr(mark.size())];
+      const std::string prefix = standins::kExecutedPrefix;
+      if (line.starts_with(prefix)) {
+        ++executed[line.substr(prefix.size())];
       }
     }
   }
-  for (const auto& [id, times] : executed) {
-    result.doubled_ += times > 1 ? 1 : 0;
+  for (const auto& [id, executions] : executed) {
+    result.doubled_ += executions > 1 ? 1 : 0;
   }
   for (const auto& id : result.raw_.at("service_answered")) {
     result.invented_ += executed.contains(id.get<std::string>()) ? 0 : 1;
--- a/tests/fleet/scenario.hpp
+++ b/tests/fleet/scenario.hpp
@@ -1,4 +1,5 @@
-// A fleet under load with the oracle on what callers saw and back ends ran.
+// A fleet under load; checks responses to callers against what backends
+// executed.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +11,9 @@
 
 namespace chalkwell::fleet {
 
-/// @brief What callers saw and back ends ran.
+/// @brief Outcomes of requests, by the load process and the services' logs.
+///
+/// Counts without a comment are those of standins::LoadCounts.
 struct LoadResult {
   std::uint64_t sent_ = 0;
   std::uint64_t answered_ = 0;
@@ -19,12 +22,13 @@
   std::uint64_t failed_ = 0;
   std::uint64_t lost_ = 0;
   std::uint64_t wrong_ = 0;
-  /// Responses that broke off without a final outcome.
+  /// Responses that ended before the final outcome.
   std::uint64_t broken_ = 0;
-  /// Orders that ran more than once, by the services' own record.
+  /// Orders executed more than once, by the services' logs.
   std::uint64_t doubled_ = 0;
-  /// Orders answered that no service has run.
+  /// Orders with a successful response that no service executed.
   std::uint64_t invented_ = 0;
+  /// Result of the load process.
   nlohmann::json raw_;
 
   [[nodiscard]] double unknown_share() const noexcept {
@@ -34,25 +38,31 @@
   }
 };
 
-/// @brief Options of a load.
+/// @brief Options of the load process.
 struct LoadOptions {
   double requests_per_second_ = 40;
+  /// Share of requests to plain services, 0 to 1.
   double service_share_ = 0.4;
+  /// Output tokens of each engine request.
   std::uint64_t tokens_ = 40;
   std::uint64_t seed_ = 1;
 };
 
-/// @brief A live fleet of version 1 with a load on it.
+/// @brief A fleet that serves version 1, with short timeouts, under load.
 class Scenario {
  public:
-  /// @param spec its folder is set by the scenario.
+  /// @param spec its folder is replaced by a temporary one.
   explicit Scenario(FleetSpec spec);
 
   [[nodiscard]] Fleet& fleet() noexcept { return *fleet_; }
-  /// @brief Starts everything, publishes version 1 and waits until it is live.
+  /// @brief Starts all processes, publishes version 1 and waits until engines
+  /// and entries are ready.
+  /// @throws std::runtime_error if they are not in time.
   void GoLive();
+  /// @brief Starts the load process on all listed entries.
   void StartLoad(const LoadOptions& options = {});
-  /// @brief Ends the load and judges.
+  /// @brief Stops the load process and evaluates its result.
+  /// @throws std::runtime_error if it fails or does not end within 60 s.
   [[nodiscard]] LoadResult StopLoad();
 
  private:
--- a/tests/fleet/scratch.cpp
+++ b/tests/fleet/scratch.cpp
@@ -1,4 +1,4 @@
-// mkdtemp below the system's temporary folder.
+// The folder is created by mkdtemp below the system's temporary folder.
 #include "fleet/scratch.hpp"
 
 #include <cstdlib>
@@ -12,7 +12,7 @@
     : path_((std::filesystem::temp_directory_path() / "chalkwell-XXXXXX")
                 .string()) {
   if (::mkdtemp(path_.data()) == nullptr) {
-    throw std::runtime_error("cannot make a temporary folder");
+    throw std::runtime_error("cannot create a temporary folder");
   }
 }
 
--- a/tests/fleet/scratch.hpp
+++ b/tests/fleet/scratch.hpp
@@ -1,12 +1,12 @@
-// A folder for one test, removed at its end.
+// A temporary folder for one test.
 #pragma once
 
 #include <string>
 
 namespace chalkwell::fleet {
 
-/// @brief Temporary folder; kept while CHALKWELL_KEEP is set, which test_main
-/// does when a check fails.
+/// @brief Temporary folder; the destructor removes it, unless CHALKWELL_KEEP is
+/// set, which test_main does when a check fails.
 class Scratch {
  public:
   Scratch();
--- a/tests/fleet/suspension.cpp
+++ b/tests/fleet/suspension.cpp
@@ -1,4 +1,4 @@
-// The length is shared with the children by a mapped file.
+// The children read the suspended time from a mapped file.
 #include "fleet/suspension.hpp"
 
 #include <fcntl.h>
@@ -36,8 +36,8 @@
           "CHALKWELL_SUSPENDED=" + file_.string()};
 }
 
-void Suspension::Add(std::chrono::nanoseconds length) {
-  std::atomic_ref<std::int64_t>(*suspended_ns_) += length.count();
+void Suspension::Add(std::chrono::nanoseconds duration) {
+  std::atomic_ref<std::int64_t>(*suspended_ns_) += duration.count();
 }
 
 }  // namespace chalkwell::fleet
--- a/tests/fleet/suspension.hpp
+++ b/tests/fleet/suspension.hpp
@@ -1,5 +1,5 @@
-// A machine that is suspended, as one process on it sees it: the steady clock
-// does not count the time, the boot clock and the time of day do.
+// Simulates a suspension of the machine for single processes: the steady clock
+// does not count the suspended time, the boot clock and the wall clock do.
 #pragma once
 
 #include <chrono>
@@ -10,20 +10,23 @@
 
 namespace chalkwell::fleet {
 
-/// @brief Clocks of the children that are started with its environment.
+/// @brief Clocks of the child processes that are started with `environment()`.
 class Suspension {
  public:
-  /// @param file shared with the children; removed at the end.
+  /// @param file shared with the children; the destructor removes it.
+  /// @throws std::runtime_error if it cannot be created or mapped.
   explicit Suspension(std::filesystem::path file);
   ~Suspension();
   Suspension(const Suspension&) = delete;
   Suspension& operator=(const Suspension&) = delete;
 
-  /// @brief For Child.
+  /// @brief Environment variables to pass to Child.
   [[nodiscard]] std::vector<std::string> environment() const;
-  /// @brief From now on the clocks are apart by so much more. Real machines are
-  /// paused meanwhile: so should the child be.
-  void Add(std::chrono::nanoseconds length);
+  /// @brief Advances the boot clock and the wall clock of the children.
+  ///
+  /// The children should be paused by SIGSTOP meanwhile, as on a suspended
+  /// machine.
+  void Add(std::chrono::nanoseconds duration);
 
  private:
   std::filesystem::path file_;
--- a/tests/standins/blob_server.cpp
+++ b/tests/standins/blob_server.cpp
@@ -1,5 +1,5 @@
-// Serving and damaging of blobs; which request is damaged follows from its
-// number, so that runs repeat.
+// The number of a request determines whether its response is damaged, so that
+// runs are reproducible.
 #include "standins/blob_server.hpp"
 
 #include <fstream>
@@ -7,23 +7,23 @@
 #include <sstream>
 #include <utility>
 
-#include "standins/answers.hpp"
+#include "standins/deterministic_responses.hpp"
 #include "standins/query.hpp"
 
 namespace chalkwell::standins {
 namespace {
 
-constexpr std::string_view kBlobs = "/blobs/";
-constexpr auto kBurst = std::chrono::milliseconds(20);
+constexpr std::string_view kBlobsPath = "/blobs/";
+constexpr auto kBurstTime = std::chrono::milliseconds(20);
 constexpr std::uint64_t kPercent = 100;
-constexpr std::size_t kNameDigits = 64;
+constexpr std::size_t kNameLength = 64;
 
 }  // namespace
 
 BlobServer::BlobServer(daemon::Loop& loop, const BlobServerSettings& settings)
     : loop_(loop),
       settings_(settings),
-      pacer_(settings.bytes_per_second_, kBurst),
+      pacer_(settings.bytes_per_second_, kBurstTime),
       window_start_(loop.Now()),
       server_(loop, {.address_ = settings.address_},
               [this](const daemon::HttpExchangePtr& exchange) {
@@ -36,20 +36,20 @@
     OnControl(exchange);
     return;
   }
-  const bool named =
-      path.starts_with(kBlobs) && path.size() == kBlobs.size() + kNameDigits;
+  const bool valid_name = path.starts_with(kBlobsPath) &&
+                          path.size() == kBlobsPath.size() + kNameLength;
   if (faults_.down_) {
     exchange->Respond(503, {}, "down");
-  } else if (!named) {
+  } else if (!valid_name) {
     exchange->Respond(404, {}, "no such blob");
-  } else if (!TakeRequest()) {
+  } else if (!CountRequest()) {
     exchange->Respond(429, {}, "too many requests");
   } else {
-    Serve(exchange, path.substr(kBlobs.size()));
+    Serve(exchange, path.substr(kBlobsPath.size()));
   }
 }
 
-bool BlobServer::TakeRequest() {
+bool BlobServer::CountRequest() {
   const auto now = loop_.Now();
   if (now - window_start_ >= std::chrono::seconds(1)) {
     window_start_ = now;
@@ -62,9 +62,9 @@
 
 void BlobServer::Serve(const daemon::HttpExchangePtr& exchange,
                        const std::string& name) {
-  const auto lot = std::stoull(name.substr(0, 8), nullptr, 16) % kPercent;
+  const auto bucket = std::stoull(name.substr(0, 8), nullptr, 16) % kPercent;
   std::ifstream file(settings_.folder_ + "/blobs/" + name, std::ios::binary);
-  if (lot >= settings_.held_percent_ || !file) {
+  if (bucket >= settings_.held_percent_ || !file) {
     exchange->Respond(404, {}, "no such blob");
     return;
   }
@@ -83,13 +83,13 @@
 }
 
 std::string BlobServer::Damage(std::string bytes) {
-  const auto lot =
+  const auto bucket =
       std::stoull(Receipt("damage", std::to_string(requests_)).substr(0, 8),
                   nullptr, 16) %
       kPercent;
-  if (lot < faults_.corrupt_percent_ && !bytes.empty()) {
+  if (bucket < faults_.corrupt_percent_ && !bytes.empty()) {
     bytes[bytes.size() / 2] = static_cast<char>(~bytes[bytes.size() / 2]);
-  } else if (lot < faults_.corrupt_percent_ + faults_.truncate_percent_) {
+  } else if (bucket < faults_.corrupt_percent_ + faults_.truncate_percent_) {
     bytes.resize(bytes.size() / 2);
   }
   return bytes;
--- a/tests/standins/blob_server.hpp
+++ b/tests/standins/blob_server.hpp
@@ -1,5 +1,5 @@
-// Stand-in of weight store and origin: serves blobs/ of a folder at a rate;
-// corrupts, stalls and truncates on command.
+// Fake of the weights store and the origin: serves the blobs of a folder at a
+// limited rate. Control calls inject corrupt, truncated and delayed responses.
 #pragma once
 
 #include <cstdint>
@@ -11,24 +11,25 @@
 
 namespace chalkwell::standins {
 
-/// @brief Settings of the stand-in.
+/// @brief Settings of the fake.
 struct BlobServerSettings {
   daemon::Address address_;
   std::string folder_;
-  /// Rate of its link; 0 for no limit.
+  /// Link rate; 0 for no limit.
   std::uint64_t bytes_per_second_ = 0;
-  /// Requests a second; more get 429. 0 for no limit.
+  /// Further requests within a second get 429; 0 for no limit.
   std::uint64_t requests_per_second_ = 0;
-  /// Only this share of the blobs is held (per cent); the rest gives 404.
+  /// Percentage of the blobs that it holds; the others get 404.
   std::uint64_t held_percent_ = 100;
 };
 
-/// @brief The server.
+/// @brief Serves /blobs/DIGEST; /control/ sets faults and returns statistics.
 class BlobServer {
  public:
   BlobServer(daemon::Loop& loop, const BlobServerSettings& settings);
 
  private:
+  /// Injected faults; percentages of the responses.
   struct Faults {
     std::uint64_t corrupt_percent_ = 0;
     std::uint64_t truncate_percent_ = 0;
@@ -40,7 +41,7 @@
   void OnControl(const daemon::HttpExchangePtr& exchange);
   void Serve(const daemon::HttpExchangePtr& exchange, const std::string& name);
   [[nodiscard]] std::string Damage(std::string bytes);
-  [[nodiscard]] bool TakeRequest();
+  [[nodiscard]] bool CountRequest();
 
   daemon::Loop& loop_;
   BlobServerSettings settings_;
@@ -48,8 +49,9 @@
   Faults faults_;
   std::uint64_t requests_ = 0;
   std::uint64_t bytes_ = 0;
-  /// Times each blob was sent.
+  /// Number of times that each blob was sent, by name.
   std::map<std::string, std::uint64_t> sent_;
+  /// Start of the current second for the limit of requests.
   core::TimePoint window_start_;
   std::uint64_t window_requests_ = 0;
   daemon::HttpServer server_;
--- a/tests/standins/answers.cpp
+++ b/tests/standins/deterministic_responses.cpp
@@ -1,5 +1,5 @@
-// Answers by hashing.
-#include "standins/answers.hpp"
+// Tokens and receipts are hashes of the request.
+#include "standins/deterministic_responses.hpp"
 
 #include <xxhash.h>
 
@@ -22,8 +22,8 @@
 
 }  // namespace
 
-std::string AnswerToken(std::string_view prompt, std::string_view weights,
-                        std::string_view request, std::uint64_t index) {
+std::string ResponseToken(std::string_view prompt, std::string_view weights,
+                          std::string_view request, std::uint64_t index) {
   const auto seed = Hash(request, Hash(weights, Hash(prompt, index)));
   return Hex(seed).substr(0, 8);
 }
--- a/tests/standins/engine.cpp
+++ b/tests/standins/engine.cpp
@@ -1,31 +1,31 @@
-// Serving side of the engine stand-in.
+// Requests to the fake engine: completions, cache events and KV cache.
 #include "standins/engine.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "standins/answers.hpp"
+#include "standins/deterministic_responses.hpp"
 #include "standins/query.hpp"
 
 namespace chalkwell::standins {
 namespace {
 
 constexpr std::size_t kPrefixBytes = 64;
-constexpr std::size_t kMaxBody = std::size_t{80} << 20;
+constexpr std::size_t kMaxBodyBytes = std::size_t{80} << 20;
 constexpr std::uint64_t kDefaultTokens = 16;
 constexpr std::size_t kMaxEvents = 1000;
 const daemon::HttpHeaders kJson{{"content-type", "application/json"}};
 
-std::string PromptOf(const nlohmann::json& body) {
+std::string GetPrompt(const nlohmann::json& body) {
   if (body.contains("prompt")) {
     return body["prompt"].get<std::string>();
   }
   return body.contains("messages") ? body["messages"].dump() : "";
 }
 
-std::string EventOf(const std::string& request, std::uint64_t index,
-                    const std::string& token) {
+std::string FormatEvent(const std::string& request, std::uint64_t index,
+                        const std::string& token) {
   const nlohmann::json event{
       {"id", request},
       {"choices",
@@ -38,16 +38,17 @@
 Engine::Engine(daemon::Loop& loop, const EngineSettings& settings)
     : loop_(loop),
       settings_(settings),
-      step_(loop),
-      lag_(loop),
+      step_timer_(loop),
+      load_report_timer_(loop),
       server_(loop,
-              {.address_ = settings.address_, .max_body_bytes_ = kMaxBody},
+              {.address_ = settings.address_, .max_body_bytes_ = kMaxBodyBytes},
               [this](const daemon::HttpExchangePtr& exchange) {
                 OnRequest(exchange);
               }) {
-  step_.Every(settings.token_time_, [this] { Step(); });
-  lag_.Every(settings.load_lag_,
-             [this] { lagged_load_ = batch_.size() + waiting_.size(); });
+  step_timer_.Every(settings.token_time_, [this] { Step(); });
+  load_report_timer_.Every(settings.load_lag_, [this] {
+    lagged_load_ = batch_.size() + waiting_.size();
+  });
 }
 
 void Engine::OnRequest(const daemon::HttpExchangePtr& exchange) {
@@ -89,9 +90,9 @@
   prefixes_.push_front(prefix);
   const auto publish = [this](const std::string& name, bool stored) {
     ++last_event_;
-    const bool lost =
+    const bool omitted =
         settings_.event_gap_ != 0 && last_event_ % settings_.event_gap_ == 0;
-    if (!lost) {
+    if (!omitted) {
       events_.push_back(
           {last_event_, name, stored, loop_.Now() + settings_.event_delay_});
     }
@@ -120,17 +121,17 @@
     exchange->Respond(503, kJson, R"({"error":"no weights"})");
     return;
   }
-  constexpr std::uint64_t kHundred = 100;
-  const auto before = offered_++ * settings_.fail_percent_ / kHundred;
-  if (offered_ * settings_.fail_percent_ / kHundred > before) {
+  constexpr std::uint64_t kPercent = 100;
+  const auto failed_before = offered_++ * settings_.fail_percent_ / kPercent;
+  if (offered_ * settings_.fail_percent_ / kPercent > failed_before) {
     ++failed_;
-    exchange->Respond(500, kJson, R"({"error":"switched to fail"})");
+    exchange->Respond(500, kJson, R"({"error":"injected failure"})");
     return;
   }
   auto run = std::make_shared<Run>();
   run->exchange_ = exchange;
   run->request_ = daemon::FindHeader(request.headers_, "x-request-id");
-  run->prompt_ = PromptOf(body);
+  run->prompt_ = GetPrompt(body);
   run->tokens_ = body.value("max_tokens", kDefaultTokens);
   const auto resume = daemon::FindHeader(request.headers_, "x-resume-from");
   run->next_ = resume.empty() ? 0 : std::stoull(std::string(resume));
@@ -139,16 +140,16 @@
   const bool hit = TouchPrefix(run->prompt_.substr(0, kPrefixBytes));
   run->ready_at_ =
       loop_.Now() + (hit ? core::Duration{} : settings_.prefill_time_);
-  ++begun_[run->request_];
+  ++started_[run->request_];
   exchange->OnAbort([this, run] {
     ++cancelled_;
     std::erase(waiting_, run);
     std::erase(batch_, run);
   });
-  const auto place = std::ranges::find_if(waiting_, [&](const RunPtr& other) {
-    return other->priority_ < run->priority_;
-  });
-  waiting_.insert(place, run);
+  const auto position = std::ranges::find_if(
+      waiting_,
+      [&](const RunPtr& other) { return other->priority_ < run->priority_; });
+  waiting_.insert(position, run);
   if (run->stream_) {
     exchange->Start(200, {{"content-type", "text/event-stream"},
                           {"x-weights-digest", weights_},
@@ -171,9 +172,9 @@
 
 void Engine::Emit(const RunPtr& run) {
   const auto token =
-      AnswerToken(run->prompt_, weights_, run->request_, run->next_);
+      ResponseToken(run->prompt_, weights_, run->request_, run->next_);
   if (run->stream_) {
-    run->exchange_->Write(EventOf(run->request_, run->next_, token));
+    run->exchange_->Write(FormatEvent(run->request_, run->next_, token));
   } else {
     run->text_ += token;
   }
@@ -190,28 +191,28 @@
     run->exchange_->End(true);
     return;
   }
-  const nlohmann::json answer{
+  const nlohmann::json response{
       {"id", run->request_},
       {"choices", {{{"index", 0}, {"message", {{"content", run->text_}}}}}}};
   run->exchange_->Respond(
       200,
       {{"content-type", "application/json"}, {"x-weights-digest", weights_}},
-      answer.dump());
+      response.dump());
 }
 
 void Engine::OnCacheEvents(const daemon::HttpExchangePtr& exchange) {
   const auto after = NumberOf(ParseQuery(exchange->request().path_), "after");
-  auto list = nlohmann::json::array();
+  auto event_list = nlohmann::json::array();
   for (const auto& event : events_) {
     if (event.number_ > after && event.visible_at_ <= loop_.Now()) {
-      list.push_back({{"number", event.number_},
-                      {"prefix", event.prefix_},
-                      {"stored", event.stored_}});
+      event_list.push_back({{"number", event.number_},
+                            {"prefix", event.prefix_},
+                            {"stored", event.stored_}});
     }
   }
-  exchange->Respond(
-      200, kJson,
-      list.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
+  exchange->Respond(200, kJson,
+                    event_list.dump(-1, ' ', false,
+                                    nlohmann::json::error_handler_t::replace));
 }
 
 void Engine::OnKv(const daemon::HttpExchangePtr& exchange) {
@@ -227,11 +228,14 @@
 }
 
 std::string Engine::Record() const {
-  return nlohmann::json{
-      {"begun", begun_},           {"finished", finished_},
-      {"failed", failed_},         {"offered", offered_},
-      {"cancelled", cancelled_},   {"mixed", mixed_},
-      {"bad_orders", bad_orders_}, {"activations", activations_}}
+  return nlohmann::json{{"begun", started_},
+                        {"finished", finished_},
+                        {"failed", failed_},
+                        {"offered", offered_},
+                        {"cancelled", cancelled_},
+                        {"mixed", runs_with_mixed_weights_},
+                        {"bad_orders", incomplete_orders_},
+                        {"activations", activations_}}
       .dump();
 }
 
--- a/tests/standins/engine.hpp
+++ b/tests/standins/engine.hpp
@@ -1,7 +1,7 @@
-// Stand-in of a model engine: batches continuously, caches prompt prefixes in
-// bounded memory, honours priorities, resumes and cancels streams, exports and
-// imports KV cache, publishes cache events late and with gaps, reports load
-// with a lag, takes orders with fencing numbers (or ignores them).
+// Fake of a model engine: continuous batching by priority, a bounded cache of
+// prompt prefixes, streams that can be resumed and cancelled, export and import
+// of KV cache. Cache events are delayed and have gaps, and the reported load
+// lags behind. Orders carry fencing numbers, which it can be set to ignore.
 #pragma once
 
 #include <cstdint>
@@ -18,34 +18,42 @@
 
 namespace chalkwell::standins {
 
-/// @brief Settings and switches of the stand-in.
+/// @brief Settings and injected faults of the fake.
 struct EngineSettings {
   daemon::Address address_;
+  /// Interval between two output tokens of a run.
   core::Duration token_time_ = std::chrono::milliseconds(5);
-  /// Time before the first token of a prompt that is not cached.
+  /// Prefill time of a prompt whose prefix is not cached.
   core::Duration prefill_time_ = std::chrono::milliseconds(20);
+  /// Maximum number of runs in the batch.
   std::size_t batch_ = 32;
+  /// Capacity of the prefix cache.
   std::size_t cached_prefixes_ = 64;
+  /// Time to load staged weights.
   core::Duration load_time_ = std::chrono::milliseconds(200);
+  /// Interval at which the reported load is updated.
   core::Duration load_lag_ = std::chrono::milliseconds(500);
+  /// From a change of the prefix cache until its event is visible.
   core::Duration event_delay_ = std::chrono::milliseconds(500);
+  /// Whether orders with an old fencing number are rejected.
   bool checks_fencing_ = true;
+  /// Whether loads of weights fail.
   bool fails_loads_ = false;
-  /// Of a hundred completions, so many are answered 500.
+  /// Percentage of the completions that get 500.
   std::uint64_t fail_percent_ = 0;
-  /// One of so many cache events is never published; 0 for none.
+  /// One of this many cache events is omitted; 0 for none.
   std::uint64_t event_gap_ = 10;
 };
 
-/// @brief The engine.
+/// @brief Serves completions from the loaded weights.
 class Engine {
  public:
   Engine(daemon::Loop& loop, const EngineSettings& settings);
 
  private:
-  struct Staging {
+  struct StagedWeights {
     std::vector<bundle::Chunk> chunks_;
-    std::set<std::size_t> got_;
+    std::set<std::size_t> received_;
     bool sealed_ = false;
   };
   struct Run {
@@ -83,15 +91,16 @@
 
   daemon::Loop& loop_;
   EngineSettings settings_;
-  /// Weights loaded: hexadecimal digest, empty for none.
+  /// Hexadecimal manifest digest of the loaded weights; empty for none.
   std::string weights_;
   std::uint64_t version_ = 0;
+  /// Highest fencing number of an order.
   std::uint64_t fence_ = 0;
   std::string role_;
   bool loading_ = false;
   /// Digests of the chunks of the loaded weights.
   std::set<core::Digest> loaded_chunks_;
-  std::map<std::string, Staging> staging_;
+  std::map<std::string, StagedWeights> staging_;
   std::deque<RunPtr> waiting_;
   std::vector<RunPtr> batch_;
   /// Most recently used first.
@@ -100,19 +109,21 @@
   std::uint64_t last_event_ = 0;
   std::uint64_t cache_hits_ = 0;
   std::size_t lagged_load_ = 0;
-  /// Times each request was begun; the oracle's side of "ran".
-  std::map<std::string, std::uint64_t> begun_;
+  /// Number of runs started, by request id.
+  std::map<std::string, std::uint64_t> started_;
+  /// Completions received while weights were loaded.
   std::uint64_t offered_ = 0;
   std::uint64_t failed_ = 0;
   std::map<std::string, std::uint64_t> finished_;
   std::uint64_t cancelled_ = 0;
-  /// Runs whose weights changed under them; must stay 0.
-  std::uint64_t mixed_ = 0;
-  /// Orders that would have activated weights that are not whole.
-  std::uint64_t bad_orders_ = 0;
+  /// Runs in progress when other weights were loaded; must stay 0.
+  std::uint64_t runs_with_mixed_weights_ = 0;
+  /// Orders to activate weights that were not staged completely.
+  std::uint64_t incomplete_orders_ = 0;
+  /// "VERSION:DIGEST" of the loaded weights, in order.
   std::vector<std::string> activations_;
-  daemon::Timer step_;
-  daemon::Timer lag_;
+  daemon::Timer step_timer_;
+  daemon::Timer load_report_timer_;
   daemon::HttpServer server_;
 };
 
--- a/tests/standins/engine_control.cpp
+++ b/tests/standins/engine_control.cpp
@@ -1,4 +1,4 @@
-// Control side of the engine stand-in: staging, orders, switches.
+// Control of the fake engine: staging of weights, orders and injected faults.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -9,23 +9,25 @@
 namespace chalkwell::standins {
 namespace {
 
-constexpr std::string_view kStaging = "/v1/staging/";
-constexpr std::size_t kDigestDigits = 64;
+constexpr std::string_view kStagingPath = "/v1/staging/";
+constexpr std::size_t kDigestLength = 64;
 const daemon::HttpHeaders kJson{{"content-type", "application/json"}};
 
 }  // namespace
 
 void Engine::OnStaging(const daemon::HttpExchangePtr& exchange) {
   const auto& request = exchange->request();
-  const auto manifest = request.path_.substr(kStaging.size(), kDigestDigits);
-  const auto rest = request.path_.size() > kStaging.size() + kDigestDigits
-                        ? request.path_.substr(kStaging.size() + kDigestDigits)
-                        : "";
+  const auto manifest =
+      request.path_.substr(kStagingPath.size(), kDigestLength);
+  const auto subpath =
+      request.path_.size() > kStagingPath.size() + kDigestLength
+          ? request.path_.substr(kStagingPath.size() + kDigestLength)
+          : "";
   auto& staging = staging_[manifest];
   if (request.method_ == "DELETE") {
     staging_.erase(manifest);
     exchange->Respond(200, {}, "dropped");
-  } else if (rest.empty()) {
+  } else if (subpath.empty()) {
     if (core::Digest::Of(request.body_).ToHex() != manifest) {
       exchange->Respond(409, {}, "manifest differs from its digest");
       return;
@@ -34,26 +36,26 @@
     auto missing = nlohmann::json::array();
     for (std::size_t i = 0; i < staging.chunks_.size(); ++i) {
       if (loaded_chunks_.contains(staging.chunks_[i].digest_)) {
-        staging.got_.insert(i);
+        staging.received_.insert(i);
       }
-      if (!staging.got_.contains(i)) {
+      if (!staging.received_.contains(i)) {
         missing.push_back(i);
       }
     }
     exchange->Respond(200, kJson, nlohmann::json{{"missing", missing}}.dump());
-  } else if (rest == "/seal") {
+  } else if (subpath == "/seal") {
     staging.sealed_ = !staging.chunks_.empty() &&
-                      staging.got_.size() == staging.chunks_.size();
+                      staging.received_.size() == staging.chunks_.size();
     exchange->Respond(staging.sealed_ ? 200 : 409, {}, "");
   } else {
-    const auto index = std::stoull(rest.substr(rest.rfind('/') + 1));
-    const bool good =
+    const auto index = std::stoull(subpath.substr(subpath.rfind('/') + 1));
+    const bool valid =
         index < staging.chunks_.size() &&
         core::Digest::Of(request.body_) == staging.chunks_[index].digest_;
-    if (good) {
-      staging.got_.insert(index);
+    if (valid) {
+      staging.received_.insert(index);
     }
-    exchange->Respond(good ? 200 : 409, {}, "");
+    exchange->Respond(valid ? 200 : 409, {}, "");
   }
 }
 
@@ -67,7 +69,7 @@
   const auto fence = order.value("fence", std::uint64_t{0});
   const auto manifest = order.value("manifest", "");
   if (settings_.checks_fencing_ && fence <= fence_) {
-    exchange->Respond(409, {}, "old fencing number");
+    exchange->Respond(409, {}, "fencing number is not newer than the last one");
     return;
   }
   if (settings_.checks_fencing_) {
@@ -80,12 +82,12 @@
   }
   const auto staged = staging_.find(manifest);
   if (staged == staging_.end() || !staged->second.sealed_) {
-    ++bad_orders_;
-    exchange->Respond(409, {}, "weights are not staged whole");
+    ++incomplete_orders_;
+    exchange->Respond(409, {}, "staged weights are incomplete");
     return;
   }
   if (loading_) {
-    exchange->Respond(409, {}, "another load is under way");
+    exchange->Respond(409, {}, "another load is in progress");
     return;
   }
   loading_ = true;
@@ -99,7 +101,7 @@
       return;
     }
     if (manifest != weights_) {
-      mixed_ += batch_.size() + waiting_.size();
+      runs_with_mixed_weights_ += batch_.size() + waiting_.size();
     }
     weights_ = manifest;
     version_ = version;
@@ -133,7 +135,7 @@
     if (query.contains("token_ms")) {
       settings_.token_time_ =
           std::chrono::milliseconds(NumberOf(query, "token_ms"));
-      step_.Every(settings_.token_time_, [this] { Step(); });
+      step_timer_.Every(settings_.token_time_, [this] { Step(); });
     }
   }
   exchange->Respond(200, kJson, Record());
--- a/tests/standins/load.cpp
+++ b/tests/standins/load.cpp
@@ -1,4 +1,4 @@
-// Sending, checking and counting.
+// Sends requests, checks the responses and counts the outcomes.
 #include "standins/load.hpp"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "standins/answers.hpp"
+#include "standins/deterministic_responses.hpp"
 
 namespace chalkwell::standins {
 namespace {
@@ -29,10 +29,12 @@
   return values[at];
 }
 
-/// Tokens of a stream in order; empty when it is not whole or out of order.
-std::vector<std::string> TokensOf(const std::string& body, bool& whole) {
+/// Parses the tokens of a stream, up to the first one that is incomplete or out
+/// of order.
+/// @param complete set to whether the stream has its end event.
+std::vector<std::string> ParseTokens(const std::string& body, bool& complete) {
   std::vector<std::string> tokens;
-  whole = false;
+  complete = false;
   std::size_t at = 0;
   constexpr std::string_view kData = "data: ";
   while (at < body.size()) {
@@ -43,7 +45,7 @@
     const auto event = body.substr(at, end - at);
     at = end + 2;
     if (event == "data: [DONE]") {
-      whole = at == body.size();
+      complete = at == body.size();
       return tokens;
     }
     if (!event.starts_with(kData)) {
@@ -70,13 +72,13 @@
   bool is_service_ = false;
   std::string prompt_;
   std::string body_;
-  std::string ticket_;
+  std::string idempotency_key_;
   unsigned tries_ = 0;
-  core::TimePoint begun_;
-  core::TimePoint last_piece_;
+  core::TimePoint started_at_;
+  core::TimePoint last_data_;
   int status_ = 0;
   daemon::HttpHeaders headers_;
-  std::string answer_;
+  std::string response_;
   bool may_have_run_ = false;
 };
 
@@ -85,32 +87,32 @@
       settings_(settings),
       client_(loop, kIoTimeout),
       random_(settings.seed_),
-      next_(loop),
-      stop_(loop) {
+      send_timer_(loop),
+      stop_timer_(loop) {
   const std::chrono::duration<double> period(1.0 /
                                              settings.requests_per_second_);
-  next_.Every(std::chrono::duration_cast<core::Duration>(period),
-              [this] { SendNext(); });
+  send_timer_.Every(std::chrono::duration_cast<core::Duration>(period),
+                    [this] { SendNext(); });
   if (settings.duration_ > core::Duration{}) {
-    stop_.Once(settings.duration_, [this] { Stop(); });
+    stop_timer_.Once(settings.duration_, [this] { Stop(); });
   }
 }
 
 void Load::Stop() {
   stopping_ = true;
-  next_.Cancel();
+  send_timer_.Cancel();
   FinishIfDone();
 }
 
 void Load::SendNext() {
   auto call = std::make_shared<Call>();
   ++counts_.sent_;
-  ++open_;
+  ++in_flight_;
   call->id_ = "load-" + std::to_string(settings_.seed_) + "-" +
               std::to_string(counts_.sent_);
-  std::uniform_real_distribution<double> lot(0, 1);
-  call->is_service_ = lot(random_) < settings_.service_share_;
-  call->begun_ = loop_.Now();
+  std::uniform_real_distribution<double> share_distribution(0, 1);
+  call->is_service_ = share_distribution(random_) < settings_.service_share_;
+  call->started_at_ = loop_.Now();
   if (call->is_service_) {
     call->body_ = nlohmann::json{{"order", call->id_}}.dump();
   } else {
@@ -132,8 +134,8 @@
   ++call->tries_;
   ++counts_.tries_;
   call->status_ = 0;
-  call->answer_.clear();
-  call->last_piece_ = {};
+  call->response_.clear();
+  call->last_data_ = {};
   daemon::HttpRequest request{
       .method_ = "POST",
       .path_ =
@@ -146,8 +148,8 @@
     request.headers_.emplace_back("x-deadline-ms",
                                   std::to_string(settings_.deadline_ms_));
   }
-  if (!call->ticket_.empty()) {
-    request.headers_.emplace_back("idempotency-key", call->ticket_);
+  if (!call->idempotency_key_.empty()) {
+    request.headers_.emplace_back("idempotency-key", call->idempotency_key_);
   }
   daemon::HttpCallbacks callbacks;
   callbacks.on_head_ = [call](int status, const daemon::HttpHeaders& headers) {
@@ -157,14 +159,14 @@
   callbacks.on_data_ = [this, call](std::string_view bytes) {
     const auto now = loop_.Now();
     if (!call->is_service_ && call->status_ == 200) {
-      if (call->last_piece_ == core::TimePoint{}) {
-        first_ms_.push_back(Milliseconds(now - call->begun_));
+      if (call->last_data_ == core::TimePoint{}) {
+        first_byte_ms_.push_back(Milliseconds(now - call->started_at_));
       } else {
-        gap_ms_.push_back(Milliseconds(now - call->last_piece_));
+        gap_ms_.push_back(Milliseconds(now - call->last_data_));
       }
-      call->last_piece_ = now;
+      call->last_data_ = now;
     }
-    call->answer_.append(bytes);
+    call->response_.append(bytes);
   };
   callbacks.on_end_ = [this, call](daemon::HttpEnd end) { OnEnd(call, end); };
   const auto& entry = settings_.entries_[random_() % settings_.entries_.size()];
@@ -174,23 +176,23 @@
 void Load::OnEnd(const CallPtr& call, daemon::HttpEnd end) {
   if (end == daemon::HttpEnd::kNotSent) {
     Retry(call, kRetryDelay);
-  } else if (end == daemon::HttpEnd::kBroken || IsCut(*call)) {
+  } else if (end == daemon::HttpEnd::kBroken || IsTruncated(*call)) {
     ++counts_.broken_;
     call->may_have_run_ = true;
-    if (call->is_service_ && call->ticket_.empty()) {
+    if (call->is_service_ && call->idempotency_key_.empty()) {
       Close(call, &LoadCounts::lost_);
     } else {
       Retry(call, kRetryDelay);
     }
   } else {
-    OnWhole(call);
+    OnComplete(call);
   }
 }
 
-void Load::OnWhole(const CallPtr& call) {
+void Load::OnComplete(const CallPtr& call) {
   if (call->status_ == 200) {
-    if (!IsRight(*call)) {
-      std::cerr << "wrong answer to " << call->id_ << ": " << call->answer_
+    if (!IsCorrect(*call)) {
+      std::cerr << "wrong response to " << call->id_ << ": " << call->response_
                 << "\n";
       Close(call, &LoadCounts::wrong_);
       return;
@@ -198,24 +200,24 @@
     if (call->is_service_) {
       service_answered_.push_back(call->id_);
     }
-    total_ms_.push_back(Milliseconds(loop_.Now() - call->begun_));
+    total_ms_.push_back(Milliseconds(loop_.Now() - call->started_at_));
     Close(call, &LoadCounts::answered_);
     return;
   }
-  const auto problem = nlohmann::json::parse(call->answer_, nullptr, false);
+  const auto problem = nlohmann::json::parse(call->response_, nullptr, false);
   const std::string outcome =
       problem.is_object() ? problem.value("outcome", "") : "";
   if (outcome == "refused: not run") {
-    call->ticket_.clear();
+    call->idempotency_key_.clear();
     Retry(call, kRetryDelay);
     return;
   }
   call->may_have_run_ = true;
   if (!call->is_service_) {
     Retry(call, kRetryDelay);
-  } else if (outcome == "unknown" && call->ticket_.empty() &&
+  } else if (outcome == "unknown" && call->idempotency_key_.empty() &&
              problem.contains("idempotency_key")) {
-    call->ticket_ = problem["idempotency_key"].get<std::string>();
+    call->idempotency_key_ = problem["idempotency_key"].get<std::string>();
     Retry(call, kRetryDelay);
   } else {
     Close(call,
@@ -235,31 +237,31 @@
 void Load::Close(const CallPtr& call, std::uint64_t LoadCounts::*count) {
   (void)call;
   ++(counts_.*count);
-  --open_;
+  --in_flight_;
   FinishIfDone();
 }
 
-/// The HTTP client takes a close between two chunks for the end; a stream says
-/// itself where it ends.
-bool Load::IsCut(const Call& call) {
+/// The HTTP client takes a close between two chunks for the end of the
+/// response; a complete stream ends with its end event.
+bool Load::IsTruncated(const Call& call) {
   return call.status_ == 200 && !call.is_service_ &&
-         !call.answer_.ends_with("data: [DONE]\n\n");
+         !call.response_.ends_with("data: [DONE]\n\n");
 }
 
-bool Load::IsRight(const Call& call) const {
+bool Load::IsCorrect(const Call& call) const {
   if (call.is_service_) {
-    const auto answer = nlohmann::json::parse(call.answer_, nullptr, false);
-    return answer.is_object() && answer.value("id", "") == call.id_ &&
-           answer.value("receipt", "") == Receipt(call.body_, call.id_);
+    const auto response = nlohmann::json::parse(call.response_, nullptr, false);
+    return response.is_object() && response.value("id", "") == call.id_ &&
+           response.value("receipt", "") == Receipt(call.body_, call.id_);
   }
   const auto weights = daemon::FindHeader(call.headers_, "x-chalkwell-weights");
-  bool whole = false;
-  const auto tokens = TokensOf(call.answer_, whole);
-  if (!whole || tokens.size() != settings_.tokens_) {
+  bool complete = false;
+  const auto tokens = ParseTokens(call.response_, complete);
+  if (!complete || tokens.size() != settings_.tokens_) {
     return false;
   }
   for (std::size_t i = 0; i < tokens.size(); ++i) {
-    if (tokens[i] != AnswerToken(call.prompt_, weights, call.id_, i)) {
+    if (tokens[i] != ResponseToken(call.prompt_, weights, call.id_, i)) {
       return false;
     }
   }
@@ -276,8 +278,8 @@
                         {"wrong", counts_.wrong_},
                         {"tries", counts_.tries_},
                         {"broken", counts_.broken_},
-                        {"first_p50_ms", Percentile(first_ms_, 0.5)},
-                        {"first_p95_ms", Percentile(first_ms_, 0.95)},
+                        {"first_p50_ms", Percentile(first_byte_ms_, 0.5)},
+                        {"first_p95_ms", Percentile(first_byte_ms_, 0.95)},
                         {"gap_p95_ms", Percentile(gap_ms_, 0.95)},
                         {"total_p50_ms", Percentile(total_ms_, 0.5)},
                         {"total_p99_ms", Percentile(total_ms_, 0.99)},
@@ -286,7 +288,7 @@
 }
 
 void Load::FinishIfDone() {
-  if (!stopping_ || open_ != 0) {
+  if (!stopping_ || in_flight_ != 0) {
     return;
   }
   if (settings_.out_.empty()) {
--- a/tests/standins/load.hpp
+++ b/tests/standins/load.hpp
@@ -1,5 +1,5 @@
-// Load and experiment tool: sends requests as callers would, behind what
-// stands for the platform's balancer, and checks every answer.
+// Load generator: sends requests as callers do, each to a random entry as
+// behind the platform's load balancer, and checks every response.
 #pragma once
 
 #include <cstdint>
@@ -18,46 +18,54 @@
   std::vector<daemon::Address> entries_;
   std::string key_;
   double requests_per_second_ = 20;
-  /// Share of plain-service calls, 0 to 1.
+  /// Share of requests to plain services, 0 to 1; the others go to engines.
   double service_share_ = 0.2;
   std::string chat_path_ = "/v1/chat/completions";
   std::string service_path_ = "/records/orders";
   std::string model_;
+  /// Output tokens of each engine request.
   std::uint64_t tokens_ = 24;
+  /// Number of distinct prompt prefixes.
   std::size_t prefixes_ = 8;
-  /// 0: until SIGTERM.
+  /// 0 for no limit: it runs until Stop is called.
   core::Duration duration_{};
   std::uint64_t seed_ = 1;
-  /// Gets the result as JSON at the end.
+  /// File for the result as JSON; empty for standard output.
   std::string out_;
-  /// Tries of one request, retries by this client included.
+  /// Maximum number of attempts of one request.
   unsigned max_tries_ = 20;
-  /// Told to the entry; 0 for none.
+  /// Deadline that is sent to the entry; 0 for none.
   std::uint64_t deadline_ms_ = 0;
 };
 
-/// @brief Counts of a load.
+/// @brief Number of requests by outcome.
 struct LoadCounts {
   std::uint64_t sent_ = 0;
+  /// Correct responses.
   std::uint64_t answered_ = 0;
-  /// No final outcome was ever told and no tries are left.
+  /// No final outcome, although the request may have run.
   std::uint64_t lost_ = 0;
+  /// The entry reported that the outcome is unknown.
   std::uint64_t unknown_ = 0;
+  /// All attempts were refused without a run.
   std::uint64_t refused_ = 0;
+  /// The entry reported another failure of a service request.
   std::uint64_t failed_ = 0;
-  /// Answers that are not the answer to the request from one whole model.
+  /// Responses that differ from the expected one of a single weights version.
   std::uint64_t wrong_ = 0;
+  /// Attempts of all requests.
   std::uint64_t tries_ = 0;
-  /// Responses that broke off without a final outcome.
+  /// Responses that ended before the final outcome.
   std::uint64_t broken_ = 0;
 };
 
-/// @brief The client.
+/// @brief Sends requests at a constant rate, independent of the responses.
 class Load {
  public:
   Load(daemon::Loop& loop, const LoadSettings& settings);
 
-  /// @brief Sends no more; the result is written when all has ended.
+  /// @brief Stops sending; when all requests have ended, writes the result and
+  /// stops the loop.
   void Stop();
 
  private:
@@ -67,12 +75,12 @@
   void SendNext();
   void Try(const CallPtr& call);
   void OnEnd(const CallPtr& call, daemon::HttpEnd end);
-  void OnWhole(const CallPtr& call);
+  void OnComplete(const CallPtr& call);
   void Retry(const CallPtr& call, core::Duration delay);
   void Close(const CallPtr& call, std::uint64_t LoadCounts::*count);
   void FinishIfDone();
-  [[nodiscard]] static bool IsCut(const Call& call);
-  [[nodiscard]] bool IsRight(const Call& call) const;
+  [[nodiscard]] static bool IsTruncated(const Call& call);
+  [[nodiscard]] bool IsCorrect(const Call& call) const;
   [[nodiscard]] std::string Result() const;
 
   daemon::Loop& loop_;
@@ -80,16 +88,16 @@
   daemon::HttpClient client_;
   std::mt19937_64 random_;
   LoadCounts counts_;
-  std::size_t open_ = 0;
+  std::size_t in_flight_ = 0;
   bool stopping_ = false;
-  /// Milliseconds to the first byte and between pieces of streams.
-  std::vector<double> first_ms_;
+  /// Time to the first data of a stream, and between its data.
+  std::vector<double> first_byte_ms_;
   std::vector<double> gap_ms_;
   std::vector<double> total_ms_;
-  /// Calls of plain services that were answered; each must have run once.
+  /// Ids of service requests with a correct response; each must have run once.
   std::vector<std::string> service_answered_;
-  daemon::Timer next_;
-  daemon::Timer stop_;
+  daemon::Timer send_timer_;
+  daemon::Timer stop_timer_;
 };
 
 }  // namespace chalkwell::standins
--- a/tests/standins/main.cpp
+++ b/tests/standins/main.cpp
@@ -1,4 +1,5 @@
-// chalkwell-standin: every system met outside, in one test program.
+// chalkwell-standin: fakes of all external systems and the load generator, each
+// a subcommand.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <iostream>
@@ -17,7 +18,7 @@
 using chalkwell::daemon::ParseAddress;
 using std::chrono::milliseconds;
 
-/// All options in one place; each subcommand uses some of them.
+/// Options of all subcommands; each subcommand uses some of them.
 struct Options {
   std::vector<std::string> addresses_;
   std::string folder_;
@@ -92,16 +93,18 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"chalkwell-standin: stand-ins for tests and the demo"};
+  CLI::App app{
+      "chalkwell-standin: fakes of external systems for tests and the demo"};
   app.require_subcommand(1);
   Options options;
-  auto* platform = AddServer(app, "platform", "configuration service", options);
+  auto* platform = AddServer(app, "platform", "configuration store", options);
   platform->add_option("--list-lag-ms", options.lag_ms_);
-  auto* blobs = AddServer(app, "blobs", "weight store or origin", options);
+  auto* blobs = AddServer(app, "blobs", "weights store or origin", options);
   blobs->add_option("--folder", options.folder_)->required();
-  blobs->add_option("--rate", options.rate_, "bytes a second");
+  blobs->add_option("--rate", options.rate_, "bytes per second");
   blobs->add_option("--requests-rate", options.requests_rate_);
-  blobs->add_option("--held", options.held_, "per cent of blobs held");
+  blobs->add_option("--held", options.held_,
+                    "percentage of the blobs that it holds");
   auto* engine = AddServer(app, "engine", "model engines", options);
   engine->add_option("--token-ms", options.token_ms_);
   engine->add_option("--prefill-ms", options.prefill_ms_);
@@ -110,7 +113,8 @@
   engine->add_flag("--ignore-fencing", options.ignore_fencing_);
   auto* service = AddServer(app, "service", "plain services", options);
   service->add_option("--time-ms", options.time_ms_);
-  auto* load = app.add_subcommand("load", "send requests and check answers");
+  auto* load =
+      app.add_subcommand("load", "send requests and check the responses");
   load->add_option("--entry", options.addresses_, "ip:port")->required();
   load->add_option("--key", options.load_.key_)->required();
   load->add_option("--rps", options.load_.requests_per_second_);
--- a/tests/standins/platform.cpp
+++ b/tests/standins/platform.cpp
@@ -1,4 +1,4 @@
-// Long-polling watches over a map of values.
+// Watches are long polls on a map of values.
 #include "standins/platform.hpp"
 
 #include <algorithm>
@@ -10,9 +10,9 @@
 namespace chalkwell::standins {
 namespace {
 
-constexpr std::size_t kMaxValue = 1 << 20;
-constexpr std::size_t kHistory = 64;
-constexpr auto kSweep = std::chrono::milliseconds(20);
+constexpr std::size_t kMaxValueBytes = 1 << 20;
+constexpr std::size_t kMaxHistory = 64;
+constexpr auto kWatchInterval = std::chrono::milliseconds(20);
 const daemon::HttpHeaders kJson{{"content-type", "application/json"}};
 
 }  // namespace
@@ -21,13 +21,14 @@
     : loop_(loop),
       settings_(settings),
       window_start_(loop.Now()),
-      sweep_(loop),
+      watch_timer_(loop),
       server_(loop,
-              {.address_ = settings.address_, .max_body_bytes_ = 2 * kMaxValue},
+              {.address_ = settings.address_,
+               .max_body_bytes_ = 2 * kMaxValueBytes},
               [this](const daemon::HttpExchangePtr& exchange) {
                 OnRequest(exchange);
               }) {
-  sweep_.Every(kSweep, [this] { Sweep(); });
+  watch_timer_.Every(kWatchInterval, [this] { RespondToDueWatches(); });
 }
 
 void Platform::OnRequest(const daemon::HttpExchangePtr& exchange) {
@@ -36,7 +37,7 @@
     OnControl(exchange);
   } else if (down_) {
     exchange->Respond(503, {}, "down");
-  } else if (!TakeCall()) {
+  } else if (!CountCall()) {
     ++refused_;
     exchange->Respond(429, {}, "too many calls");
   } else if (path.starts_with("/v1/watch")) {
@@ -46,7 +47,7 @@
   }
 }
 
-bool Platform::TakeCall() {
+bool Platform::CountCall() {
   const auto now = loop_.Now();
   if (now - window_start_ >= std::chrono::seconds(1)) {
     window_start_ = now;
@@ -54,7 +55,7 @@
   }
   ++calls_;
   ++window_calls_;
-  // A waiting watch counts as a call in each second.
+  // A waiting watch counts as one call per second.
   const auto used = window_calls_ + watches_.size();
   peak_calls_ = std::max<std::uint64_t>(peak_calls_, used);
   return used <= settings_.calls_per_second_;
@@ -79,16 +80,16 @@
                     .until_ = loop_.Now() + std::chrono::milliseconds(
                                                 NumberOf(query, "wait_ms"))};
   if (Revision(Visible()) != watch.after_ || watch.until_ <= loop_.Now()) {
-    Answer(watch);
+    RespondToWatch(watch);
   } else {
     watches_.push_back(watch);
   }
 }
 
-void Platform::Answer(const Watch& watch) const {
+void Platform::RespondToWatch(const Watch& watch) const {
   const auto& values = Visible();
   const auto revision = Revision(values);
-  // A reader that is ahead of a stale service is shown all of it.
+  // A reader with a newer revision than the stale state gets all of the state.
   const auto after = watch.after_ > revision ? 0 : watch.after_;
   auto list = nlohmann::json::array();
   for (const auto& [key, value] : values) {
@@ -102,7 +103,7 @@
   watch.exchange_->Respond(200, kJson, body.dump());
 }
 
-void Platform::Sweep() {
+void Platform::RespondToDueWatches() {
   const auto now = loop_.Now();
   const auto revision = Revision(Visible());
   std::erase_if(watches_, [&](const Watch& watch) {
@@ -113,7 +114,7 @@
     if (due && down_) {
       watch.exchange_->Respond(503, {}, "down");
     } else if (due) {
-      Answer(watch);
+      RespondToWatch(watch);
     }
     return due;
   });
@@ -121,11 +122,11 @@
 
 void Platform::Publish(const std::string& key, std::string text) {
   history_.push_back(values_);
-  if (history_.size() > kHistory) {
+  if (history_.size() > kMaxHistory) {
     history_.pop_front();
   }
   values_[key] = {++revision_, std::move(text)};
-  Sweep();
+  RespondToDueWatches();
 }
 
 void Platform::OnControl(const daemon::HttpExchangePtr& exchange) {
@@ -135,28 +136,28 @@
   constexpr std::string_view kValues = "/control/values/";
   if (path.starts_with(kValues)) {
     const auto key = path.substr(kValues.size());
-    if (request.body_.size() > kMaxValue) {
+    if (request.body_.size() > kMaxValueBytes) {
       exchange->Respond(413, {}, "values are at most 1 MB");
       return;
     }
-    const bool lags = key.starts_with("instances");
-    loop_.After(lags ? settings_.list_lag_ : core::Duration{},
+    const bool is_instance_list = key.starts_with("instances");
+    loop_.After(is_instance_list ? settings_.list_lag_ : core::Duration{},
                 [this, key, body = request.body_] { Publish(key, body); });
   } else if (path == "/control/down") {
     down_ = NumberOf(query, "on") != 0;
-    Sweep();
+    RespondToDueWatches();
   } else if (path == "/control/stale") {
-    // back=N shows the state N changes ago and keeps showing it.
+    // back=N selects the state before the last N changes.
     const auto back = NumberOf(query, "back");
     const bool on = NumberOf(query, "on") != 0;
     stale_.reset();
     if (on) {
-      const auto& shown = back == 0 || back > history_.size()
-                              ? values_
-                              : history_[history_.size() - back];
-      stale_ = std::make_unique<Values>(shown);
+      const auto& selected = back == 0 || back > history_.size()
+                                 ? values_
+                                 : history_[history_.size() - back];
+      stale_ = std::make_unique<Values>(selected);
     }
-    Sweep();
+    RespondToDueWatches();
   } else if (path == "/control/stats") {
     exchange->Respond(200, kJson, Stats());
     if (NumberOf(query, "reset") != 0) {
--- a/tests/standins/platform.hpp
+++ b/tests/standins/platform.hpp
@@ -1,5 +1,6 @@
-// Stand-in of the platform's configuration service: read and watch only, with
-// a limit of calls, values to 1 MB, a lagging list; down and stale on command.
+// Fake of the configuration store: allows reads and watches only, limits the
+// rate of calls and the size of values to 1 MB, and delays the instance list.
+// Control calls make it unavailable or stale.
 #pragma once
 
 #include <cstdint>
@@ -13,16 +14,17 @@
 
 namespace chalkwell::standins {
 
-/// @brief Settings of the stand-in.
+/// @brief Settings of the fake.
 struct PlatformSettings {
   daemon::Address address_;
+  /// More calls get 429.
   std::uint64_t calls_per_second_ = 2000;
-  /// How late a change of the instance list shows.
+  /// From publishing a change of the instance list until readers see it.
   core::Duration list_lag_{};
 };
 
-/// @brief The service. The paths under /control are the operators' side and
-/// the tests'; the system never calls them.
+/// @brief Serves reads and watches to the system. The paths under /control are
+/// called by operators and tests only.
 class Platform {
  public:
   Platform(daemon::Loop& loop, const PlatformSettings& settings);
@@ -43,9 +45,9 @@
   void OnWatch(const daemon::HttpExchangePtr& exchange);
   void OnControl(const daemon::HttpExchangePtr& exchange);
   void Publish(const std::string& key, std::string text);
-  void Answer(const Watch& watch) const;
-  void Sweep();
-  [[nodiscard]] bool TakeCall();
+  void RespondToWatch(const Watch& watch) const;
+  void RespondToDueWatches();
+  [[nodiscard]] bool CountCall();
   [[nodiscard]] const Values& Visible() const;
   [[nodiscard]] std::uint64_t Revision(const Values& values) const;
   [[nodiscard]] std::string Stats() const;
@@ -53,9 +55,9 @@
   daemon::Loop& loop_;
   PlatformSettings settings_;
   Values values_;
-  /// Earlier states, newest last; a stale or backward service shows one.
+  /// Earlier states, newest last, from which a stale state is selected.
   std::deque<Values> history_;
-  /// Shown instead of the present state while stale.
+  /// Served instead of the current state; null unless stale.
   std::unique_ptr<Values> stale_;
   std::uint64_t revision_ = 0;
   bool down_ = false;
@@ -65,7 +67,7 @@
   std::uint64_t calls_ = 0;
   std::uint64_t refused_ = 0;
   std::uint64_t peak_calls_ = 0;
-  daemon::Timer sweep_;
+  daemon::Timer watch_timer_;
   daemon::HttpServer server_;
 };
 
--- a/tests/standins/query.cpp
+++ b/tests/standins/query.cpp
@@ -1,4 +1,4 @@
-// Parsing of queries; no escapes are needed here.
+// Percent-encoding is not decoded, since no test uses it.
 #include "standins/query.hpp"
 
 #include <sstream>
--- a/tests/standins/query.hpp
+++ b/tests/standins/query.hpp
@@ -1,4 +1,4 @@
-// Queries of the stand-ins' control paths.
+// Parsing of query strings for the fakes.
 #pragma once
 
 #include <cstdint>
@@ -7,10 +7,11 @@
 
 namespace chalkwell::standins {
 
-/// @brief The name=value pairs behind the '?' of a path.
+/// @brief Returns the name=value pairs after the '?' of a path.
 [[nodiscard]] std::map<std::string, std::string> ParseQuery(
     const std::string& path);
-/// @brief A number of a query; 0 when it is not there.
+/// @brief Returns a number of a query; 0 if it is missing or empty.
+/// @throws std::invalid_argument if it is not a number.
 [[nodiscard]] std::uint64_t NumberOf(
     const std::map<std::string, std::string>& query, const std::string& name);
 
--- a/tests/standins/service.cpp
+++ b/tests/standins/service.cpp
@@ -1,10 +1,10 @@
-// Each POST runs once for each time it arrives; the record shows doubles.
+// Every request that arrives is executed, also a repeated one.
 #include "standins/service.hpp"
 
 #include <iostream>
 #include <nlohmann/json.hpp>
 
-#include "standins/answers.hpp"
+#include "standins/deterministic_responses.hpp"
 
 namespace chalkwell::standins {
 
@@ -31,11 +31,11 @@
   const auto id =
       std::string(daemon::FindHeader(request.headers_, "x-request-id"));
   ++executed_[id];
-  // In the log at once: the record must outlive a killed service.
-  std::cout << kExecutedMark << id << std::endl;
-  const nlohmann::json answer{{"id", id},
-                              {"receipt", Receipt(request.body_, id)}};
-  loop_.After(settings_.time_, [exchange, headers, text = answer.dump()] {
+  // Flushed at once, so that the log is complete after the service is killed.
+  std::cout << kExecutedPrefix << id << std::endl;
+  const nlohmann::json response{{"id", id},
+                                {"receipt", Receipt(request.body_, id)}};
+  loop_.After(settings_.time_, [exchange, headers, text = response.dump()] {
     exchange->Respond(200, headers, text);
   });
 }
--- a/tests/standins/service.hpp
+++ b/tests/standins/service.hpp
@@ -1,5 +1,5 @@
-// Stand-in of a plain service whose calls may not be repeated: it records each
-// execution.
+// Fake of a plain service whose requests may be executed only once: it records
+// each execution.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,17 @@
 
 namespace chalkwell::standins {
 
-/// Begins the log line of each execution.
-inline constexpr const char* kExecutedMark = "executed ";
+/// Prefix of the log line of each execution; the request id follows.
+inline constexpr const char* kExecutedPrefix = "executed ";
 
-/// @brief Settings of the stand-in.
+/// @brief Settings of the fake.
 struct ServiceSettings {
   daemon::Address address_;
+  /// From the execution to the response.
   core::Duration time_ = std::chrono::milliseconds(10);
 };
 
-/// @brief The service.
+/// @brief Serves any path; /control/record lists the executions.
 class Service {
  public:
   Service(daemon::Loop& loop, const ServiceSettings& settings);
@@ -29,7 +30,7 @@
 
   daemon::Loop& loop_;
   ServiceSettings settings_;
-  /// Executions by the caller's own name of the order.
+  /// Number of executions by request id.
   std::map<std::string, std::uint64_t> executed_;
   daemon::HttpServer server_;
 };
