--- a/tests/soak/callers.cpp
+++ b/tests/soak/callers.cpp
@@ -1,4 +1,4 @@
-// Open loop: a slow answer holds no later request back.
+// Open-loop load: a slow response does not delay later requests.
 #include "soak/callers.hpp"
 
 #include <utility>
@@ -7,41 +7,42 @@
 namespace {
 
 constexpr auto kTick = milliseconds(5);
-constexpr auto kPatience = milliseconds(7000);
-/// Of ten requests, so many are streams, and so many may be repeated; the rest
-/// run at most once.
-constexpr unsigned kStreams = 7;
-constexpr unsigned kRepeatable = 2;
-/// Longest pause between two tries of a request that crashes endpoints.
-constexpr unsigned kCrashingPauseMs = 400;
+constexpr auto kTimeout = milliseconds(7000);
+/// Of ten requests, how many are streams and how many may run repeatedly; the
+/// others may run only once.
+constexpr unsigned kStreamsOfTen = 7;
+constexpr unsigned kRepeatableOfTen = 2;
+/// Upper bound of the pause between two attempts of a crashing request.
+constexpr unsigned kMaxCrashingPauseMs = 400;
 constexpr int kCrashingDeadlineMs = 6000;
 
-struct Kind {
+struct RequestKind {
   const char* path_;
   int deadline_ms_;
 };
 
-Kind KindOf(unsigned draw) {
-  if (draw < kStreams) {
+RequestKind KindOf(unsigned number) {
+  if (number < kStreamsOfTen) {
     return {"/stream/", 6000};
   }
-  return draw < kStreams + kRepeatable ? Kind{"/safe/", 1200}
-                                       : Kind{"/once/", 1200};
+  return number < kStreamsOfTen + kRepeatableOfTen
+             ? RequestKind{"/safe/", 1200}
+             : RequestKind{"/once/", 1200};
 }
 
 }  // namespace
 
 Callers::Callers(std::vector<Target> targets, unsigned rate, std::uint64_t seed,
-                 Judge& judge)
+                 Checker& checker)
     : targets_(std::move(targets)),
       rate_(rate),
       random_(static_cast<std::minstd_rand::result_type>(seed)),
-      judge_(judge),
-      begun_(std::chrono::steady_clock::now()) {
+      checker_(checker),
+      started_at_(std::chrono::steady_clock::now()) {
   thread_.Do([this] {
-    http_ = std::make_unique<daemon::HttpClient>(thread_.loop(), kPatience);
+    http_ = std::make_unique<daemon::HttpClient>(thread_.loop(), kTimeout);
     timer_ = std::make_unique<daemon::Timer>(thread_.loop());
-    timer_->Every(kTick, [this] { SendSome(); });
+    timer_->Every(kTick, [this] { SendDue(); });
   });
 }
 
@@ -52,46 +53,47 @@
   });
 }
 
-void Callers::SendSome() {
-  const std::chrono::duration<double> passed =
-      std::chrono::steady_clock::now() - begun_;
-  const auto due = static_cast<std::uint64_t>(passed.count() * rate_);
-  while (sent_ - extra_ < due) {
-    SendOne(AnyTarget());
+void Callers::SendDue() {
+  const std::chrono::duration<double> elapsed =
+      std::chrono::steady_clock::now() - started_at_;
+  const auto due = static_cast<std::uint64_t>(elapsed.count() * rate_);
+  while (sent_ - crashing_sent_ < due) {
+    SendRegular(RandomTarget());
   }
   SendCrashing();
 }
 
-void Callers::BeginCrashing(std::chrono::milliseconds length) {
+void Callers::StartCrashingSeries(std::chrono::milliseconds duration) {
   thread_.Do([&] {
     const auto now = std::chrono::steady_clock::now();
     const auto* path = random_() % 2 == 0 ? "/stream/" : "/safe/";
-    series_.push_back({kCrashMark + std::to_string(++series_begun_), path,
-                       now + length, now});
+    series_.push_back({kCrashMark + std::to_string(++series_started_), path,
+                       now + duration, now});
   });
 }
 
 void Callers::SendCrashing() {
   const auto now = std::chrono::steady_clock::now();
-  std::erase_if(series_,
-                [&](const Series& series) { return now >= series.until_; });
+  std::erase_if(series_, [&](const CrashingSeries& series) {
+    return now >= series.end_;
+  });
   for (auto& series : series_) {
-    if (now < series.next_) {
+    if (now < series.next_send_) {
       continue;
     }
-    series.next_ = now + milliseconds(random_() % kCrashingPauseMs);
-    const auto& target = AnyTarget();
+    series.next_send_ = now + milliseconds(random_() % kMaxCrashingPauseMs);
+    const auto& target = RandomTarget();
     const auto id =
         target.name_ + "/" + series.name_ + "/" + std::to_string(++sent_);
     Send(target, series.path_ + "x", kCrashingDeadlineMs, id, series.name_);
-    ++extra_;
+    ++crashing_sent_;
   }
 }
 
-void Callers::SendOne(const Target& target) {
+void Callers::SendRegular(const Target& target) {
   const auto number = std::to_string(++sent_);
   const auto kind = KindOf(random_() % 10);
-  // Half of them ask for the same.
+  // Half of the requests have the same body.
   const auto body = random_() % 2 == 0 ? "body" : "body " + number;
   Send(target, std::string(kind.path_) + "x", kind.deadline_ms_,
        target.name_ + "/" + number, body);
@@ -114,8 +116,9 @@
   http_->Fetch(
       daemon::ParseAddress(target.address_), request,
       [this, id](const daemon::HttpResponse& response) {
-        const bool whole = response.end_ == daemon::HttpEnd::kWhole;
-        judge_.OnAnswered(id, whole ? response.status_ : 0, response.body_);
+        const bool complete = response.end_ == daemon::HttpEnd::kWhole;
+        checker_.OnResponse(id, complete ? response.status_ : 0,
+                            response.body_);
       },
       std::size_t{1} << 20, std::move(options));
 }
--- a/tests/soak/callers.hpp
+++ b/tests/soak/callers.hpp
@@ -1,6 +1,6 @@
-// Callers who keep using their connections: a steady stream of requests of all
-// kinds to all entries that are up, many of them for the same, and callers who
-// repeat a request that crashes endpoints.
+// Callers of the soak on keep-alive connections: a constant rate of requests of
+// all kinds to random entries, half of them with the same body, and callers
+// that repeat a request that crashes endpoints.
 #pragma once
 
 #include <atomic>
@@ -11,59 +11,60 @@
 
 #include "daemon/http_client.hpp"
 #include "platform/standins.hpp"
-#include "soak/judge.hpp"
+#include "soak/checker.hpp"
 
 namespace chalkwell::soak {
 
-/// @brief Address of an entry, and the name under which it is judged.
+/// @brief An entry: its name, as in ids of requests, and its address.
 struct Target {
   std::string name_;
   std::string address_;
 };
 
-/// @brief Sends until it is destroyed.
+/// @brief Sends requests from its own thread until it is destroyed, and reports
+/// the responses to the checker.
 class Callers {
  public:
-  /// @param rate requests a second, over all targets.
+  /// @param rate requests per second over all targets.
   Callers(std::vector<Target> targets, unsigned rate, std::uint64_t seed,
-          Judge& judge);
+          Checker& checker);
   ~Callers();
   Callers(const Callers&) = delete;
   Callers& operator=(const Callers&) = delete;
 
-  /// @brief From now on, for a while, a request is repeated at any entry whose
-  /// runs crash their endpoints.
-  void BeginCrashing(std::chrono::milliseconds length);
+  /// @brief Starts a series of attempts, at random entries, of a new request
+  /// that crashes each endpoint that runs it.
+  void StartCrashingSeries(std::chrono::milliseconds duration);
 
  private:
-  /// Tries of one request that crashes endpoints.
-  struct Series {
-    /// Its body holds it.
+  /// Attempts of one request that crashes endpoints.
+  struct CrashingSeries {
+    /// Begins with kCrashMark; it is the body of the request.
     std::string name_;
     std::string path_;
-    std::chrono::steady_clock::time_point until_;
-    std::chrono::steady_clock::time_point next_;
+    std::chrono::steady_clock::time_point end_;
+    std::chrono::steady_clock::time_point next_send_;
   };
 
-  void SendSome();
+  void SendDue();
   void SendCrashing();
-  void SendOne(const Target& target);
+  void SendRegular(const Target& target);
   void Send(const Target& target, const std::string& path, int deadline_ms,
             const std::string& id, const std::string& body);
-  [[nodiscard]] const Target& AnyTarget() {
+  [[nodiscard]] const Target& RandomTarget() {
     return targets_[random_() % targets_.size()];
   }
 
   std::vector<Target> targets_;
   unsigned rate_;
   std::minstd_rand random_;
-  Judge& judge_;
+  Checker& checker_;
   std::uint64_t sent_ = 0;
-  /// Of them, beyond the steady stream.
-  std::uint64_t extra_ = 0;
-  std::uint64_t series_begun_ = 0;
-  std::vector<Series> series_;
-  std::chrono::steady_clock::time_point begun_;
+  /// Attempts of crashing requests, which `sent_` counts too.
+  std::uint64_t crashing_sent_ = 0;
+  std::uint64_t series_started_ = 0;
+  std::vector<CrashingSeries> series_;
+  std::chrono::steady_clock::time_point started_at_;
   standins::LoopThread thread_;
   std::unique_ptr<daemon::HttpClient> http_;
   std::unique_ptr<daemon::Timer> timer_;
--- a/tests/soak/checker.cpp
+++ b/tests/soak/checker.cpp
@@ -1,5 +1,5 @@
-// Endpoints judge by their own clock against the store's acknowledgement.
-#include "soak/judge.hpp"
+// Arrivals are compared with the times of the store's acknowledgements.
+#include "soak/checker.hpp"
 
 #include <algorithm>
 
@@ -16,7 +16,7 @@
   return request.substr(0, request.find('/'));
 }
 
-/// Name of a request that crashes endpoints; empty for others.
+/// Name of a crashing request; empty for others.
 std::string CrashingName(const std::string& request) {
   const auto begin = request.find('/') + 1;
   const auto name = request.substr(begin, request.find('/', begin) - begin);
@@ -25,169 +25,177 @@
 
 }  // namespace
 
-milliseconds Times::Quantile(double share) const {
-  if (times_.empty()) {
+milliseconds DurationSample::Quantile(double share) const {
+  if (durations_.empty()) {
     return milliseconds(0);
   }
-  auto sorted = times_;
+  auto sorted = durations_;
   std::ranges::sort(sorted);
   const auto last = static_cast<double>(sorted.size() - 1);
   return sorted[static_cast<std::size_t>(share * last)];
 }
 
-void Judge::OnLeft(const std::string& endpoint) {
+void Checker::OnDepartureAcknowledged(const std::string& endpoint) {
   const std::lock_guard lock(mutex_);
-  left_.try_emplace(endpoint, Now());
+  departed_at_.try_emplace(endpoint, Now());
 }
 
-void Judge::OnBack(const std::string& endpoint) {
+void Checker::OnListed(const std::string& endpoint) {
   const std::lock_guard lock(mutex_);
-  left_.erase(endpoint);
+  departed_at_.erase(endpoint);
 }
 
-void Judge::OnDisturbed(const std::string& entry) {
+void Checker::OnDisturbed(const std::string& entry) {
   const std::lock_guard lock(mutex_);
-  disturbed_[entry] = Now();
+  disturbed_at_[entry] = Now();
 }
 
-void Judge::OnPathHeld(const std::string& endpoint) {
+void Checker::OnPathHeld(const std::string& endpoint) {
   const std::lock_guard lock(mutex_);
-  held_until_[endpoint] = TimePoint::max();
+  path_held_until_[endpoint] = TimePoint::max();
 }
 
-void Judge::OnPathBack(const std::string& endpoint) {
+void Checker::OnPathReleased(const std::string& endpoint) {
   const std::lock_guard lock(mutex_);
-  held_until_[endpoint] = Now();
+  path_held_until_[endpoint] = Now();
 }
 
-bool Judge::InTouch(const std::string& entry, TimePoint now) const {
+bool Checker::IsUndisturbed(const std::string& entry, TimePoint now) const {
   return std::ranges::all_of(std::vector<std::string>{entry, ""},
                              [&](const std::string& name) {
-                               const auto found = disturbed_.find(name);
-                               return found == disturbed_.end() ||
-                                      now - found->second >= bounds_.contact_;
+                               const auto found = disturbed_at_.find(name);
+                               return found == disturbed_at_.end() ||
+                                      now - found->second >= bounds_.recovery_;
                              });
 }
 
-bool Judge::PathHeld(const std::string& endpoint, TimePoint now) const {
-  const auto found = held_until_.find(endpoint);
-  return found != held_until_.end() && (found->second == TimePoint::max() ||
-                                        now - found->second < bounds_.contact_);
+bool Checker::IsPathHeld(const std::string& endpoint, TimePoint now) const {
+  const auto found = path_held_until_.find(endpoint);
+  return found != path_held_until_.end() &&
+         (found->second == TimePoint::max() ||
+          now - found->second < bounds_.recovery_);
 }
 
-void Judge::OnArrival(const std::string& endpoint, const std::string& request) {
+void Checker::OnArrival(const std::string& endpoint,
+                        const std::string& request) {
   const auto now = Now();
   const std::lock_guard lock(mutex_);
   ++arrivals_;
-  JudgeLeft(endpoint, request, now);
-  JudgeStray(endpoint, request, now);
-  JudgeCrashing(endpoint, request, now);
+  CheckDeparted(endpoint, request, now);
+  CheckLateArrival(endpoint, request, now);
+  CheckCrashing(endpoint, request, now);
 }
 
-void Judge::JudgeCrashing(const std::string& endpoint,
-                          const std::string& request, TimePoint now) {
+void Checker::CheckCrashing(const std::string& endpoint,
+                            const std::string& request, TimePoint now) {
   const auto name = CrashingName(request);
   if (name.empty()) {
     return;
   }
   const auto entry = EntryOf(request);
-  const bool in_touch = InTouch(entry, now);
-  crashing_arrivals_[request] = {{}, now, entry, in_touch};
+  const bool undisturbed = IsUndisturbed(entry, now);
+  crashing_arrivals_[request] = {{}, now, entry, undisturbed};
   const auto found = crashes_.find(name);
-  if (found == crashes_.end() || found->second.size() < bounds_.crashes_ ||
-      !in_touch) {
+  if (found == crashes_.end() ||
+      found->second.size() < bounds_.quarantine_crashes_ || !undisturbed) {
     return;
   }
-  const auto after = Since(found->second[bounds_.crashes_ - 1].at_, now);
-  if (after > bounds_.contact_ && ++tries_after_[name] > bounds_.tries_after_) {
+  const auto after =
+      Since(found->second[bounds_.quarantine_crashes_ - 1].at_, now);
+  if (after > bounds_.recovery_ && ++attempts_after_quarantine_[name] >
+                                       bounds_.max_attempts_after_quarantine_) {
     findings_.push_back(
-        {"sent although it crashes endpoints", endpoint, request, after});
+        {"sent although quarantined", endpoint, request, after});
   }
 }
 
-void Judge::OnCrash(const std::string& request) {
+void Checker::OnCrash(const std::string& request) {
   const std::lock_guard lock(mutex_);
   auto seen = crashing_arrivals_[request];
   seen.at_ = Now();
   crashes_[CrashingName(request)].push_back(seen);
 }
 
-void Judge::JudgeLeft(const std::string& endpoint, const std::string& request,
-                      TimePoint now) {
-  const auto left = left_.find(endpoint);
-  if (left == left_.end() || !InTouch(EntryOf(request), now)) {
+void Checker::CheckDeparted(const std::string& endpoint,
+                            const std::string& request, TimePoint now) {
+  const auto left = departed_at_.find(endpoint);
+  if (left == departed_at_.end() || !IsUndisturbed(EntryOf(request), now)) {
     return;
   }
   const auto after = Since(left->second, now);
-  if (!PathHeld(endpoint, now)) {
-    late_sends_.Add(after);
+  if (!IsPathHeld(endpoint, now)) {
+    arrivals_after_departure_.Add(after);
   }
   if (after > bounds_.drain_) {
-    const auto* what = PathHeld(endpoint, now)
-                           ? "reached one that left, held up"
-                           : "reached one that left";
-    findings_.push_back({what, endpoint, request, after});
+    const auto* kind = IsPathHeld(endpoint, now)
+                           ? "arrived after departure, path held"
+                           : "arrived after departure";
+    findings_.push_back({kind, endpoint, request, after});
   }
 }
 
-void Judge::JudgeStray(const std::string& endpoint, const std::string& request,
-                       TimePoint now) {
-  const auto answered = answered_.find(request);
-  if (answered == answered_.end() || !InTouch(EntryOf(request), now)) {
+void Checker::CheckLateArrival(const std::string& endpoint,
+                               const std::string& request, TimePoint now) {
+  const auto answered = responded_at_.find(request);
+  if (answered == responded_at_.end() ||
+      !IsUndisturbed(EntryOf(request), now)) {
     return;
   }
   const auto after = Since(answered->second, now);
-  if (after > bounds_.stray_) {
-    findings_.push_back({"arrived after its answer", endpoint, request, after});
+  if (after > bounds_.late_arrival_) {
+    findings_.push_back(
+        {"arrived after its response", endpoint, request, after});
   }
 }
 
-void Judge::OnAnswered(const std::string& request, int status,
-                       const std::string& body) {
+void Checker::OnResponse(const std::string& request, int status,
+                         const std::string& body) {
   const std::lock_guard lock(mutex_);
   if (CrashingName(request).empty()) {
-    suspected_ += body.find("suspected: ") != std::string::npos ? 1 : 0;
+    refused_as_suspected_ +=
+        body.find("suspected: ") != std::string::npos ? 1 : 0;
     if (body.find("quarantined: ") != std::string::npos) {
       findings_.push_back(
-          {"innocent, but quarantined", "", request, milliseconds(0)});
+          {"quarantined without a crash", "", request, milliseconds(0)});
     }
   }
-  answered_[request] = Now();
-  ++answers_[status];
+  responded_at_[request] = Now();
+  ++responses_[status];
   if (status >= 400 && status < 500) {
-    findings_.push_back({"proper, denied with " + std::to_string(status), "",
-                         request, milliseconds(0)});
+    findings_.push_back(
+        {"valid request rejected with " + std::to_string(status), "", request,
+         milliseconds(0)});
   }
 }
 
-std::vector<Finding> Judge::findings() const {
+std::vector<Finding> Checker::findings() const {
   const std::lock_guard lock(mutex_);
   return findings_;
 }
 
-std::map<int, std::uint64_t> Judge::answers() const {
+std::map<int, std::uint64_t> Checker::responses() const {
   const std::lock_guard lock(mutex_);
-  return answers_;
+  return responses_;
 }
 
-std::uint64_t Judge::arrivals() const {
+std::uint64_t Checker::arrivals() const {
   const std::lock_guard lock(mutex_);
   return arrivals_;
 }
 
-Times Judge::late_sends() const {
+DurationSample Checker::arrivals_after_departure() const {
   const std::lock_guard lock(mutex_);
-  return late_sends_;
+  return arrivals_after_departure_;
 }
 
-std::map<std::string, std::vector<CrashSeen>> Judge::crashes() const {
+std::map<std::string, std::vector<CrashRecord>> Checker::crashes() const {
   const std::lock_guard lock(mutex_);
   return crashes_;
 }
 
-std::uint64_t Judge::suspected() const {
+std::uint64_t Checker::refused_as_suspected() const {
   const std::lock_guard lock(mutex_);
-  return suspected_;
+  return refused_as_suspected_;
 }
 
 }  // namespace chalkwell::soak
--- a/tests/soak/checker.hpp
+++ b/tests/soak/checker.hpp
@@ -1,6 +1,6 @@
-// What callers, endpoints and the store saw, held against what the system
-// promises of endpoints that leave and of requests that crash endpoints. All
-// clocks are one: the soak's own.
+// Checks what callers, endpoints and the store observed against the guarantees
+// for departing endpoints and for requests that crash endpoints. All times are
+// of the steady clock of the soak process.
 #pragma once
 
 #include <chrono>
@@ -15,119 +15,133 @@
 using TimePoint = std::chrono::steady_clock::time_point;
 using std::chrono::milliseconds;
 
-/// @brief Begins the name of a request that crashes endpoints; its body and id
-/// hold the name.
+/// @brief Prefix of the names of requests that crash endpoints; body and id of
+/// such a request contain its name.
 inline const std::string kCrashMark = "crash-";
 
-/// @brief Bounds of a deployment.
+/// @brief Guaranteed bounds that are checked.
 struct Bounds {
-  /// From the store's acknowledgement that an endpoint leaves, or is gone, to
-  /// the last request that may arrive there.
+  /// From the store's acknowledgement that an endpoint is draining or removed
+  /// to the last request that may arrive there.
   milliseconds drain_{3000};
-  /// A process is in touch after so long without a disturbance.
-  milliseconds contact_{4000};
-  /// A request that was answered may still arrive somewhere for this long.
-  milliseconds stray_{500};
-  /// Crashes after which a request is known to be their cause, and how often it
-  /// may arrive once entries have had the time to know it.
-  std::size_t crashes_ = 3;
-  std::size_t tries_after_ = 3;
+  /// From the end of a disturbance until the guarantees apply again.
+  milliseconds recovery_{4000};
+  /// From the response to a caller to the last arrival of its request at an
+  /// endpoint.
+  milliseconds late_arrival_{500};
+  /// Crashes after which a request must be quarantined.
+  std::size_t quarantine_crashes_ = 3;
+  /// Arrivals of a quarantined request that are allowed, from undisturbed
+  /// entries, once `recovery_` has passed since the last of these crashes.
+  std::size_t max_attempts_after_quarantine_ = 3;
 };
 
-/// @brief A request that an endpoint should not have got.
+/// @brief A violated guarantee.
 struct Finding {
-  std::string what_;
+  std::string kind_;
+  /// Empty if no endpoint is concerned.
   std::string endpoint_;
   std::string request_;
-  /// After the acknowledgement, or after the answer.
-  milliseconds after_{};
+  /// Time since the acknowledgement, the response or the crash that the
+  /// guarantee counts from.
+  milliseconds delay_{};
 };
 
 /// @brief A run that crashed its endpoint.
-struct CrashSeen {
+struct CrashRecord {
   TimePoint at_;
-  /// When its request reached the endpoint.
+  /// Arrival of the request at the endpoint.
   TimePoint arrived_at_;
   std::string entry_;
-  /// Whether the entry was in touch as the request arrived.
-  bool in_touch_ = false;
+  /// Whether neither its entry nor the store was disturbed at the arrival.
+  bool undisturbed_ = false;
 };
 
-/// @brief Times of one kind, in milliseconds.
-class Times {
+/// @brief Sample of durations.
+class DurationSample {
  public:
-  void Add(milliseconds time) { times_.push_back(time); }
-  [[nodiscard]] std::size_t count() const noexcept { return times_.size(); }
-  /// @param share 0 to 1; zero time when there is none.
+  void Add(milliseconds time) { durations_.push_back(time); }
+  [[nodiscard]] std::size_t count() const noexcept { return durations_.size(); }
+  /// @param share 0 to 1.
+  /// @return 0 for an empty sample.
   [[nodiscard]] milliseconds Quantile(double share) const;
 
  private:
-  std::vector<milliseconds> times_;
+  std::vector<milliseconds> durations_;
 };
 
-/// @brief Collects from several threads.
-class Judge {
+/// @brief Collects observations and checks them as they arrive; callable from
+/// any thread.
+///
+/// Guarantees are not checked for an entry that was disturbed within
+/// `Bounds::recovery_`, nor while the store was.
+class Checker {
  public:
-  explicit Judge(Bounds bounds) : bounds_(bounds) {}
+  explicit Checker(Bounds bounds) : bounds_(bounds) {}
 
-  /// @brief The store acknowledged that an endpoint leaves, or that its row is
-  /// gone.
-  void OnLeft(const std::string& endpoint);
-  /// @brief The row of an endpoint came back, or its next life began.
-  void OnBack(const std::string& endpoint);
-  /// @brief Something was done to an entry until now, or from now on; the
-  /// empty name stands for the store.
+  /// @brief The store acknowledged that an endpoint is draining or that its row
+  /// is removed.
+  void OnDepartureAcknowledged(const std::string& endpoint);
+  /// @brief An endpoint is listed as ready, again or for the first time.
+  void OnListed(const std::string& endpoint);
+  /// @brief A disturbance of an entry starts or ends now; the empty name stands
+  /// for the store.
   void OnDisturbed(const std::string& entry);
-  /// @brief The path of an endpoint is held up until `OnPathBack`.
+  /// @brief The path to an endpoint is held until `OnPathReleased`.
   void OnPathHeld(const std::string& endpoint);
-  void OnPathBack(const std::string& endpoint);
-  /// @brief An endpoint got a request.
-  /// @param request "ENTRY/NUMBER", as the callers name them.
+  void OnPathReleased(const std::string& endpoint);
+  /// @brief A request arrived at an endpoint.
+  /// @param request "ENTRY/NUMBER", its attempt id.
   void OnArrival(const std::string& endpoint, const std::string& request);
-  /// @brief A request that crashes endpoints did so.
+  /// @brief A request crashed an endpoint.
   /// @param request "ENTRY/NAME/NUMBER", where NAME begins with kCrashMark.
   void OnCrash(const std::string& request);
-  /// @brief A caller has the final answer to its request, or left.
-  void OnAnswered(const std::string& request, int status,
+  /// @brief The attempt of a caller ended.
+  /// @param status 0 if no complete response arrived.
+  void OnResponse(const std::string& request, int status,
                   const std::string& body);
 
   [[nodiscard]] std::vector<Finding> findings() const;
-  /// @brief Answers by status, 0 for none.
-  [[nodiscard]] std::map<int, std::uint64_t> answers() const;
+  /// @brief Number of responses by status, 0 for none.
+  [[nodiscard]] std::map<int, std::uint64_t> responses() const;
   [[nodiscard]] std::uint64_t arrivals() const;
-  /// @brief How long after an acknowledgement entries in touch still sent.
-  [[nodiscard]] Times late_sends() const;
-  /// @brief Crashes of each request that crashes endpoints, in order.
-  [[nodiscard]] std::map<std::string, std::vector<CrashSeen>> crashes() const;
-  /// @brief Requests that wait since one like them is suspected.
-  [[nodiscard]] std::uint64_t suspected() const;
+  /// @brief How long after a departure was acknowledged requests of undisturbed
+  /// entries still arrived.
+  [[nodiscard]] DurationSample arrivals_after_departure() const;
+  /// @brief Crashes by name of the crashing request, in order.
+  [[nodiscard]] std::map<std::string, std::vector<CrashRecord>> crashes() const;
+  /// @brief Number of other requests refused while a crashing one was on trial.
+  [[nodiscard]] std::uint64_t refused_as_suspected() const;
 
  private:
-  [[nodiscard]] bool InTouch(const std::string& entry, TimePoint now) const;
-  [[nodiscard]] bool PathHeld(const std::string& endpoint, TimePoint now) const;
-  void JudgeLeft(const std::string& endpoint, const std::string& request,
-                 TimePoint now);
-  void JudgeStray(const std::string& endpoint, const std::string& request,
-                  TimePoint now);
-  void JudgeCrashing(const std::string& endpoint, const std::string& request,
+  [[nodiscard]] bool IsUndisturbed(const std::string& entry,
+                                   TimePoint now) const;
+  [[nodiscard]] bool IsPathHeld(const std::string& endpoint,
+                                TimePoint now) const;
+  void CheckDeparted(const std::string& endpoint, const std::string& request,
+                     TimePoint now);
+  void CheckLateArrival(const std::string& endpoint, const std::string& request,
+                        TimePoint now);
+  void CheckCrashing(const std::string& endpoint, const std::string& request,
                      TimePoint now);
 
   Bounds bounds_;
   mutable std::mutex mutex_;
-  std::map<std::string, TimePoint> left_;
-  std::map<std::string, TimePoint> disturbed_;
-  /// The far future while a path is held up.
-  std::map<std::string, TimePoint> held_until_;
-  std::map<std::string, TimePoint> answered_;
-  std::map<int, std::uint64_t> answers_;
+  std::map<std::string, TimePoint> departed_at_;
+  std::map<std::string, TimePoint> disturbed_at_;
+  /// TimePoint::max() while the path is held.
+  std::map<std::string, TimePoint> path_held_until_;
+  std::map<std::string, TimePoint> responded_at_;
+  std::map<int, std::uint64_t> responses_;
   std::uint64_t arrivals_ = 0;
-  Times late_sends_;
-  std::map<std::string, std::vector<CrashSeen>> crashes_;
-  /// Of requests that crash endpoints: the last arrival of each try.
-  std::map<std::string, CrashSeen> crashing_arrivals_;
-  /// Its arrivals once entries had the time to know it.
-  std::map<std::string, std::size_t> tries_after_;
-  std::uint64_t suspected_ = 0;
+  DurationSample arrivals_after_departure_;
+  std::map<std::string, std::vector<CrashRecord>> crashes_;
+  /// Last arrival of each attempt of a crashing request, by attempt id.
+  std::map<std::string, CrashRecord> crashing_arrivals_;
+  /// Arrivals, by name of the crashing request, that count against
+  /// `Bounds::max_attempts_after_quarantine_`.
+  std::map<std::string, std::size_t> attempts_after_quarantine_;
+  std::uint64_t refused_as_suspected_ = 0;
   std::vector<Finding> findings_;
 };
 
--- a/tests/soak/deployment.cpp
+++ b/tests/soak/deployment.cpp
@@ -1,6 +1,6 @@
-// Entry N of domain D is 127.1.D.N, engine N 127.2.D.N, a store behind the
-// relay 127.3.D.N, an endpoint behind the relay 127.4.D.N.
-#include "soak/world.hpp"
+// Addresses in failure domain D: entry N 127.1.D.N, endpoint N 127.2.D.N, relay
+// of entry N to the store 127.3.D.N, relay to endpoint N 127.4.D.N.
+#include "soak/deployment.hpp"
 
 #include <fstream>
 #include <thread>
@@ -13,20 +13,20 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kPieces = 5;
-/// Items of an answer of the store: all fit into one.
-constexpr std::size_t kPage = 500;
-constexpr auto kStartTime = 30s;
-constexpr auto kWork = milliseconds(60);
-/// Answers of endpoints that are still awaited end within this.
+constexpr std::size_t kChunks = 5;
+/// Large enough for all items in one response of the store.
+constexpr std::size_t kStorePageSize = 500;
+constexpr auto kStartTimeout = 30s;
+constexpr auto kEndpointRunDelay = milliseconds(60);
+/// Time for the endpoints' pending responses to end.
 constexpr auto kSettle = milliseconds(200);
 
-std::string Ip(int kind, std::size_t domain, std::size_t number) {
+std::string IpAddress(int kind, std::size_t domain, std::size_t number) {
   return "127." + std::to_string(kind) + "." + std::to_string(domain + 1) +
          "." + std::to_string(number + 1);
 }
 
-std::string At(const std::string& ip, std::uint16_t port) {
+std::string JoinAddress(const std::string& ip, std::uint16_t port) {
   return ip + ":" + std::to_string(port);
 }
 
@@ -53,86 +53,90 @@
 
 }  // namespace
 
-World::World(WorldSettings settings, Judge& judge)
-    : settings_(std::move(settings)), judge_(judge) {
+Deployment::Deployment(DeploymentSettings settings, Checker& checker)
+    : settings_(std::move(settings)), checker_(checker) {
   std::filesystem::create_directories(settings_.folder_);
   store_ = std::make_unique<standins::StoreStandin>(
-      thread_, daemon::Address{"127.0.0.1", store_port_}, kPage);
-  origin_ = std::make_unique<standins::OriginStandin>(thread_, kPieces);
+      thread_, daemon::Address{"127.0.0.1", store_port_}, kStorePageSize);
+  origin_ = std::make_unique<standins::OriginStandin>(thread_, kChunks);
   AddEntries();
-  AddPlaces();
+  AddHosts();
   relay_ = std::make_unique<fleet::Relay>(routes_,
                                           std::map<std::string, std::string>{});
   PutRules();
 }
 
-World::~World() {
+Deployment::~Deployment() {
   entries_.clear();
-  for (auto& place : places_) {
-    place.agent_ = {};
+  for (auto& host : hosts_) {
+    host.agent_ = {};
   }
   std::this_thread::sleep_for(kSettle);
 }
 
-std::string World::StoreAddress() const { return store_->address(); }
+std::string Deployment::StoreAddress() const { return store_->address(); }
 
-std::string World::Seeds() const {
+std::string Deployment::MeshSeeds() const {
   std::string seeds;
   for (std::size_t domain = 0; domain < settings_.domains_; ++domain) {
-    seeds += (seeds.empty() ? "" : ",") + At(Ip(1, domain, 0), peer_port_);
+    seeds += (seeds.empty() ? "" : ",") +
+             JoinAddress(IpAddress(1, domain, 0), peer_port_);
   }
   return seeds;
 }
 
-void World::AddEntries() {
+void Deployment::AddEntries() {
   for (std::size_t domain = 0; domain < settings_.domains_; ++domain) {
     for (std::size_t number = 0; number < settings_.entries_; ++number) {
       Entry entry;
       entry.domain_ = DomainName(domain);
       entry.name_ = entry.domain_ + "e" + std::to_string(number + 1);
-      entry.ip_ = Ip(1, domain, number);
-      entry.store_ = At(Ip(3, domain, number), store_port_);
-      entry.clocks_ = std::make_unique<fleet::Suspension>(
+      entry.ip_ = IpAddress(1, domain, number);
+      entry.store_address_ =
+          JoinAddress(IpAddress(3, domain, number), store_port_);
+      entry.suspension_ = std::make_unique<fleet::Suspension>(
           settings_.folder_ / (entry.name_ + ".clock"));
-      routes_.push_back({entry.store_, StoreAddress(), "", ""});
+      routes_.push_back({entry.store_address_, StoreAddress(), "", ""});
       entries_.push_back(std::move(entry));
     }
   }
 }
 
-void World::AddPlaces() {
-  const auto of_each = settings_.engines_ + settings_.services_;
+void Deployment::AddHosts() {
+  const auto endpoints_per_domain = settings_.engines_ + settings_.services_;
   for (std::size_t domain = 0; domain < settings_.domains_; ++domain) {
-    for (std::size_t number = 0; number < of_each; ++number) {
-      Place place;
-      place.domain_ = DomainName(domain);
-      place.engine_ = number < settings_.engines_;
-      place.service_ = place.engine_ ? "pool" : "plain";
-      place.relayed_ = number < settings_.relayed_ || !place.engine_;
-      const auto real = At(Ip(2, domain, number), endpoint_port_);
-      place.address_ =
-          place.relayed_ ? At(Ip(4, domain, number), endpoint_port_) : real;
-      place.endpoint_ = std::make_unique<standins::EndpointStandin>(
-          thread_, "", daemon::ParseAddress(real));
-      place.endpoint_->SetNamed(place.address_);
-      place.endpoint_->SetWork(kWork);
-      if (place.relayed_) {
-        routes_.push_back({place.address_, real, "", ""});
+    for (std::size_t number = 0; number < endpoints_per_domain; ++number) {
+      EndpointHost host;
+      host.domain_ = DomainName(domain);
+      host.is_engine_ = number < settings_.engines_;
+      host.service_ = host.is_engine_ ? "pool" : "plain";
+      host.relayed_ = number < settings_.relayed_ || !host.is_engine_;
+      const auto actual =
+          JoinAddress(IpAddress(2, domain, number), endpoint_port_);
+      host.address_ = host.relayed_ ? JoinAddress(IpAddress(4, domain, number),
+                                                  endpoint_port_)
+                                    : actual;
+      host.endpoint_ = std::make_unique<standins::EndpointStandin>(
+          thread_, "", daemon::ParseAddress(actual));
+      host.endpoint_->SetNamed(host.address_);
+      host.endpoint_->SetWork(kEndpointRunDelay);
+      if (host.relayed_) {
+        routes_.push_back({host.address_, actual, "", ""});
       }
-      places_.push_back(std::move(place));
-      auto& placed = places_.back();
-      placed.endpoint_->CrashOn(kCrashMark);
-      placed.endpoint_->OnCrash([this, &placed](const std::string& request) {
-        judge_.OnCrash(request);
+      hosts_.push_back(std::move(host));
+      auto& added = hosts_.back();
+      added.endpoint_->CrashOn(kCrashMark);
+      added.endpoint_->OnCrash([this, &added](const std::string& request) {
+        checker_.OnCrash(request);
         const std::lock_guard lock(mutex_);
-        crashed_.push_back(&placed);
+        crashed_.push_back(&added);
       });
-      BeginLife(placed, false);
+      StartIncarnation(added, false);
     }
   }
 }
 
-void World::PutRules() {
+void Deployment::PutRules() {
   store_->Put("op/config",
               {{"version", 1},
                {"routes",
@@ -145,7 +149,7 @@
                   {"maxConns", 668},
                   {"engine",
                    {{"slots", 12},
-                    {"chunks", kPieces},
+                    {"chunks", kChunks},
                     {"step_ms", 6.7},
                     {"read_per_s", 30600},
                     {"models", {{{"name", "m"}}}}}}},
@@ -154,92 +158,94 @@
                   {"zone", DomainName(0)}}}}});
 }
 
-void World::BeginLife(Place& place, bool same_id) {
-  ++place.life_;
-  auto& endpoint = *place.endpoint_;
-  if (!same_id || place.life_ == 1) {
-    // The judge and the store know a place by the id of its present life.
-    endpoint.SetId("i-" + place.address_.substr(0, place.address_.find(':')) +
-                   "-" + std::to_string(place.life_));
+void Deployment::StartIncarnation(EndpointHost& host, bool same_id) {
+  ++host.incarnation_;
+  auto& endpoint = *host.endpoint_;
+  if (!same_id || host.incarnation_ == 1) {
+    // The checker and the store identify a host by the id of its current
+    // incarnation.
+    endpoint.SetId("i-" + host.address_.substr(0, host.address_.find(':')) +
+                   "-" + std::to_string(host.incarnation_));
   }
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   endpoint.SetBorn(static_cast<std::uint64_t>(
       std::chrono::duration_cast<milliseconds>(now).count()));
   endpoint.OnArrival([this, id = endpoint.id()](const std::string& request) {
-    judge_.OnArrival(id, request);
+    checker_.OnArrival(id, request);
   });
-  judge_.OnBack(endpoint.id());
-  PutRow(place, "ready");
+  checker_.OnListed(endpoint.id());
+  PutRow(host, "ready");
 }
 
-void World::PutRow(Place& place, const std::string& state) {
-  const auto& endpoint = *place.endpoint_;
+void Deployment::PutRow(EndpointHost& host, const std::string& state) {
+  const auto& endpoint = *host.endpoint_;
   store_->Put("servers/" + endpoint.id(),
-              endpoint.Row(place.service_, place.domain_, state));
+              endpoint.Row(host.service_, host.domain_, state));
 }
 
-void World::RemoveRow(Place& place) {
-  store_->Remove("servers/" + place.endpoint_->id());
+void Deployment::RemoveRow(EndpointHost& host) {
+  store_->Remove("servers/" + host.endpoint_->id());
 }
 
-std::vector<Place*> World::TakeCrashed() {
+std::vector<EndpointHost*> Deployment::TakeCrashed() {
   const std::lock_guard lock(mutex_);
   return std::exchange(crashed_, {});
 }
 
-void World::StartEntry(Entry& entry) {
+void Deployment::StartEntry(Entry& entry) {
   const auto path = (settings_.folder_ / (entry.name_ + ".ini")).string();
   std::ofstream(path)
       << "[instance]\nid = " << entry.name_ << "\ndomain = " << entry.domain_
-      << "\n[listen]\ncaller = " << At(entry.ip_, caller_port_)
-      << "\nready = " << At(entry.ip_, ready_port_)
-      << "\npeer = " << At(entry.ip_, peer_port_)
-      << "\nadmin = " << At(entry.ip_, admin_port_)
-      << "\n[platform]\naddress = " << entry.store_
+      << "\n[listen]\ncaller = " << JoinAddress(entry.ip_, caller_port_)
+      << "\nready = " << JoinAddress(entry.ip_, ready_port_)
+      << "\npeer = " << JoinAddress(entry.ip_, peer_port_)
+      << "\nadmin = " << JoinAddress(entry.ip_, admin_port_)
+      << "\n[platform]\naddress = " << entry.store_address_
       << "\nwatch_wait_ms = 25000\nleave_bound_ms = "
-      << settings_.bounds_.drain_.count() << "\n[mesh]\nseeds = " << Seeds()
+      << settings_.bounds_.drain_.count() << "\n[mesh]\nseeds = " << MeshSeeds()
       << "\n[requests]\nretry_share = 0.2\nretry_reserve = 228\n"
          "[stop]\ndrain_ms = 7500\n[log]\nformat = json\n";
   entry.child_ = fleet::Child(
       {settings_.daemon_, "entry", "--adapter", "platform", "--config", path},
       (settings_.folder_ / (entry.name_ + ".log")).string(),
-      entry.clocks_->environment());
+      entry.suspension_->environment());
   entry.stopped_ = false;
 }
 
-void World::StartAgent(Place& place) {
-  const auto ip = place.address_.substr(0, place.address_.find(':'));
+void Deployment::StartAgent(EndpointHost& host) {
+  const auto ip = host.address_.substr(0, host.address_.find(':'));
   const auto path = (settings_.folder_ / ("agent-" + ip + ".ini")).string();
   std::ofstream(path) << "[instance]\nid = agent-" << ip
-                      << "\ndomain = " << place.domain_
-                      << "\n[listen]\npeer = " << At(ip, peer_port_)
-                      << "\nadmin = " << At(ip, admin_port_)
+                      << "\ndomain = " << host.domain_
+                      << "\n[listen]\npeer = " << JoinAddress(ip, peer_port_)
+                      << "\nadmin = " << JoinAddress(ip, admin_port_)
                       << "\n[platform]\naddress = " << StoreAddress()
-                      << "\n[mesh]\nseeds = " << Seeds()
-                      << "\n[endpoint]\nbackend = " << place.address_
+                      << "\n[mesh]\nseeds = " << MeshSeeds()
+                      << "\n[endpoint]\nbackend = " << host.address_
                       << "\nrole = pool\n[weights]\nlink_mbps = 7.6\n"
                          "[rollout]\nversion_bound_ms = 8000\n"
                          "[stop]\ndrain_ms = 1000\n[log]\nformat = json\n";
-  place.agent_ = fleet::Child(
+  host.agent_ = fleet::Child(
       {settings_.daemon_, "agent", "--adapter", "platform", "--config", path},
       (settings_.folder_ / ("agent-" + ip + ".log")).string());
 }
 
-bool World::Start() {
+bool Deployment::Start() {
   for (auto& entry : entries_) {
     StartEntry(entry);
   }
-  for (auto& place : places_) {
-    if (place.engine_) {
-      StartAgent(place);
+  for (auto& host : hosts_) {
+    if (host.is_engine_) {
+      StartAgent(host);
     }
   }
-  const auto until = std::chrono::steady_clock::now() + kStartTime;
+  const auto until = std::chrono::steady_clock::now() + kStartTimeout;
   const auto started = [this] {
     return std::ranges::all_of(
-               entries_, [this](const Entry& entry) { return Ready(entry); }) &&
-           std::ranges::all_of(places_, [](const Place& place) {
-             return !place.engine_ || place.endpoint_->version() > 0;
+               entries_,
+               [this](const Entry& entry) { return IsReady(entry); }) &&
+           std::ranges::all_of(hosts_, [](const EndpointHost& host) {
+             return !host.is_engine_ || host.endpoint_->version() > 0;
            });
   };
   while (!started()) {
@@ -251,16 +257,17 @@
   return true;
 }
 
-std::string World::CallerAddress(const Entry& entry) const {
-  return At(entry.ip_, caller_port_);
+std::string Deployment::CallerAddress(const Entry& entry) const {
+  return JoinAddress(entry.ip_, caller_port_);
 }
 
-bool World::Ready(const Entry& entry) const {
-  return fleet::Get(At(entry.ip_, ready_port_), "/readyz").status_ == 200;
+bool Deployment::IsReady(const Entry& entry) const {
+  return fleet::Get(JoinAddress(entry.ip_, ready_port_), "/readyz").status_ ==
+         200;
 }
 
-std::string World::Metrics(const Entry& entry) const {
-  return fleet::Get(At(entry.ip_, admin_port_), "/metrics").body_;
+std::string Deployment::Metrics(const Entry& entry) const {
+  return fleet::Get(JoinAddress(entry.ip_, admin_port_), "/metrics").body_;
 }
 
 }  // namespace chalkwell::soak
--- a/tests/soak/deployment.hpp
+++ b/tests/soak/deployment.hpp
@@ -1,5 +1,6 @@
-// A deployment of real entries and agents in numbers, on addresses of their
-// own, against stand-ins of the store and the endpoints, with relays between.
+// A deployment of many real entry and agent processes, each on its own loopback
+// address, with fakes of the configuration store and the endpoints. Relays lie
+// on the paths to the store and to some endpoints, so that these can be held.
 #pragma once
 
 #include <cstdint>
@@ -14,22 +15,23 @@
 #include "fleet/relay.hpp"
 #include "fleet/suspension.hpp"
 #include "platform/standins.hpp"
-#include "soak/judge.hpp"
+#include "soak/checker.hpp"
 
 namespace chalkwell::soak {
 
-/// @brief Size of a deployment.
-struct WorldSettings {
+/// @brief Size and bounds of a deployment.
+struct DeploymentSettings {
   std::size_t domains_ = 3;
-  std::size_t entries_ = 13;  ///< of each domain
-  std::size_t engines_ = 15;  ///< of each domain, each with an agent
-  std::size_t services_ = 2;  ///< plain endpoints of each domain
-  /// Endpoints of each domain whose paths can be held up.
+  std::size_t entries_ = 13;  ///< per failure domain
+  std::size_t engines_ = 15;  ///< per failure domain, each with an agent
+  std::size_t services_ = 2;  ///< plain service endpoints per failure domain
+  /// Engines per failure domain that are reached through a relay; plain
+  /// services always are.
   std::size_t relayed_ = 3;
   Bounds bounds_;
-  /// Program that is run; another revision's to compare with.
+  /// Path of the chalkwelld to run; may be of another revision, to compare.
   std::string daemon_ = fleet::DaemonPath();
-  /// Kept, with the logs of all processes, when something was found.
+  /// For settings and logs of all processes.
   std::filesystem::path folder_;
 };
 
@@ -38,71 +40,74 @@
   std::string name_;
   std::string domain_;
   std::string ip_;
-  /// Where its store is reached, through a relay.
-  std::string store_;
+  /// Address of the relay to its configuration store.
+  std::string store_address_;
   fleet::Child child_;
-  std::unique_ptr<fleet::Suspension> clocks_;
+  std::unique_ptr<fleet::Suspension> suspension_;
+  /// Whether it is paused or being restarted.
   bool stopped_ = false;
 };
 
-/// @brief The place of an endpoint: lives follow each other in it.
-struct Place {
+/// @brief An address at which incarnations of an endpoint follow each other.
+struct EndpointHost {
   std::string domain_;
   std::string service_;
-  bool engine_ = false;
-  /// Its path can be held up.
+  bool is_engine_ = false;
+  /// Whether it is reached through a relay.
   bool relayed_ = false;
   std::string address_;
   std::unique_ptr<standins::EndpointStandin> endpoint_;
   fleet::Child agent_;
-  std::uint64_t life_ = 0;
+  /// Number of the current incarnation, from 1.
+  std::uint64_t incarnation_ = 0;
 };
 
-/// @brief The whole deployment.
-class World {
+/// @brief Starts and owns all processes, fakes and relays.
+class Deployment {
  public:
-  World(WorldSettings settings, Judge& judge);
-  ~World();
-  World(const World&) = delete;
-  World& operator=(const World&) = delete;
+  Deployment(DeploymentSettings settings, Checker& checker);
+  ~Deployment();
+  Deployment(const Deployment&) = delete;
+  Deployment& operator=(const Deployment&) = delete;
 
-  /// @brief Starts all processes.
-  /// @return false when some entry is not ready in time.
+  /// @brief Starts all processes and waits until they are ready.
+  /// @return false if some entry is not ready or some engine has no weights
+  /// when the start timeout ends.
   [[nodiscard]] bool Start();
   void StartEntry(Entry& entry);
-  [[nodiscard]] bool Ready(const Entry& entry) const;
-  /// @brief What an entry's metrics page says.
+  [[nodiscard]] bool IsReady(const Entry& entry) const;
+  /// @brief Metrics page of an entry.
   [[nodiscard]] std::string Metrics(const Entry& entry) const;
 
-  /// @brief Writes the row of a place's present life.
-  void PutRow(Place& place, const std::string& state);
-  void RemoveRow(Place& place);
-  /// @brief Begins the next life in a place.
-  /// @param same_id it bears the id of the one before.
-  void BeginLife(Place& place, bool same_id);
+  /// @brief Writes the row of the current incarnation to the store.
+  void PutRow(EndpointHost& host, const std::string& state);
+  void RemoveRow(EndpointHost& host);
+  /// @brief Starts the next incarnation at a host and lists it as ready.
+  /// @param same_id whether it keeps the id of the previous one.
+  void StartIncarnation(EndpointHost& host, bool same_id);
 
-  /// @brief Places whose endpoints crashed since the last call.
-  [[nodiscard]] std::vector<Place*> TakeCrashed();
+  /// @brief Hosts whose endpoints crashed since the last call.
+  [[nodiscard]] std::vector<EndpointHost*> TakeCrashed();
 
   [[nodiscard]] std::deque<Entry>& entries() noexcept { return entries_; }
-  [[nodiscard]] std::deque<Place>& places() noexcept { return places_; }
+  [[nodiscard]] std::deque<EndpointHost>& hosts() noexcept { return hosts_; }
   [[nodiscard]] standins::StoreStandin& store() noexcept { return *store_; }
   [[nodiscard]] fleet::Relay& relay() noexcept { return *relay_; }
   [[nodiscard]] std::string CallerAddress(const Entry& entry) const;
-  [[nodiscard]] const WorldSettings& settings() const noexcept {
+  [[nodiscard]] const DeploymentSettings& settings() const noexcept {
     return settings_;
   }
 
  private:
   void PutRules();
   void AddEntries();
-  void AddPlaces();
-  void StartAgent(Place& place);
-  [[nodiscard]] std::string Seeds() const;
+  void AddHosts();
+  void StartAgent(EndpointHost& host);
+  [[nodiscard]] std::string MeshSeeds() const;
   [[nodiscard]] std::string StoreAddress() const;
 
-  WorldSettings settings_;
-  Judge& judge_;
+  DeploymentSettings settings_;
+  Checker& checker_;
   standins::LoopThread thread_;
   std::uint16_t caller_port_ = fleet::FreePort();
   std::uint16_t ready_port_ = fleet::FreePort();
@@ -114,10 +119,11 @@
   std::unique_ptr<standins::OriginStandin> origin_;
   std::vector<fleet::RelayRoute> routes_;
   std::unique_ptr<fleet::Relay> relay_;
-  std::deque<Place> places_;
+  std::deque<EndpointHost> hosts_;
   std::deque<Entry> entries_;
   std::mutex mutex_;
-  std::vector<Place*> crashed_;
+  /// Guarded by `mutex_`.
+  std::vector<EndpointHost*> crashed_;
 };
 
 }  // namespace chalkwell::soak
--- a/tests/soak/fault_injector.cpp
+++ b/tests/soak/fault_injector.cpp
@@ -1,5 +1,5 @@
-// One thread acts; what is due later waits in a queue.
-#include "soak/troubles.hpp"
+// All faults are injected by one thread; later steps are scheduled by time.
+#include "soak/fault_injector.hpp"
 
 #include <csignal>
 #include <thread>
@@ -9,252 +9,260 @@
 namespace {
 
 constexpr auto kTick = milliseconds(5);
-/// Endpoints go on serving for so long after the bound, at the most.
-constexpr int kServeOnMs = 2500;
-/// An address is used again no sooner than this.
-constexpr auto kReuse = milliseconds(2000);
-/// An endpoint that crashed is back after some seconds.
-constexpr int kLeastRevivalMs = 1500;
-constexpr int kMostRevivalMs = 4500;
-/// A planned stop of an entry takes no longer.
-constexpr auto kGrace = std::chrono::seconds(9);
+/// An endpoint serves for up to this much longer than the drain bound.
+constexpr int kMaxServeAfterDrainMs = 2500;
+/// From the stop of an endpoint to the next one at the same address.
+constexpr auto kAddressReuseDelay = milliseconds(2000);
+/// From the crash of an endpoint to its next incarnation.
+constexpr int kMinRestartDelayMs = 1500;
+constexpr int kMaxRestartDelayMs = 4500;
+/// Longer than the drain time in the entries' settings.
+constexpr auto kEntryStopTimeout = std::chrono::seconds(9);
 
 }  // namespace
 
-Troubles::Troubles(TroubleSettings settings, World& world, Callers& callers,
-                   Judge& judge)
+FaultInjector::FaultInjector(FaultSettings settings, Deployment& deployment,
+                             Callers& callers, Checker& checker)
     : settings_(std::move(settings)),
-      world_(world),
+      deployment_(deployment),
       callers_(callers),
-      judge_(judge),
+      checker_(checker),
       random_(settings_.seed_) {
   AddDepartures();
   AddDisturbances();
 }
 
-void Troubles::AddDepartures() {
-  departures_ = {{"drain", [this] { Leave(true, false); }},
-                 {"vanish", [this] { Leave(false, false); }},
-                 {"reborn", [this] { Leave(true, true); }},
-                 {"lapse", [this] { Lapse(); }},
-                 {"leave-held", [this] { LeaveHeld(); }}};
+void FaultInjector::AddDepartures() {
+  departure_kinds_ = {{"drain", [this] { DepartRandom(true, false); }},
+                      {"vanish", [this] { DepartRandom(false, false); }},
+                      {"reborn", [this] { DepartRandom(true, true); }},
+                      {"lapse", [this] { RemoveAndRelist(); }},
+                      {"leave-held", [this] { DepartWithHeldPath(); }}};
 }
 
-void Troubles::AddDisturbances() {
-  disturbances_ = {
+void FaultInjector::AddDisturbances() {
+  disturbance_kinds_ = {
       {"freeze",
        [this] {
-         if (auto* entry = Running()) {
+         if (auto* entry = PickRunningEntry()) {
            Freeze(*entry);
          }
        }},
       {"suspend",
        [this] {
-         if (auto* entry = Running()) {
+         if (auto* entry = PickRunningEntry()) {
            Suspend(*entry);
          }
        }},
       {"crashing-request", [this] { CrashEndpoints(); }},
       {"freeze-domain", [this] { FreezeDomain(); }},
-      {"kill", [this] { Restart(SIGKILL); }},
-      {"stop", [this] { Restart(SIGTERM); }},
-      {"store-held", [this] { HoldStore(fleet::Way::kBoth); }},
-      {"store-held-back", [this] { HoldStore(fleet::Way::kBack); }},
-      {"path-held", [this] { HoldEndpoint(fleet::Way::kBoth); }},
-      {"path-held-back", [this] { HoldEndpoint(fleet::Way::kBack); }},
-      {"path-reset", [this] { ResetEndpoint(); }},
-      {"store-fails-some", [this] { StoreBusy(150, Between(2000, 8000)); }},
-      {"store-down", [this] { StoreBusy(1000, Between(500, 3000)); }},
-      {"store-slow", [this] { StoreSlow(); }}};
-  if (!settings_.only_.empty()) {
-    std::erase_if(disturbances_, [this](const Kind& kind) {
-      return ("," + settings_.only_ + ",").find("," + kind.name_ + ",") ==
+      {"kill", [this] { RestartEntry(SIGKILL); }},
+      {"stop", [this] { RestartEntry(SIGTERM); }},
+      {"store-held", [this] { HoldStorePath(fleet::Way::kBoth); }},
+      {"store-held-back", [this] { HoldStorePath(fleet::Way::kBack); }},
+      {"path-held", [this] { HoldEndpointPath(fleet::Way::kBoth); }},
+      {"path-held-back", [this] { HoldEndpointPath(fleet::Way::kBack); }},
+      {"path-reset", [this] { ResetEndpointConnections(); }},
+      {"store-fails-some",
+       [this] { RejectStoreCalls(150, DrawBetween(2000, 8000)); }},
+      {"store-down",
+       [this] { RejectStoreCalls(1000, DrawBetween(500, 3000)); }},
+      {"store-slow", [this] { DelayStore(); }}};
+  if (!settings_.only_kinds_.empty()) {
+    std::erase_if(disturbance_kinds_, [this](const Kind& kind) {
+      return ("," + settings_.only_kinds_ + ",").find("," + kind.name_ + ",") ==
              std::string::npos;
     });
   }
 }
 
-milliseconds Troubles::Between(int least, int most) {
+milliseconds FaultInjector::DrawBetween(int least, int most) {
   return milliseconds(std::uniform_int_distribution(least, most)(random_));
 }
 
-milliseconds Troubles::Pause(milliseconds mean) {
-  const double draw = std::exponential_distribution<>(
+milliseconds FaultInjector::DrawInterval(milliseconds mean) {
+  const double interval = std::exponential_distribution<>(
       1.0 / static_cast<double>(mean.count()))(random_);
-  return milliseconds(static_cast<int>(draw));
+  return milliseconds(static_cast<int>(interval));
 }
 
-void Troubles::Later(milliseconds delay, Action action) {
-  due_.emplace(std::chrono::steady_clock::now() + delay, std::move(action));
+void FaultInjector::Schedule(milliseconds delay, Action action) {
+  scheduled_.emplace(std::chrono::steady_clock::now() + delay,
+                     std::move(action));
 }
 
-void Troubles::Begin(const std::vector<Kind>& kinds) {
+void FaultInjector::InjectRandom(const std::vector<Kind>& kinds) {
   if (kinds.empty()) {
     return;
   }
   const auto& kind = kinds[random_() % kinds.size()];
-  ++played_[kind.name_];
-  kind.begin_();
+  ++injected_[kind.name_];
+  kind.inject_();
 }
 
-void Troubles::Play() {
-  const auto end = std::chrono::steady_clock::now() + settings_.length_;
+void FaultInjector::Run() {
+  const auto end = std::chrono::steady_clock::now() + settings_.duration_;
   auto departure = std::chrono::steady_clock::now();
-  auto disturbance = departure + Pause(settings_.disturbances_);
+  auto disturbance =
+      departure + DrawInterval(settings_.mean_disturbance_interval_);
   while (std::chrono::steady_clock::now() < end) {
     const auto now = std::chrono::steady_clock::now();
     if (now >= departure) {
-      Begin(departures_);
-      departure = now + Pause(settings_.departures_);
+      InjectRandom(departure_kinds_);
+      departure = now + DrawInterval(settings_.mean_departure_interval_);
     }
     if (now >= disturbance) {
-      Begin(disturbances_);
-      disturbance = now + Pause(settings_.disturbances_);
+      InjectRandom(disturbance_kinds_);
+      disturbance = now + DrawInterval(settings_.mean_disturbance_interval_);
     }
-    while (!due_.empty() && due_.begin()->first <= now) {
-      const auto action = std::move(due_.begin()->second);
-      due_.erase(due_.begin());
+    while (!scheduled_.empty() && scheduled_.begin()->first <= now) {
+      const auto action = std::move(scheduled_.begin()->second);
+      scheduled_.erase(scheduled_.begin());
       action();
     }
-    ReviveCrashed();
+    RestartCrashed();
     std::this_thread::sleep_for(kTick);
   }
-  for (auto& entry : world_.entries()) {
+  for (auto& entry : deployment_.entries()) {
     entry.child_.Signal(SIGCONT);
   }
-  world_.relay().Heal();
+  deployment_.relay().Heal();
 }
 
-Place* Troubles::Settled() {
-  auto& places = world_.places();
-  // Most places of a service stay, so that it can be served.
+EndpointHost* FaultInjector::PickIdleHost() {
+  auto& hosts = deployment_.hosts();
+  // Limits departures, so that each service keeps enough endpoints.
   std::map<std::string, std::size_t> away;
-  for (const auto& [place, busy] : busy_) {
-    away[place->service_] += busy ? 1 : 0;
+  for (const auto& [host, busy] : busy_) {
+    away[host->service_] += busy ? 1 : 0;
   }
-  auto& place = places[random_() % places.size()];
-  const std::size_t most = place.engine_ ? 12 : 2;
-  const bool settled = !busy_[&place] && away[place.service_] < most;
-  return settled ? &place : nullptr;
+  auto& host = hosts[random_() % hosts.size()];
+  const std::size_t max_away = host.is_engine_ ? 12 : 2;
+  const bool idle = !busy_[&host] && away[host.service_] < max_away;
+  return idle ? &host : nullptr;
 }
 
-void Troubles::Leave(bool says, bool same_id) {
-  if (auto* place = Settled()) {
-    Depart(*place, says, same_id);
+void FaultInjector::DepartRandom(bool announces, bool same_id) {
+  if (auto* host = PickIdleHost()) {
+    Depart(*host, announces, same_id);
   }
 }
 
-void Troubles::Depart(Place& place, bool says, bool same_id) {
-  busy_[&place] = true;
-  const auto id = place.endpoint_->id();
-  if (says) {
-    world_.PutRow(place, "draining");
+void FaultInjector::Depart(EndpointHost& host, bool announces, bool same_id) {
+  busy_[&host] = true;
+  const auto id = host.endpoint_->id();
+  if (announces) {
+    deployment_.PutRow(host, "draining");
   } else {
-    world_.RemoveRow(place);
+    deployment_.RemoveRow(host);
   }
-  judge_.OnLeft(id);
-  const auto serves = world_.settings().bounds_.drain_ + Between(0, kServeOnMs);
-  Later(serves, [this, &place, says, same_id] {
-    if (says) {
-      world_.RemoveRow(place);
+  checker_.OnDepartureAcknowledged(id);
+  const auto serve_time = deployment_.settings().bounds_.drain_ +
+                          DrawBetween(0, kMaxServeAfterDrainMs);
+  Schedule(serve_time, [this, &host, announces, same_id] {
+    if (announces) {
+      deployment_.RemoveRow(host);
     }
-    EndLife(place, same_id);
+    StopThenRestart(host, same_id);
   });
 }
 
-// The path falls silent as the endpoint leaves: what is on it then may come out
-// at the other end much later.
-void Troubles::LeaveHeld() {
-  auto* place = Settled();
-  if (place == nullptr || !place->relayed_) {
+// What is sent on a held path arrives only when the path is released, long
+// after the departure.
+void FaultInjector::DepartWithHeldPath() {
+  auto* host = PickIdleHost();
+  if (host == nullptr || !host->relayed_) {
     return;
   }
-  // Until it departs, no other departure may choose it.
-  busy_[place] = true;
-  Hold(*place, fleet::Way::kBoth, Between(2000, 2800));
-  Later(Between(0, 300), [this, place] { Depart(*place, true, false); });
+  // Keeps other departures from choosing it before it departs.
+  busy_[host] = true;
+  HoldPath(*host, fleet::Way::kBoth, DrawBetween(2000, 2800));
+  Schedule(DrawBetween(0, 300), [this, host] { Depart(*host, true, false); });
 }
 
-void Troubles::EndLife(Place& place, bool same_id) {
-  place.endpoint_->Stop();
-  Later(kReuse, [this, &place, same_id] {
-    place.endpoint_->SetVersion(place.engine_ ? 1 : 0);
-    place.endpoint_->Start();
-    world_.BeginLife(place, same_id);
-    busy_[&place] = false;
+void FaultInjector::StopThenRestart(EndpointHost& host, bool same_id) {
+  host.endpoint_->Stop();
+  Schedule(kAddressReuseDelay, [this, &host, same_id] {
+    host.endpoint_->SetVersion(host.is_engine_ ? 1 : 0);
+    host.endpoint_->Start();
+    deployment_.StartIncarnation(host, same_id);
+    busy_[&host] = false;
   });
 }
 
-void Troubles::Lapse() {
-  auto* place = Settled();
-  if (place == nullptr) {
+void FaultInjector::RemoveAndRelist() {
+  auto* host = PickIdleHost();
+  if (host == nullptr) {
     return;
   }
-  busy_[place] = true;
-  const auto id = place->endpoint_->id();
-  world_.RemoveRow(*place);
-  judge_.OnLeft(id);
-  Later(Between(500, 4000), [this, place, id] {
-    judge_.OnBack(id);
-    world_.PutRow(*place, "ready");
-    busy_[place] = false;
+  busy_[host] = true;
+  const auto id = host->endpoint_->id();
+  deployment_.RemoveRow(*host);
+  checker_.OnDepartureAcknowledged(id);
+  Schedule(DrawBetween(500, 4000), [this, host, id] {
+    checker_.OnListed(id);
+    deployment_.PutRow(*host, "ready");
+    busy_[host] = false;
   });
 }
 
-Entry* Troubles::Running() {
-  auto& entries = world_.entries();
+Entry* FaultInjector::PickRunningEntry() {
+  auto& entries = deployment_.entries();
   auto& entry = entries[random_() % entries.size()];
   return entry.stopped_ ? nullptr : &entry;
 }
 
-void Troubles::Freeze(Entry& entry) { Pause(entry, false); }
+void FaultInjector::Freeze(Entry& entry) { PauseEntry(entry, false); }
 
-void Troubles::Suspend(Entry& entry) { Pause(entry, true); }
+void FaultInjector::Suspend(Entry& entry) { PauseEntry(entry, true); }
 
-void Troubles::Pause(Entry& entry, bool suspended) {
+void FaultInjector::PauseEntry(Entry& entry, bool suspended) {
   entry.stopped_ = true;
-  judge_.OnDisturbed(entry.name_);
+  checker_.OnDisturbed(entry.name_);
   entry.child_.Signal(SIGSTOP);
-  const auto length = Between(300, 4000);
-  Later(length, [this, &entry, suspended, length] {
+  const auto duration = DrawBetween(300, 4000);
+  Schedule(duration, [this, &entry, suspended, duration] {
     if (suspended) {
-      entry.clocks_->Add(length);
+      entry.suspension_->Add(duration);
     }
     entry.child_.Signal(SIGCONT);
     entry.stopped_ = false;
-    judge_.OnDisturbed(entry.name_);
+    checker_.OnDisturbed(entry.name_);
   });
 }
 
-void Troubles::CrashEndpoints() { callers_.BeginCrashing(Between(4000, 9000)); }
+void FaultInjector::CrashEndpoints() {
+  callers_.StartCrashingSeries(DrawBetween(4000, 9000));
+}
 
-void Troubles::ReviveCrashed() {
-  for (auto* place : world_.TakeCrashed()) {
-    Later(Between(kLeastRevivalMs, kMostRevivalMs),
-          [this, place] { Revive(*place); });
+void FaultInjector::RestartCrashed() {
+  for (auto* host : deployment_.TakeCrashed()) {
+    Schedule(DrawBetween(kMinRestartDelayMs, kMaxRestartDelayMs),
+             [this, host] { RestartAfterCrash(*host); });
   }
 }
 
-void Troubles::Revive(Place& place) {
-  if (busy_[&place]) {
-    // It was leaving: its next life may begin with that.
-    Later(milliseconds(kLeastRevivalMs), [this, &place] { Revive(place); });
+void FaultInjector::RestartAfterCrash(EndpointHost& host) {
+  if (busy_[&host]) {
+    // It was departing, which may start its next incarnation already.
+    Schedule(milliseconds(kMinRestartDelayMs),
+             [this, &host] { RestartAfterCrash(host); });
     return;
   }
-  if (!place.endpoint_->running()) {
-    world_.RemoveRow(place);
-    place.endpoint_->SetVersion(place.engine_ ? 1 : 0);
-    place.endpoint_->Start();
-    world_.BeginLife(place, false);
+  if (!host.endpoint_->running()) {
+    deployment_.RemoveRow(host);
+    host.endpoint_->SetVersion(host.is_engine_ ? 1 : 0);
+    host.endpoint_->Start();
+    deployment_.StartIncarnation(host, false);
   }
 }
 
-void Troubles::FreezeDomain() {
-  const auto* first = Running();
+void FaultInjector::FreezeDomain() {
+  const auto* first = PickRunningEntry();
   if (first == nullptr) {
     return;
   }
-  for (auto& entry : world_.entries()) {
+  for (auto& entry : deployment_.entries()) {
     if (entry.domain_ == first->domain_ && !entry.stopped_ &&
         random_() % 2 == 0) {
       Freeze(entry);
@@ -262,87 +270,90 @@
   }
 }
 
-void Troubles::Restart(int signal) {
-  auto* entry = Running();
+void FaultInjector::RestartEntry(int signal) {
+  auto* entry = PickRunningEntry();
   if (entry == nullptr) {
     return;
   }
   entry->stopped_ = true;
-  judge_.OnDisturbed(entry->name_);
+  checker_.OnDisturbed(entry->name_);
   entry->child_.Signal(signal);
-  const auto wait =
-      signal == SIGKILL ? Between(50, 1500) : std::chrono::milliseconds(kGrace);
-  Later(wait, [this, entry] {
+  const auto restart_delay = signal == SIGKILL
+                                 ? DrawBetween(50, 1500)
+                                 : std::chrono::milliseconds(kEntryStopTimeout);
+  Schedule(restart_delay, [this, entry] {
     entry->child_.Kill();
-    world_.StartEntry(*entry);
-    judge_.OnDisturbed(entry->name_);
+    deployment_.StartEntry(*entry);
+    checker_.OnDisturbed(entry->name_);
   });
 }
 
-void Troubles::HoldStore(fleet::Way way) {
-  auto* entry = Running();
+void FaultInjector::HoldStorePath(fleet::Way way) {
+  auto* entry = PickRunningEntry();
   if (entry == nullptr) {
     return;
   }
-  judge_.OnDisturbed(entry->name_);
-  world_.relay().Silence(entry->store_, way);
-  Later(Between(300, 4000), [this, entry] {
-    world_.relay().Restore(entry->store_);
-    judge_.OnDisturbed(entry->name_);
+  checker_.OnDisturbed(entry->name_);
+  deployment_.relay().Silence(entry->store_address_, way);
+  Schedule(DrawBetween(300, 4000), [this, entry] {
+    deployment_.relay().Restore(entry->store_address_);
+    checker_.OnDisturbed(entry->name_);
   });
 }
 
-void Troubles::HoldEndpoint(fleet::Way way) {
-  std::vector<Place*> relayed;
-  for (auto& place : world_.places()) {
-    if (place.relayed_) {
-      relayed.push_back(&place);
+void FaultInjector::HoldEndpointPath(fleet::Way way) {
+  std::vector<EndpointHost*> relayed;
+  for (auto& host : deployment_.hosts()) {
+    if (host.relayed_) {
+      relayed.push_back(&host);
     }
   }
-  Hold(*relayed[random_() % relayed.size()], way, Between(500, 2800));
+  HoldPath(*relayed[random_() % relayed.size()], way, DrawBetween(500, 2800));
 }
 
-// Holds of over 3 s the sender's system gives up by itself; no relay shows
-// that.
-void Troubles::Hold(Place& place, fleet::Way way, milliseconds length) {
-  const auto id = place.endpoint_->id();
-  judge_.OnPathHeld(id);
-  world_.relay().Silence(place.address_, way);
-  Later(length, [this, &place, id] {
-    world_.relay().Restore(place.address_);
-    judge_.OnPathBack(id);
+// On a real path, the sender's operating system gives up a hold of more than
+// 3 s; the relay cannot reproduce that, so holds are shorter.
+void FaultInjector::HoldPath(EndpointHost& host, fleet::Way way,
+                             milliseconds duration) {
+  const auto id = host.endpoint_->id();
+  checker_.OnPathHeld(id);
+  deployment_.relay().Silence(host.address_, way);
+  Schedule(duration, [this, &host, id] {
+    deployment_.relay().Restore(host.address_);
+    checker_.OnPathReleased(id);
   });
 }
 
-void Troubles::ResetEndpoint() {
-  for (auto& place : world_.places()) {
-    if (place.relayed_ && random_() % 4 == 0) {
-      world_.relay().ResetAll(place.address_);
+void FaultInjector::ResetEndpointConnections() {
+  for (auto& host : deployment_.hosts()) {
+    if (host.relayed_ && random_() % 4 == 0) {
+      deployment_.relay().ResetAll(host.address_);
     }
   }
 }
 
-// While the store fails some calls only, it is judged as if it were calm.
-void Troubles::StoreBusy(unsigned per_mille, milliseconds length) {
-  world_.store().SetBusyShare(per_mille);
+// A store that rejects only some calls does not count as a disturbance.
+void FaultInjector::RejectStoreCalls(unsigned per_mille,
+                                     milliseconds duration) {
+  deployment_.store().SetBusyShare(per_mille);
   const bool down = per_mille == 1000;
   if (down) {
-    judge_.OnDisturbed("");
+    checker_.OnDisturbed("");
   }
-  Later(length, [this, down] {
-    world_.store().SetBusyShare(0);
+  Schedule(duration, [this, down] {
+    deployment_.store().SetBusyShare(0);
     if (down) {
-      judge_.OnDisturbed("");
+      checker_.OnDisturbed("");
     }
   });
 }
 
-void Troubles::StoreSlow() {
-  world_.store().SetDelay(Between(100, 300));
-  judge_.OnDisturbed("");
-  Later(Between(1000, 5000), [this] {
-    world_.store().SetDelay(milliseconds(0));
-    judge_.OnDisturbed("");
+void FaultInjector::DelayStore() {
+  deployment_.store().SetDelay(DrawBetween(100, 300));
+  checker_.OnDisturbed("");
+  Schedule(DrawBetween(1000, 5000), [this] {
+    deployment_.store().SetDelay(milliseconds(0));
+    checker_.OnDisturbed("");
   });
 }
 
--- a/tests/soak/fault_injector.hpp
+++ b/tests/soak/fault_injector.hpp
@@ -1,5 +1,6 @@
-// What happens to a deployment, drawn from a seed: endpoints leave and return
-// in every way, while processes, paths and the store are disturbed.
+// Injects faults into a soak deployment, chosen at random from a seed:
+// endpoints leave and return in every way, while processes, network paths and
+// the configuration store are disturbed.
 #pragma once
 
 #include <chrono>
@@ -9,85 +10,108 @@
 #include <string>
 
 #include "soak/callers.hpp"
-#include "soak/judge.hpp"
-#include "soak/world.hpp"
+#include "soak/checker.hpp"
+#include "soak/deployment.hpp"
 
 namespace chalkwell::soak {
 
-/// @brief What may be played.
-struct TroubleSettings {
+/// @brief Which faults are injected, and how often.
+struct FaultSettings {
   std::uint64_t seed_ = 1;
-  std::chrono::seconds length_{40};
-  /// Mean pause between two departures of endpoints, and two disturbances.
-  milliseconds departures_{400};
-  milliseconds disturbances_{1500};
-  /// Kinds to play, by name; empty for all.
-  std::string only_;
+  std::chrono::seconds duration_{40};
+  /// Mean intervals, exponentially distributed, between two departures of
+  /// endpoints and between two disturbances.
+  milliseconds mean_departure_interval_{400};
+  milliseconds mean_disturbance_interval_{1500};
+  /// Names of the disturbances to inject, separated by commas; empty for all.
+  /// Departures are always injected.
+  std::string only_kinds_;
 };
 
-/// @brief Plays on the calling thread until its time is over.
-class Troubles {
+/// @brief Injects departures of endpoints and disturbances, and reports both to
+/// the checker.
+///
+/// A departure is a planned or unplanned end of an endpoint incarnation. A
+/// disturbance affects an entry, the path to an endpoint or the store, so that
+/// the checker suspends its checks for what is affected.
+class FaultInjector {
  public:
-  Troubles(TroubleSettings settings, World& world, Callers& callers,
-           Judge& judge);
+  FaultInjector(FaultSettings settings, Deployment& deployment,
+                Callers& callers, Checker& checker);
 
-  void Play();
-  /// @brief How often each kind was played.
-  [[nodiscard]] const std::map<std::string, unsigned>& played() const {
-    return played_;
+  /// @brief Injects faults on the calling thread for the configured duration,
+  /// then resumes paused entries and releases held paths.
+  void Run();
+  /// @brief How often each fault kind was injected, by name; an injection that
+  /// found no suitable target counts too.
+  [[nodiscard]] const std::map<std::string, unsigned>& injected() const {
+    return injected_;
   }
 
  private:
   using Action = std::function<void()>;
   struct Kind {
     std::string name_;
-    std::function<void()> begin_;
+    std::function<void()> inject_;
   };
 
   void AddDepartures();
   void AddDisturbances();
-  void Begin(const std::vector<Kind>& kinds);
-  void Later(milliseconds delay, Action action);
-  [[nodiscard]] milliseconds Between(int least, int most);
-  [[nodiscard]] milliseconds Pause(milliseconds mean);
+  void InjectRandom(const std::vector<Kind>& kinds);
+  void Schedule(milliseconds delay, Action action);
+  [[nodiscard]] milliseconds DrawBetween(int least, int most);
+  [[nodiscard]] milliseconds DrawInterval(milliseconds mean);
 
-  /// A place whose endpoint is listed and serves.
-  [[nodiscard]] Place* Settled();
-  /// @param says whether it states that it drains.
-  /// @param same_id whether the next life bears the same id.
-  void Leave(bool says, bool same_id);
-  void Depart(Place& place, bool says, bool same_id);
-  void LeaveHeld();
-  void EndLife(Place& place, bool same_id);
-  void Lapse();
-  [[nodiscard]] Entry* Running();
+  /// Draws a host at random.
+  /// @return null if it is busy, or if too many hosts of its service are.
+  [[nodiscard]] EndpointHost* PickIdleHost();
+  /// Lets a random endpoint depart.
+  /// @param announces whether its row says that it is draining; otherwise the
+  /// row is removed at once.
+  /// @param same_id whether the next incarnation has the same id.
+  void DepartRandom(bool announces, bool same_id);
+  void Depart(EndpointHost& host, bool announces, bool same_id);
+  /// Holds the path to a random endpoint and lets it depart meanwhile.
+  void DepartWithHeldPath();
+  void StopThenRestart(EndpointHost& host, bool same_id);
+  /// Removes the row of a random endpoint that keeps running, and restores it
+  /// later.
+  void RemoveAndRelist();
+  /// Draws an entry at random.
+  /// @return null if it is paused or restarting.
+  [[nodiscard]] Entry* PickRunningEntry();
   void Freeze(Entry& entry);
   void Suspend(Entry& entry);
-  void Pause(Entry& entry, bool suspended);
+  /// @param suspended whether the machine is suspended: its steady clock does
+  /// not count the pause.
+  void PauseEntry(Entry& entry, bool suspended);
   void CrashEndpoints();
-  /// @brief Endpoints that crashed begin their next lives some seconds later.
-  void ReviveCrashed();
-  void Revive(Place& place);
+  /// Schedules the next incarnations of endpoints that crashed.
+  void RestartCrashed();
+  void RestartAfterCrash(EndpointHost& host);
+  /// Pauses about half of the running entries of a random failure domain.
   void FreezeDomain();
-  void Restart(int signal);
-  void HoldStore(fleet::Way way);
-  void HoldEndpoint(fleet::Way way);
-  void Hold(Place& place, fleet::Way way, milliseconds length);
-  void ResetEndpoint();
-  void StoreBusy(unsigned per_mille, milliseconds length);
-  void StoreSlow();
+  /// @param signal SIGKILL, or SIGTERM for a planned stop.
+  void RestartEntry(int signal);
+  void HoldStorePath(fleet::Way way);
+  void HoldEndpointPath(fleet::Way way);
+  void HoldPath(EndpointHost& host, fleet::Way way, milliseconds duration);
+  void ResetEndpointConnections();
+  /// @param per_mille share of the store's calls that get 503.
+  void RejectStoreCalls(unsigned per_mille, milliseconds duration);
+  void DelayStore();
 
-  TroubleSettings settings_;
-  World& world_;
+  FaultSettings settings_;
+  Deployment& deployment_;
   Callers& callers_;
-  Judge& judge_;
+  Checker& checker_;
   std::mt19937_64 random_;
-  std::vector<Kind> departures_;
-  std::vector<Kind> disturbances_;
-  std::multimap<TimePoint, Action> due_;
-  /// Places where something is under way.
-  std::map<const Place*, bool> busy_;
-  std::map<std::string, unsigned> played_;
+  std::vector<Kind> departure_kinds_;
+  std::vector<Kind> disturbance_kinds_;
+  std::multimap<TimePoint, Action> scheduled_;
+  /// Hosts whose endpoint is departing or is not listed again yet.
+  std::map<const EndpointHost*, bool> busy_;
+  std::map<std::string, unsigned> injected_;
 };
 
 }  // namespace chalkwell::soak
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -1,4 +1,4 @@
-// Callers go on until the troubles are over and what they left has settled.
+// Callers keep sending after the last fault until its effects have ended.
 #include "soak/soak.hpp"
 
 #include <algorithm>
@@ -12,49 +12,51 @@
 namespace {
 
 constexpr auto kSettle = std::chrono::seconds(2);
-constexpr std::size_t kMostPrinted = 20;
-/// Endpoints that one request is aimed to crash at most.
-constexpr std::size_t kAimedCrashes = 4;
+constexpr std::size_t kMaxPrintedPerKind = 20;
+/// The system aims at no more crashes by one request.
+constexpr std::size_t kMaxExpectedCrashes = 4;
 
-/// Collects one field of all lines in the logs of a folder.
-Times FieldOfLogs(const std::filesystem::path& folder,
-                  const std::string& name) {
+/// Reads one field of all lines in the logs of a folder.
+DurationSample ReadLogField(const std::filesystem::path& folder,
+                            const std::string& name) {
   const auto mark = "\"" + name + "\":\"";
-  Times times;
+  DurationSample durations;
   for (const auto& file : std::filesystem::directory_iterator(folder)) {
     std::ifstream lines(file.path());
     for (std::string line; std::getline(lines, line);) {
       const auto at = line.find(mark);
       if (at != std::string::npos) {
-        times.Add(milliseconds(std::stol(line.substr(at + mark.size()))));
+        durations.Add(milliseconds(std::stol(line.substr(at + mark.size()))));
       }
     }
   }
-  return times;
+  return durations;
 }
 
-void PrintTimes(const std::string& what, const Times& times,
-                std::ostream& out) {
-  out << what << ": " << times.count()
-      << ", ms at 50, 99, 99.9, 100 of 100: " << times.Quantile(0.5).count()
-      << " " << times.Quantile(0.99).count() << " "
-      << times.Quantile(0.999).count() << " " << times.Quantile(1).count()
-      << "\n";
+void PrintDurations(const std::string& what, const DurationSample& durations,
+                    std::ostream& out) {
+  out << what << ": " << durations.count()
+      << ", ms at percentiles 50, 99, 99.9, 100: "
+      << durations.Quantile(0.5).count() << " "
+      << durations.Quantile(0.99).count() << " "
+      << durations.Quantile(0.999).count() << " "
+      << durations.Quantile(1).count() << "\n";
 }
 
-/// Whether a request crashed more endpoints than the aim allows, by the fault
-/// of whomever: the logs are worth keeping.
-bool CrashesOfInterest(const RunResult& result) {
+/// Whether a request crashed more endpoints than expected, whatever the cause:
+/// the logs are kept then.
+bool HasUnexpectedCrashes(const RunResult& result) {
   return std::ranges::any_of(result.crashes_, [](const auto& request) {
-    return request.second.size() > kAimedCrashes;
+    return request.second.size() > kMaxExpectedCrashes;
   });
 }
 
-/// Prints for each crash past the third whether its entry could have known.
+/// Prints, for each crash after the request should have been quarantined,
+/// whether its entry was disturbed.
 void PrintLaterCrashes(const std::string& name,
-                       const std::vector<CrashSeen>& crashes,
+                       const std::vector<CrashRecord>& crashes,
                        std::ostream& out) {
-  const std::size_t known = Bounds{}.crashes_;
+  const std::size_t known = Bounds{}.quarantine_crashes_;
   for (auto i = known; i < crashes.size(); ++i) {
     const auto& crash = crashes[i];
     const auto third = crashes[known - 1].at_;
@@ -64,73 +66,76 @@
     out << "  " << name << " crash " << i + 1 << ": " << ms(crash.at_)
         << " ms after the third, arrived " << ms(crash.arrived_at_)
         << " ms after it, entry " << crash.entry_ << " "
-        << (crash.in_touch_ ? "in touch" : "disturbed") << "\n";
+        << (crash.undisturbed_ ? "undisturbed" : "disturbed") << "\n";
   }
 }
 
 }  // namespace
 
 RunResult Run(const RunSettings& settings) {
-  std::filesystem::remove_all(settings.world_.folder_);
+  std::filesystem::remove_all(settings.deployment_.folder_);
   RunResult result;
-  Judge judge(settings.world_.bounds_);
+  Checker checker(settings.deployment_.bounds_);
   {
-    World world(settings.world_, judge);
-    result.started_ = world.Start();
+    Deployment deployment(settings.deployment_, checker);
+    result.started_ = deployment.Start();
     if (!result.started_) {
       return result;
     }
     std::vector<Target> targets;
-    for (const auto& entry : world.entries()) {
-      targets.push_back({entry.name_, world.CallerAddress(entry)});
+    for (const auto& entry : deployment.entries()) {
+      targets.push_back({entry.name_, deployment.CallerAddress(entry)});
     }
-    Callers callers(std::move(targets), settings.rate_,
-                    settings.troubles_.seed_, judge);
-    Troubles troubles(settings.troubles_, world, callers, judge);
-    troubles.Play();
+    Callers callers(std::move(targets), settings.rate_, settings.faults_.seed_,
+                    checker);
+    FaultInjector fault_injector(settings.faults_, deployment, callers,
+                                 checker);
+    fault_injector.Run();
     std::this_thread::sleep_for(kSettle);
-    result.played_ = troubles.played();
+    result.injected_ = fault_injector.injected();
   }
-  result.findings_ = judge.findings();
-  result.answers_ = judge.answers();
-  result.arrivals_ = judge.arrivals();
-  result.late_sends_ = judge.late_sends();
-  result.crashes_ = judge.crashes();
-  result.suspected_ = judge.suspected();
-  result.list_ages_ = FieldOfLogs(settings.world_.folder_, "list_age_ms");
-  if (result.findings_.empty() && !CrashesOfInterest(result)) {
-    std::filesystem::remove_all(settings.world_.folder_);
+  result.findings_ = checker.findings();
+  result.responses_ = checker.responses();
+  result.arrivals_ = checker.arrivals();
+  result.arrivals_after_departure_ = checker.arrivals_after_departure();
+  result.crashes_ = checker.crashes();
+  result.refused_as_suspected_ = checker.refused_as_suspected();
+  result.list_ages_ = ReadLogField(settings.deployment_.folder_, "list_age_ms");
+  if (result.findings_.empty() && !HasUnexpectedCrashes(result)) {
+    std::filesystem::remove_all(settings.deployment_.folder_);
   }
   return result;
 }
 
 void Print(const RunResult& result, std::ostream& out) {
-  out << "arrivals " << result.arrivals_ << "; answers";
-  for (const auto& [status, count] : result.answers_) {
+  out << "arrivals " << result.arrivals_ << "; responses";
+  for (const auto& [status, count] : result.responses_) {
     out << " " << status << ":" << count;
   }
-  out << "\nplayed";
-  for (const auto& [kind, count] : result.played_) {
+  out << "\ninjected faults";
+  for (const auto& [kind, count] : result.injected_) {
     out << " " << kind << ":" << count;
   }
   out << "\n";
-  PrintTimes("sent by entries in touch after a leaving was acknowledged",
-             result.late_sends_, out);
+  PrintDurations(
+      "arrivals from undisturbed entries after an acknowledged departure",
+      result.arrivals_after_departure_, out);
   out << "endpoints crashed by each request";
   for (const auto& [name, crashes] : result.crashes_) {
     out << " " << name << ":" << crashes.size();
   }
-  out << "; innocent requests refused while one like them was tried: "
-      << result.suspected_ << "\n";
+  out << "; other requests refused during a trial: "
+      << result.refused_as_suspected_ << "\n";
   for (const auto& [name, crashes] : result.crashes_) {
     PrintLaterCrashes(name, crashes, out);
   }
-  PrintTimes("age of the list at choices", result.list_ages_, out);
+  PrintDurations("snapshot age of the endpoint list when routing",
+                 result.list_ages_, out);
   std::map<std::string, std::size_t> kinds;
   for (const auto& finding : result.findings_) {
-    if (++kinds[finding.what_] <= kMostPrinted) {
-      out << "  " << finding.what_ << ": " << finding.endpoint_ << " "
-          << finding.request_ << " after " << finding.after_.count() << " ms\n";
+    if (++kinds[finding.kind_] <= kMaxPrintedPerKind) {
+      out << "  " << finding.kind_ << ": " << finding.endpoint_ << " "
+          << finding.request_ << " after " << finding.delay_.count() << " ms\n";
     }
   }
   for (const auto& [what, count] : kinds) {
--- a/tests/soak/soak.hpp
+++ b/tests/soak/soak.hpp
@@ -1,37 +1,42 @@
-// One run of the soak: a deployment, its callers, its troubles, what was found.
+// One run of the soak test: callers send requests to a deployment while faults
+// are injected; violated guarantees are reported.
 #pragma once
 
 #include <iosfwd>
 #include <string>
 
-#include "soak/troubles.hpp"
+#include "soak/fault_injector.hpp"
 
 namespace chalkwell::soak {
 
-/// @brief What a run is made of.
+/// @brief Settings of a run.
 struct RunSettings {
-  WorldSettings world_;
-  TroubleSettings troubles_;
-  /// Requests of callers a second.
+  DeploymentSettings deployment_;
+  FaultSettings faults_;
+  /// Requests of callers per second.
   unsigned rate_ = 300;
 };
 
-/// @brief What a run showed.
+/// @brief Result of a run.
 struct RunResult {
+  /// False if the deployment was not ready in time; the rest is empty then.
   bool started_ = false;
   std::vector<Finding> findings_;
-  std::map<int, std::uint64_t> answers_;
-  std::map<std::string, unsigned> played_;
+  std::map<int, std::uint64_t> responses_;
+  std::map<std::string, unsigned> injected_;
   std::uint64_t arrivals_ = 0;
-  Times late_sends_;
-  std::map<std::string, std::vector<CrashSeen>> crashes_;
-  std::uint64_t suspected_ = 0;
-  /// Ages of the lists by which attempts were chosen, as entries logged them.
-  Times list_ages_;
+  DurationSample arrivals_after_departure_;
+  std::map<std::string, std::vector<CrashRecord>> crashes_;
+  std::uint64_t refused_as_suspected_ = 0;
+  /// Snapshot ages of the endpoint list when attempts were routed, as logged
+  /// by the entries.
+  DurationSample list_ages_;
 };
 
-/// @brief Plays one run; the logs of its processes stay in its folder when
-/// something was found.
+/// @brief Executes one run.
+///
+/// Removes the folder of the deployment first, and again after a run without
+/// findings and without unexpectedly many crashes.
 [[nodiscard]] RunResult Run(const RunSettings& settings);
 void Print(const RunResult& result, std::ostream& out);
 
--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -1,30 +1,31 @@
-// Long runs by hand: soak SEED SECONDS [KINDS [PROGRAM [PAUSE]]], for example
-// soak 7 60 freeze,kill; PROGRAM is the chalkwelld of another revision, and a
-// last word the mean pause between two disturbances in milliseconds.
+// Long soak runs: soak_long SEED SECONDS [KINDS [PROGRAM [INTERVAL]]], for
+// example soak_long 7 60 freeze,kill. KINDS are the disturbances to inject,
+// PROGRAM is the path of a chalkwelld, for example of another revision, and
+// INTERVAL the mean interval between two disturbances in milliseconds.
 #include <csignal>
 #include <cstdlib>
 #include <iostream>
 
 #include "soak/soak.hpp"
 
-int main(int count, char** words) {
+int main(int argument_count, char** arguments) {
   chalkwell::fleet::KillChildrenWhenEnded();
-  // Whoever reads the output may leave before the end.
+  // The reader of the output may close the pipe early.
   std::signal(SIGPIPE, SIG_IGN);
-  const std::string seed = count > 1 ? words[1] : "1";
+  const std::string seed = argument_count > 1 ? arguments[1] : "1";
   chalkwell::soak::RunSettings settings;
-  settings.troubles_.seed_ = std::stoull(seed);
-  settings.troubles_.length_ =
-      std::chrono::seconds(count > 2 ? std::stoi(words[2]) : 40);
-  settings.troubles_.only_ = count > 3 ? words[3] : "";
-  if (count > 4) {
-    settings.world_.daemon_ = words[4];
+  settings.faults_.seed_ = std::stoull(seed);
+  settings.faults_.duration_ =
+      std::chrono::seconds(argument_count > 2 ? std::stoi(arguments[2]) : 40);
+  settings.faults_.only_kinds_ = argument_count > 3 ? arguments[3] : "";
+  if (argument_count > 4) {
+    settings.deployment_.daemon_ = arguments[4];
   }
-  if (count > 5) {
-    settings.troubles_.disturbances_ =
-        std::chrono::milliseconds(std::stoi(words[5]));
+  if (argument_count > 5) {
+    settings.faults_.mean_disturbance_interval_ =
+        std::chrono::milliseconds(std::stoi(arguments[5]));
   }
-  settings.world_.folder_ =
+  settings.deployment_.folder_ =
       std::filesystem::temp_directory_path() / ("chalkwell-soak-" + seed);
   const auto result = chalkwell::soak::Run(settings);
   std::cout << "soak seed " << seed << (result.started_ ? "" : " NOT STARTED")
@@ -32,7 +33,7 @@
   chalkwell::soak::Print(result, std::cout);
   const bool clean = result.started_ && result.findings_.empty();
   if (!clean) {
-    std::cout << "logs in " << settings.world_.folder_.string() << "\n";
+    std::cout << "logs in " << settings.deployment_.folder_.string() << "\n";
   }
   return clean ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -1,4 +1,4 @@
-// A short run of the soak with fixed seeds: small deployments, all troubles.
+// Short soak runs with fixed seeds on small deployments.
 #include "soak/soak.hpp"
 
 #include <catch2/catch.hpp>
@@ -9,25 +9,27 @@
 
 using namespace std::chrono_literals;
 
-RunSettings Small(std::uint64_t seed, const std::string& kinds) {
+RunSettings SmallRun(std::uint64_t seed, const std::string& kinds) {
   RunSettings settings;
-  settings.world_.entries_ = 4;
-  settings.world_.engines_ = 4;
-  settings.world_.services_ = 2;
-  settings.world_.relayed_ = 2;
-  settings.world_.folder_ = std::filesystem::temp_directory_path() /
-                            ("chalkwell-soak-test-" + std::to_string(seed));
-  settings.troubles_.seed_ = seed;
-  settings.troubles_.length_ = 15s;
-  settings.troubles_.disturbances_ = 500ms;
-  settings.troubles_.only_ = kinds;
+  settings.deployment_.entries_ = 4;
+  settings.deployment_.engines_ = 4;
+  settings.deployment_.services_ = 2;
+  settings.deployment_.relayed_ = 2;
+  settings.deployment_.folder_ =
+      std::filesystem::temp_directory_path() /
+      ("chalkwell-soak-test-" + std::to_string(seed));
+  settings.faults_.seed_ = seed;
+  settings.faults_.duration_ = 15s;
+  settings.faults_.mean_disturbance_interval_ = 500ms;
+  settings.faults_.only_kinds_ = kinds;
   settings.rate_ = 150;
   return settings;
 }
 
-TEST_CASE("requests that crash endpoints are refused, and no others",
+TEST_CASE("requests that crash endpoints are quarantined, and no others",
           "[soak]") {
-  const auto result = Run(Small(4, "crashing-request,suspend,kill,path-reset"));
+  const auto result =
+      Run(SmallRun(4, "crashing-request,suspend,kill,path-reset"));
   std::ostringstream text;
   Print(result, text);
   INFO(text.str());
@@ -44,7 +46,7 @@
   };
   const auto row = GENERATE(Row{1, ""}, Row{2, "path-held,freeze"},
                             Row{3, "store-fails-some,kill"});
-  const auto result = Run(Small(row.seed_, row.kinds_));
+  const auto result = Run(SmallRun(row.seed_, row.kinds_));
   std::ostringstream text;
   Print(result, text);
   INFO("seed " << row.seed_ << "\n" << text.str());
