--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -1,6 +1,8 @@
-// Cost of control: processor time, memory and bytes of entries and agents as
-// slopes against endpoints, entries, list rows, changes and tokens; how long a
-// change takes to be in force everywhere; calls to the configuration service.
+// Measures the cost of the control plane: processor time, memory and peer
+// traffic of entries and agents, fitted as lines over the number of endpoints,
+// entries, list rows, changes and tokens; how long a change takes to be active
+// in every process; calls to the configuration store.
+// Usage: bench_control [PART], PART a name of RunParts; all parts by default.
 #include <algorithm>
 #include <csignal>
 #include <fstream>
@@ -21,14 +23,14 @@
 using fleet::Node;
 using namespace std::chrono_literals;
 
-constexpr auto kWindow = 8s;
-constexpr auto kSettle = 3s;
+constexpr auto kMeasurementWindow = 8s;
+constexpr auto kSettleTime = 3s;
 constexpr std::size_t kShardRows = 64;
 const std::vector<std::string> kDomains{"port-louis", "grand-baie",
                                         "mahebourg"};
 
-FleetSpec SpecOf(unsigned entries, unsigned engines,
-                 const std::string& folder) {
+FleetSpec MakeFleetSpec(unsigned entries, unsigned engines,
+                        const std::string& folder) {
   FleetSpec spec;
   spec.domains_ = kDomains;
   spec.entries_ = entries;
@@ -38,7 +40,8 @@
   return spec;
 }
 
-void GoLive(Fleet& fleet) {
+/// Starts the fleet, waits until version 1 is live, then lets the load settle.
+void StartAndWaitUntilLive(Fleet& fleet) {
   fleet.StartOutside();
   fleet.PublishFleet();
   fleet.Publish("bundle", fleet.MakeBundle(1, 1, 1 << 20, 256 << 10));
@@ -46,45 +49,50 @@
   if (!fleet.WaitLive(1, 120s)) {
     throw std::runtime_error("the fleet did not become live");
   }
-  std::this_thread::sleep_for(kSettle);
+  std::this_thread::sleep_for(kSettleTime);
 }
 
-/// Rows of instances that nobody attaches to: entries of a role of their own.
-std::string ShardOf(std::size_t shard, std::size_t rows, std::uint64_t salt) {
-  auto list = nlohmann::json::array();
+/// One document of the instance list with endpoints of another failure domain
+/// and of a role that no route names, so that no entry connects to them.
+/// @param variant changes the peer addresses, so that a new variant is a change
+/// of the document.
+std::string MakeInstanceShard(std::size_t shard, std::size_t rows,
+                              std::uint64_t variant) {
+  auto instances = nlohmann::json::array();
   for (std::size_t i = 0; i < rows; ++i) {
-    list.push_back(
+    instances.push_back(
         {{"id", "far-" + std::to_string(shard) + "-" + std::to_string(i)},
          {"kind", "endpoint"},
          {"domain", "far"},
          {"role", "elsewhere"},
          {"backend", "engine"},
-         {"peer", "127.0.0.1:" + std::to_string(1 + salt % 9)}});
+         {"peer", "127.0.0.1:" + std::to_string(1 + variant % 9)}});
   }
-  return nlohmann::json{{"instances", list}}.dump();
+  return nlohmann::json{{"instances", instances}}.dump();
 }
 
-void PublishRows(Fleet& fleet, std::size_t rows) {
+void PublishRemoteInstances(Fleet& fleet, std::size_t rows) {
   for (std::size_t shard = 0; shard * kShardRows < rows; ++shard) {
     const auto count = std::min(kShardRows, rows - shard * kShardRows);
     fleet.Publish("instances/far-" + std::to_string(shard),
-                  ShardOf(shard, count, 0));
+                  MakeInstanceShard(shard, count, 0));
   }
 }
 
-struct Points {
+/// Mean usage of entries and of agents at each value of a variable.
+struct Measurements {
   std::vector<double> x_;
-  std::vector<Rates> entry_;
-  std::vector<Rates> agent_;
+  std::vector<MeanUsage> entry_;
+  std::vector<MeanUsage> agent_;
 
-  /// Watches the fleet's entries, then its agents.
+  /// Measures the fleet's entries, then its agents.
   void Measure(double x, Fleet& fleet) {
-    const auto entry = Watch(fleet.Entries(), kWindow);
-    const auto agent = Watch(fleet.Engines(), kWindow);
+    const auto entry = MeasureMeanUsage(fleet.Entries(), kMeasurementWindow);
+    const auto agent = MeasureMeanUsage(fleet.Engines(), kMeasurementWindow);
     Add(x, entry, agent);
   }
 
-  void Add(double x, const Rates& entry, const Rates& agent) {
+  void Add(double x, const MeanUsage& entry, const MeanUsage& agent) {
     x_.push_back(x);
     entry_.push_back(entry);
     agent_.push_back(agent);
@@ -96,119 +104,122 @@
   }
 };
 
-void PrintLine(const std::string& name, const std::vector<double>& x,
-               const std::vector<Rates>& rates, double Rates::*member) {
+void PrintFit(const std::string& name, const std::vector<double>& x,
+              const std::vector<MeanUsage>& rates, double MeanUsage::*member) {
   std::vector<double> y;
   y.reserve(rates.size());
   for (const auto& rate : rates) {
     y.push_back(rate.*member);
   }
-  const auto line = Fit(x, y);
-  Figure(name + "_at_zero", line.at_zero_);
-  Figure(name + "_slope", line.slope_);
+  const auto line = FitLine(x, y);
+  PrintFigure(name + "_at_zero", line.intercept_);
+  PrintFigure(name + "_slope", line.slope_);
 }
 
-void PrintLines(const std::string& against, const Points& points) {
-  const auto both = [&](const std::string& role,
-                        const std::vector<Rates>& rates) {
-    const auto name = role + "_by_" + against;
-    PrintLine(name + "_cpu", points.x_, rates, &Rates::cpu_share_);
-    PrintLine(name + "_rss", points.x_, rates, &Rates::resident_bytes_);
-    PrintLine(name + "_bytes", points.x_, rates,
-              &Rates::peer_bytes_per_second_);
+void PrintFits(const std::string& variable, const Measurements& measurements) {
+  const auto print_role = [&](const std::string& role,
+                              const std::vector<MeanUsage>& rates) {
+    const auto name = role + "_by_" + variable;
+    PrintFit(name + "_cpu", measurements.x_, rates, &MeanUsage::cpu_share_);
+    PrintFit(name + "_rss", measurements.x_, rates,
+             &MeanUsage::resident_bytes_);
+    PrintFit(name + "_bytes", measurements.x_, rates,
+             &MeanUsage::peer_bytes_per_second_);
   };
-  both("entry", points.entry_);
-  both("agent", points.agent_);
+  print_role("entry", measurements.entry_);
+  print_role("agent", measurements.agent_);
 }
 
-void AgainstEndpoints() {
-  Points points;
+void MeasureByEndpoints() {
+  Measurements measurements;
   for (const unsigned engines : {3U, 10U, 30U, 60U}) {
     const fleet::Scratch scratch;
-    Fleet fleet(SpecOf(2, engines, scratch.path()));
-    GoLive(fleet);
-    // Streams an entry keeps: its domain's, and some of the others'.
-    const double attached = std::min(engines, 64U) + std::min(2 * engines, 16U);
-    points.Measure(attached, fleet);
+    Fleet fleet(MakeFleetSpec(2, engines, scratch.path()));
+    StartAndWaitUntilLive(fleet);
+    // Streams of an entry by the default settings: up to 64 to local endpoints
+    // and up to 16 to remote ones.
+    const double streams = std::min(engines, 64U) + std::min(2 * engines, 16U);
+    measurements.Measure(streams, fleet);
   }
-  PrintLines("endpoints", points);
+  PrintFits("endpoints", measurements);
 }
 
-void AgainstEntries() {
-  Points points;
+void MeasureByEntries() {
+  Measurements measurements;
   for (const unsigned entries : {1U, 3U, 6U, 10U}) {
     const fleet::Scratch scratch;
-    Fleet fleet(SpecOf(entries, 5, scratch.path()));
-    GoLive(fleet);
-    points.Measure(3.0 * entries, fleet);
+    Fleet fleet(MakeFleetSpec(entries, 5, scratch.path()));
+    StartAndWaitUntilLive(fleet);
+    measurements.Measure(3.0 * entries, fleet);
   }
-  PrintLines("entries", points);
+  PrintFits("entries", measurements);
 }
 
-void AgainstRows() {
-  Points points;
+void MeasureByRows() {
+  Measurements measurements;
   for (const std::size_t rows : {0UL, 1000UL, 2000UL, 3400UL}) {
     const fleet::Scratch scratch;
-    auto spec = SpecOf(2, 3, scratch.path());
+    auto spec = MakeFleetSpec(2, 3, scratch.path());
     spec.entry_settings_ = {{"routing.attach_foreign", "0"}};
     Fleet fleet(spec);
-    GoLive(fleet);
-    PublishRows(fleet, rows);
+    StartAndWaitUntilLive(fleet);
+    PublishRemoteInstances(fleet, rows);
     std::this_thread::sleep_for(4s);
-    points.Measure(static_cast<double>(rows), fleet);
+    measurements.Measure(static_cast<double>(rows), fleet);
   }
-  PrintLines("rows", points);
+  PrintFits("rows", measurements);
 }
 
-void AgainstChanges() {
-  Points points;
+void MeasureByChanges() {
+  Measurements measurements;
   constexpr std::size_t kRows = 3400;
   for (const double rate : {0.0, 0.5, 1.0, 2.0}) {
     const fleet::Scratch scratch;
-    auto spec = SpecOf(3, 20, scratch.path());
+    auto spec = MakeFleetSpec(3, 20, scratch.path());
     spec.entry_settings_ = {{"routing.attach_foreign", "0"}};
     Fleet fleet(spec);
-    GoLive(fleet);
-    PublishRows(fleet, kRows);
+    StartAndWaitUntilLive(fleet);
+    PublishRemoteInstances(fleet, kRows);
     std::this_thread::sleep_for(4s);
-    // A child process publishes while this one watches.
+    // A second thread publishes changes during the measurement.
     std::thread publisher;
     std::atomic<bool> stop{false};
     if (rate > 0) {
       publisher = std::thread([&, address = fleet.platform()] {
         daemon::Loop loop;
         daemon::HttpClient client(loop, 5s);
-        std::uint64_t salt = 0;
+        std::uint64_t variant = 0;
         while (!stop) {
-          ++salt;
+          ++variant;
           client.Fetch(
               daemon::ParseAddress(address),
               {.method_ = "POST",
                .path_ = "/control/values/instances/far-" +
-                        std::to_string(salt % (kRows / kShardRows)),
-               .body_ = ShardOf(salt % (kRows / kShardRows), kShardRows, salt)},
+                        std::to_string(variant % (kRows / kShardRows)),
+               .body_ = MakeInstanceShard(variant % (kRows / kShardRows),
+                                          kShardRows, variant)},
               [&loop](const daemon::HttpResponse&) { loop.Stop(); });
           loop.Run();
           std::this_thread::sleep_for(std::chrono::duration<double>(1 / rate));
         }
       });
     }
-    points.Measure(rate, fleet);
+    measurements.Measure(rate, fleet);
     stop = true;
     if (publisher.joinable()) {
       publisher.join();
     }
   }
-  PrintLines("changes", points);
+  PrintFits("changes", measurements);
 }
 
-void AgainstTokens() {
-  Points points;
+void MeasureByTokens() {
+  Measurements measurements;
   constexpr std::uint64_t kTokens = 64;
   for (const double requests : {5.0, 20.0, 40.0, 80.0}) {
     const fleet::Scratch scratch;
-    Fleet fleet(SpecOf(1, 2, scratch.path()));
-    GoLive(fleet);
+    Fleet fleet(MakeFleetSpec(1, 2, scratch.path()));
+    StartAndWaitUntilLive(fleet);
     std::vector<std::string> command{
         fleet::StandinPath(),   "load",  "--key",
         Fleet::CallerKey(),     "--rps", std::to_string(requests),
@@ -219,69 +230,79 @@
     }
     fleet::Child load(command, fleet.folder() + "/load.log");
     std::this_thread::sleep_for(2s);
-    const auto entry = Watch(fleet.Entries(), kWindow);
-    const auto agent = Watch(fleet.Engines(), kWindow);
+    const auto entry = MeasureMeanUsage(fleet.Entries(), kMeasurementWindow);
+    const auto agent = MeasureMeanUsage(fleet.Engines(), kMeasurementWindow);
     load.Signal(SIGTERM);
     (void)load.Wait(30s);
-    points.Add(requests * kTokens, entry, agent);
+    measurements.Add(requests * kTokens, entry, agent);
   }
-  // x is tokens a second of the whole fleet: 3 entries and 6 agents share it.
-  PrintLines("tokens", points);
+  // The variable is the tokens a second of the whole fleet, which 3 entries and
+  // 6 agents share.
+  PrintFits("tokens", measurements);
 }
 
-/// When a revision of a key was accepted in a process, by its log.
-double AcceptedAt(const Node& node, const std::string& what) {
+/// When a process accepted a document, in seconds since the epoch, by its log.
+/// @param logged_fields key and revision as the log writes them.
+/// @return 0 when the log has no such line.
+double FindAcceptanceTime(const Node& node, const std::string& logged_fields) {
   std::ifstream log(node.log_path_);
   for (std::string line; std::getline(log, line);) {
     if (line.find("document-accepted") != std::string::npos &&
-        line.find(what) != std::string::npos) {
-      return LogTime(line);
+        line.find(logged_fields) != std::string::npos) {
+      return ParseLogTime(line);
     }
   }
   return 0;
 }
 
-double InForceSeconds(Fleet& fleet, std::uint64_t revision) {
-  const auto published =
+/// Publishes a change and waits until every process has accepted it.
+/// @param revision that the store will give the change.
+/// @return seconds until the last process accepted it, -1 when one had not
+/// after 30 s.
+double MeasureActivationSeconds(Fleet& fleet, std::uint64_t revision) {
+  const auto published_at =
       std::chrono::duration<double>(
           std::chrono::system_clock::now().time_since_epoch())
           .count();
   fleet.Publish("routes", R"({"routes":[{"prefix":"/v1/","role":"chat",)"
                           R"("repeatable":true}]})");
-  const auto what =
+  const auto logged_fields =
       "key=\"routes\" revision=\"" + std::to_string(revision) + "\"";
-  double last = 0;
-  const bool everywhere = Fleet::WaitFor(
+  double last_accepted = 0;
+  const bool active_everywhere = Fleet::WaitFor(
       [&] {
-        last = 0;
+        last_accepted = 0;
         for (const auto& node : fleet.nodes()) {
-          const auto at = AcceptedAt(node, what);
-          if (at == 0) {
+          const auto accepted_at = FindAcceptanceTime(node, logged_fields);
+          if (accepted_at == 0) {
             return false;
           }
-          last = std::max(last, at);
+          last_accepted = std::max(last_accepted, accepted_at);
         }
         return true;
       },
       30s);
-  return everywhere ? std::max(0.0, last - published) : -1;
+  return active_everywhere ? std::max(0.0, last_accepted - published_at) : -1;
 }
 
-std::uint64_t Revision(Fleet& fleet) {
+std::uint64_t ReadStoreRevision(Fleet& fleet) {
   return fleet::GetJson(fleet.platform(), "/control/stats")
       .value("revision", std::uint64_t{0});
 }
 
-void LargeFleet(bool service_for_one) {
+/// Measures a fleet of 30 entries and 198 agents.
+/// @param one_reader true: the configuration store is reachable from one entry
+/// only, and all others learn changes from peers.
+void MeasureLargeFleet(bool one_reader) {
   const fleet::Scratch scratch;
-  auto spec = SpecOf(10, 66, scratch.path());
-  if (service_for_one) {
+  auto spec = MakeFleetSpec(10, 66, scratch.path());
+  if (one_reader) {
     spec.entry_settings_ = {{"platform.address", "127.0.0.1:9"}};
     spec.agent_settings_ = {{"platform.address", "127.0.0.1:9"}};
   }
   Fleet fleet(spec);
-  const std::string suffix = service_for_one ? "_one_reader" : "";
-  if (service_for_one) {
+  const std::string suffix = one_reader ? "_one_reader" : "";
+  if (one_reader) {
     fleet.SetNodeSetting("port-louis-entry-1", "platform.address",
                          fleet.platform());
   }
@@ -293,41 +314,43 @@
   if (!fleet.WaitLive(1, 180s)) {
     throw std::runtime_error("the large fleet did not become live");
   }
-  const std::chrono::duration<double> took =
+  const std::chrono::duration<double> start_duration =
       std::chrono::steady_clock::now() - begin;
-  Figure("config_start_to_live_seconds" + suffix, took.count());
+  PrintFigure("config_start_to_live_seconds" + suffix, start_duration.count());
   const auto stats = fleet::GetJson(fleet.platform(), "/control/stats?reset=1");
-  Figure("config_peak_calls_per_second_at_start" + suffix,
-         stats.value("peak_calls", 0.0));
+  PrintFigure("config_peak_calls_per_second_at_start" + suffix,
+              stats.value("peak_calls", 0.0));
   std::this_thread::sleep_for(10s);
-  const auto rest = fleet::GetJson(fleet.platform(), "/control/stats");
-  Figure("config_calls_per_second_at_rest" + suffix,
-         rest.value("calls", 0.0) / 10 + rest.value("watches", 0.0));
-  Figure("config_watches" + suffix, rest.value("watches", 0.0));
-  double worst = 0;
+  const auto idle_stats = fleet::GetJson(fleet.platform(), "/control/stats");
+  PrintFigure(
+      "config_calls_per_second_at_rest" + suffix,
+      idle_stats.value("calls", 0.0) / 10 + idle_stats.value("watches", 0.0));
+  PrintFigure("config_watches" + suffix, idle_stats.value("watches", 0.0));
+  double max_seconds = 0;
   for (int i = 0; i < 3; ++i) {
-    const auto seconds = InForceSeconds(fleet, Revision(fleet) + 1);
-    worst = seconds < 0 ? 1e9 : std::max(worst, seconds);
+    const auto seconds =
+        MeasureActivationSeconds(fleet, ReadStoreRevision(fleet) + 1);
+    max_seconds = seconds < 0 ? 1e9 : std::max(max_seconds, seconds);
   }
-  Figure("config_in_force_seconds" + suffix, worst);
-  const auto entries = Watch(fleet.Entries(), kWindow);
-  Figure("large_entry_cpu" + suffix, entries.cpu_share_);
-  Figure("large_entry_rss" + suffix, entries.resident_bytes_);
-  Figure("large_entry_bytes" + suffix, entries.peer_bytes_per_second_);
+  PrintFigure("config_in_force_seconds" + suffix, max_seconds);
+  const auto entries = MeasureMeanUsage(fleet.Entries(), kMeasurementWindow);
+  PrintFigure("large_entry_cpu" + suffix, entries.cpu_share_);
+  PrintFigure("large_entry_rss" + suffix, entries.resident_bytes_);
+  PrintFigure("large_entry_bytes" + suffix, entries.peer_bytes_per_second_);
 }
 
-/// Runs one part, or all of them.
-int RunParts(const std::string& only) {
+/// Runs the part of the given name, or all parts when the name is empty.
+int RunParts(const std::string& selected) {
   const std::map<std::string, std::function<void()>> parts{
-      {"endpoints", AgainstEndpoints},
-      {"entries", AgainstEntries},
-      {"rows", AgainstRows},
-      {"changes", AgainstChanges},
-      {"tokens", AgainstTokens},
-      {"large", [] { LargeFleet(false); }},
-      {"one-reader", [] { LargeFleet(true); }}};
+      {"endpoints", MeasureByEndpoints},
+      {"entries", MeasureByEntries},
+      {"rows", MeasureByRows},
+      {"changes", MeasureByChanges},
+      {"tokens", MeasureByTokens},
+      {"large", [] { MeasureLargeFleet(false); }},
+      {"one-reader", [] { MeasureLargeFleet(true); }}};
   for (const auto& [name, run] : parts) {
-    if (only.empty() || name == only) {
+    if (selected.empty() || name == selected) {
       std::cout << "# " << name << std::endl;
       run();
     }
--- a/bench/demo.cpp
+++ b/bench/demo.cpp
@@ -1,5 +1,6 @@
-// The demo: three failure domains on one machine, two rolls of the weights
-// under load, one endpoint killed, one entry stopped as planned.
+// The demo: three failure domains on one machine, two rollouts of weights, the
+// second under load while one endpoint is killed and one entry is stopped.
+// With KEEP in the environment the fleet keeps running after the report.
 #include <unistd.h>
 
 #include <algorithm>
@@ -23,30 +24,32 @@
 using namespace std::chrono_literals;
 
 constexpr std::uint64_t kModelBytes = std::uint64_t{64} << 20;
-constexpr auto kLiveLimit = 40s;
+constexpr auto kLiveTimeout = 40s;
 constexpr int kBarWidth = 30;
 
-double Since(std::chrono::steady_clock::time_point start) {
+double SecondsSince(std::chrono::steady_clock::time_point start) {
   return std::chrono::duration<double>(std::chrono::steady_clock::now() - start)
       .count();
 }
 
-void Say(const std::string& text) { std::cout << text << std::endl; }
+void Print(const std::string& text) { std::cout << text << std::endl; }
 
-/// Runs the product's own command line, as an operator would.
-void Operate(const std::vector<std::string>& arguments,
-             const std::string& log) {
+/// Prints and runs a command of the chalkwell CLI, as an operator would type
+/// it.
+/// @throws std::runtime_error if the exit code is not 0.
+void RunCli(const std::vector<std::string>& arguments,
+            const std::string& log_path) {
   std::vector<std::string> command{chalkwell::fleet::CliPath()};
-  std::ostringstream line;
-  line << "  $ chalkwell";
+  std::ostringstream command_line;
+  command_line << "  $ chalkwell";
   for (const auto& argument : arguments) {
     command.push_back(argument);
-    line << " " << argument;
+    command_line << " " << argument;
   }
-  Say(line.str());
-  const auto code = Child(command, log).Wait(30s);
-  if (code != 0) {
-    throw std::runtime_error("chalkwell failed; see " + log);
+  Print(command_line.str());
+  const auto exit_code = Child(command, log_path).Wait(30s);
+  if (exit_code != 0) {
+    throw std::runtime_error("chalkwell failed; see " + log_path);
   }
 }
 
@@ -57,79 +60,84 @@
   return text.str();
 }
 
-/// Progress bar on a terminal, lines elsewhere.
-class LiveProgress {
+/// Shows how many engines serve a version: as a progress bar on a terminal,
+/// else as one line for each change.
+class ProgressDisplay {
  public:
-  void Show(std::size_t serving, std::size_t all, std::uint64_t version) {
-    if (serving == shown_) {
+  void Show(std::size_t serving, std::size_t total, std::uint64_t version) {
+    if (serving == last_serving_) {
       return;
     }
-    shown_ = serving;
-    if (terminal_) {
-      const auto filled =
-          static_cast<int>(serving * kBarWidth / std::max<std::size_t>(1, all));
+    last_serving_ = serving;
+    if (is_terminal_) {
+      const auto filled = static_cast<int>(serving * kBarWidth /
+                                           std::max<std::size_t>(1, total));
       std::cout << "\r  version " << version << " [" << std::string(filled, '#')
                 << std::string(kBarWidth - filled, '.') << "] " << serving
-                << "/" << all << (serving == all ? "\n" : "") << std::flush;
+                << "/" << total << (serving == total ? "\n" : "") << std::flush;
     } else {
       std::cout << "  version " << version << " is live on " << serving
-                << " of " << all << std::endl;
+                << " of " << total << std::endl;
     }
   }
 
  private:
-  std::size_t shown_ = SIZE_MAX;
-  bool terminal_ = ::isatty(STDOUT_FILENO) == 1;
+  std::size_t last_serving_ = SIZE_MAX;
+  bool is_terminal_ = ::isatty(STDOUT_FILENO) == 1;
 };
 
-bool ShowUntilLive(Fleet& fleet, std::uint64_t version) {
+/// Waits until all listed engines serve a version, at most kLiveTimeout.
+bool WaitLiveWithProgress(Fleet& fleet, std::uint64_t version) {
   const auto engines = fleet.Engines();
-  const auto listed = static_cast<std::size_t>(std::ranges::count_if(
+  const auto listed_engines = static_cast<std::size_t>(std::ranges::count_if(
       engines, [](const Node* node) { return node->listed_; }));
-  LiveProgress progress;
+  ProgressDisplay progress;
   return Fleet::WaitFor(
       [&] {
         const auto serving = fleet.CountServing(version);
-        progress.Show(serving, listed, version);
-        return serving == listed;
+        progress.Show(serving, listed_engines, version);
+        return serving == listed_engines;
       },
-      kLiveLimit);
+      kLiveTimeout);
 }
 
+/// Creates, signs, verifies and publishes a bundle through the CLI.
 void MakeBundle(Fleet& fleet, std::uint64_t version) {
   const auto& folder = fleet.folder();
   const auto number = std::to_string(version);
   const auto model = folder + "/pitch-advisor.bin";
   const auto adapter = folder + "/creole-" + number + ".bin";
-  // The second version keeps the first half of the model's bytes.
+  // The first half of the model is the same in all versions.
   chalkwell::fleet::WriteRandomFile(model, 1, kModelBytes / 2);
   const auto half = folder + "/half.bin";
   chalkwell::fleet::WriteRandomFile(half, 100 + version, kModelBytes / 2);
   std::ofstream(model, std::ios::binary | std::ios::app) << ReadAll(half);
   chalkwell::fleet::WriteRandomFile(adapter, 200 + version, 1 << 20);
-  const auto log = folder + "/operator.log";
+  const auto log_path = folder + "/operator.log";
   const auto bundle = folder + "/bundle.json";
   const auto signed_bundle = folder + "/bundle-" + number + ".signed.json";
-  Operate({"bundle", "create", "--version", number, "--model", "pitch-advisor",
-           "--model-file", model, "--adapter", "creole=" + adapter, "--role",
-           "chat", "--chunk-bytes", "1048576", "--out", folder},
-          log);
-  Operate({"bundle", "sign", "--key", folder + "/operator.key", "--in", bundle,
-           "--out", signed_bundle},
-          log);
-  Operate({"bundle", "verify", signed_bundle, "--trusted",
-           folder + "/operator.key.pub", "--folder", folder},
-          log);
+  RunCli({"bundle", "create", "--version", number, "--model", "pitch-advisor",
+          "--model-file", model, "--adapter", "creole=" + adapter, "--role",
+          "chat", "--chunk-bytes", "1048576", "--out", folder},
+         log_path);
+  RunCli({"bundle", "sign", "--key", folder + "/operator.key", "--in", bundle,
+          "--out", signed_bundle},
+         log_path);
+  RunCli({"bundle", "verify", signed_bundle, "--trusted",
+          folder + "/operator.key.pub", "--folder", folder},
+         log_path);
   fleet.Publish("bundle", ReadAll(signed_bundle));
 }
 
+/// Bytes sent by the origin and by the weight store.
 std::uint64_t OriginBytes(Fleet& fleet) {
   return GetJson(fleet.origin(), "/control/stats").value("bytes", 0ULL) +
          GetJson(fleet.store(), "/control/stats").value("bytes", 0ULL);
 }
 
-/// Plain-service calls that ran more than once, by the services' own record.
-std::uint64_t CountDoubled(Fleet& fleet) {
+/// Calls to plain services that were executed more than once, by the record of
+/// the services.
+std::uint64_t CountRepeatedExecutions(Fleet& fleet) {
   std::map<std::string, std::uint64_t> executed;
   for (auto* node : fleet.Services()) {
     const auto record = GetJson(node->backend_, "/control/record");
@@ -141,32 +149,36 @@
       executed, [](const auto& entry) { return entry.second > 1; }));
 }
 
-void PrintCurlLines(Fleet& fleet) {
+void PrintExampleCommands(Fleet& fleet) {
   const auto& entry = *fleet.Entries().back();
   const auto key = Fleet::CallerKey();
-  Say("\nLeft running; try:");
-  Say("  curl -N http://" + entry.caller_ +
-      "/v1/chat/completions -H 'authorization: Bearer " + key +
-      "' -d '{\"prompt\":\"a pitch by the sea\",\"stream\":true}'");
-  Say("  curl -i http://" + entry.caller_ +
-      "/records/orders -H 'authorization: Bearer " + key +
-      "' -d '{\"order\":\"bell 7\"}'");
-  Say("  chalkwell status " + entry.admin_);
-  Say("  curl http://" + entry.admin_ + "/metrics");
-  Say("Press Ctrl-C to end all of it.");
+  Print("\nThe fleet keeps running; try:");
+  Print("  curl -N http://" + entry.caller_ +
+        "/v1/chat/completions -H 'authorization: Bearer " + key +
+        "' -d '{\"prompt\":\"a pitch by the sea\",\"stream\":true}'");
+  Print("  curl -i http://" + entry.caller_ +
+        "/records/orders -H 'authorization: Bearer " + key +
+        "' -d '{\"order\":\"bell 7\"}'");
+  Print("  chalkwell status " + entry.admin_);
+  Print("  curl http://" + entry.admin_ + "/metrics");
+  Print("Press Ctrl-C to stop all processes.");
 }
 
+/// What the demo measures of the rollout under load.
 struct Figures {
   double seconds_to_live_ = 0;
   double origin_copies_ = 0;
-  nlohmann::json load_;
-  std::uint64_t doubled_ = 0;
-  std::size_t final_instances_ = 0;
+  nlohmann::json load_result_;
+  std::uint64_t repeated_executions_ = 0;
+  std::size_t final_version_instances_ = 0;
 };
 
+/// Prints the figures.
+/// @return true if no request was lost, wrong or executed more than once, and
+/// all expected instances serve the final version.
 bool Report(const Figures& figures, std::size_t expected_instances) {
   const auto count = [&](const char* name) {
-    return figures.load_.value(name, std::uint64_t{0});
+    return figures.load_result_.value(name, std::uint64_t{0});
   };
   std::cout << "\nfigure demo_seconds_to_live " << figures.seconds_to_live_
             << "\nfigure demo_origin_copies " << figures.origin_copies_
@@ -176,15 +188,16 @@
             << "\nfigure demo_requests_unknown " << count("unknown")
             << "\nfigure demo_requests_failed " << count("failed")
             << "\nfigure demo_requests_lost " << count("lost")
-            << "\nfigure demo_requests_doubled " << figures.doubled_
+            << "\nfigure demo_requests_doubled " << figures.repeated_executions_
             << "\nfigure demo_wrong_answers " << count("wrong")
             << "\nfigure demo_final_version_instances "
-            << figures.final_instances_ << std::endl;
-  const bool good = count("sent") > 0 && count("lost") == 0 &&
-                    count("wrong") == 0 && figures.doubled_ == 0 &&
-                    figures.final_instances_ == expected_instances;
-  Say(good ? "demo: passed" : "demo: FAILED");
-  return good;
+            << figures.final_version_instances_ << std::endl;
+  const bool passed = count("sent") > 0 && count("lost") == 0 &&
+                      count("wrong") == 0 &&
+                      figures.repeated_executions_ == 0 &&
+                      figures.final_version_instances_ == expected_instances;
+  Print(passed ? "demo: passed" : "demo: FAILED");
+  return passed;
 }
 
 std::unique_ptr<Fleet> MakeFleet(const std::string& folder,
@@ -201,9 +214,10 @@
       .origin_arguments_ = {"--rate", "80000000"}});
 }
 
-/// The roll under load: version 2, a kill, a planned stop.
-void RollUnderLoad(Fleet& fleet, Figures& figures) {
-  const auto result = fleet.folder() + "/load.json";
+/// Publishes version 2 under load; kills an endpoint and stops an entry during
+/// the rollout.
+void RolloutUnderLoad(Fleet& fleet, Figures& figures) {
+  const auto result_path = fleet.folder() + "/load.json";
   std::vector<std::string> command{chalkwell::fleet::StandinPath(),
                                    "load",
                                    "--key",
@@ -215,79 +229,85 @@
                                    "--model",
                                    "pitch-advisor",
                                    "--out",
-                                   result};
+                                   result_path};
   for (const auto* entry : fleet.Entries()) {
     command.insert(command.end(), {"--entry", entry->caller_});
   }
-  Say("\nstreamed chat completions and plain-service calls begin (60 a "
-      "second)");
+  Print(
+      "\nstarting streamed chat completions and plain-service calls, 60 a "
+      "second");
   Child load(command, fleet.folder() + "/load.log");
   std::this_thread::sleep_for(2s);
 
-  Say("bundle 2 is made, signed and published under that load");
-  const auto before = OriginBytes(fleet);
+  Print("creating, signing and publishing bundle 2 under load");
+  const auto origin_bytes_before = OriginBytes(fleet);
   MakeBundle(fleet, 2);
-  const auto published = std::chrono::steady_clock::now();
+  const auto published_at = std::chrono::steady_clock::now();
   std::this_thread::sleep_for(1s);
 
-  auto& victim = *fleet.Engines().at(4);
-  Say("SIGKILL to endpoint " + victim.id_ + " (agent and engine)");
-  victim.process_.Signal(SIGKILL);
-  victim.backend_process_.Signal(SIGKILL);
-  victim.listed_ = false;
-  auto& leaver = *fleet.Entries().at(1);
-  Say("planned stop of entry " + leaver.id_);
-  leaver.process_.Signal(SIGTERM);
-  leaver.listed_ = false;
+  auto& killed_engine = *fleet.Engines().at(4);
+  Print("sending SIGKILL to endpoint " + killed_engine.id_ +
+        " (agent and engine)");
+  killed_engine.process_.Signal(SIGKILL);
+  killed_engine.backend_process_.Signal(SIGKILL);
+  killed_engine.listed_ = false;
+  auto& stopped_entry = *fleet.Entries().at(1);
+  Print("stopping entry " + stopped_entry.id_);
+  stopped_entry.process_.Signal(SIGTERM);
+  stopped_entry.listed_ = false;
   fleet.PublishInstances();
 
-  if (!ShowUntilLive(fleet, 2)) {
-    Say("version 2 did not become live in time");
+  if (!WaitLiveWithProgress(fleet, 2)) {
+    Print("version 2 did not become live in time");
   }
-  figures.seconds_to_live_ = Since(published);
+  figures.seconds_to_live_ = SecondsSince(published_at);
   const std::uint64_t changed_bytes =
       kModelBytes / 2 + (std::uint64_t{1} << 20);
-  figures.origin_copies_ = static_cast<double>(OriginBytes(fleet) - before) /
-                           static_cast<double>(changed_bytes);
-  const auto code = leaver.process_.Wait(15s);
-  Say("the stopped entry ended with exit code " +
-      (code ? std::to_string(*code) : std::string("none yet")));
+  figures.origin_copies_ =
+      static_cast<double>(OriginBytes(fleet) - origin_bytes_before) /
+      static_cast<double>(changed_bytes);
+  const auto exit_code = stopped_entry.process_.Wait(15s);
+  Print("the stopped entry exited with code " +
+        (exit_code ? std::to_string(*exit_code) : std::string("none yet")));
   std::this_thread::sleep_for(2s);
   load.Signal(SIGTERM);
   if (!load.Wait(30s)) {
-    Say("requests are still open after 30 s");
+    Print("requests are still in flight after 30 s");
   }
-  figures.load_ = nlohmann::json::parse(ReadAll(result), nullptr, false);
-  if (!figures.load_.is_object()) {
-    figures.load_ = nlohmann::json::object();
+  figures.load_result_ =
+      nlohmann::json::parse(ReadAll(result_path), nullptr, false);
+  if (!figures.load_result_.is_object()) {
+    figures.load_result_ = nlohmann::json::object();
   }
 }
 
-int RunDemo(const std::string& folder, bool keep) {
-  Say("chalkwell demo: 3 failure domains, 6 entries, 9 model engines, 3 plain "
+int RunDemo(const std::string& folder, bool keep_running) {
+  Print(
+      "chalkwell demo: 3 failure domains, 6 entries, 9 model engines, 3 plain "
       "services");
-  Operate({"keygen", folder + "/operator.key"}, folder + "/operator.log");
+  RunCli({"keygen", folder + "/operator.key"}, folder + "/operator.log");
   auto public_key = ReadAll(folder + "/operator.key.pub");
   public_key.pop_back();
   const auto fleet = MakeFleet(folder, public_key);
   fleet->StartOutside();
   fleet->PublishFleet();
   fleet->StartSystem();
-  Say("bundle 1 is made, signed and published");
+  Print("creating, signing and publishing bundle 1");
   MakeBundle(*fleet, 1);
-  const auto first = std::chrono::steady_clock::now();
-  if (!ShowUntilLive(*fleet, 1) || !fleet->WaitEntriesReady(10s)) {
-    Say("demo: FAILED: bundle 1 did not become live; logs are in " + folder);
+  const auto first_published = std::chrono::steady_clock::now();
+  if (!WaitLiveWithProgress(*fleet, 1) || !fleet->WaitEntriesReady(10s)) {
+    Print("demo: FAILED: bundle 1 did not become live; logs are in " + folder);
     return 1;
   }
-  std::cout << "  bundle 1 was live after " << Since(first) << " s\n";
+  std::cout << "  bundle 1 was live after " << SecondsSince(first_published)
+            << " s\n";
   Figures figures;
-  RollUnderLoad(*fleet, figures);
-  figures.doubled_ = CountDoubled(*fleet);
-  figures.final_instances_ = fleet->CountServing(2);
-  const bool good = Report(figures, fleet->Engines().size() - 1);
-  if (keep) {
-    PrintCurlLines(*fleet);
+  RolloutUnderLoad(*fleet, figures);
+  figures.repeated_executions_ = CountRepeatedExecutions(*fleet);
+  figures.final_version_instances_ = fleet->CountServing(2);
+  const bool passed = Report(figures, fleet->Engines().size() - 1);
+  if (keep_running) {
+    PrintExampleCommands(*fleet);
     sigset_t signals;
     sigemptyset(&signals);
     sigaddset(&signals, SIGINT);
@@ -296,7 +316,7 @@
     int signal = 0;
     sigwait(&signals, &signal);
   }
-  return good ? 0 : 1;
+  return passed ? 0 : 1;
 }
 
 }  // namespace
--- a/bench/usage.cpp
+++ b/bench/usage.cpp
@@ -1,4 +1,4 @@
-// Metrics text and least squares.
+// Parses the text format of the metrics and computes the linear regression.
 #include "usage.hpp"
 
 #include <ctime>
@@ -10,13 +10,14 @@
 namespace chalkwell::bench {
 namespace {
 
-double Value(const std::string& text, const std::string& name) {
-  std::istringstream lines(text);
+/// Sum of a metric over all its labels.
+double SumMetric(const std::string& metrics_text, const std::string& name) {
+  std::istringstream lines(metrics_text);
   double sum = 0;
   for (std::string line; std::getline(lines, line);) {
-    const bool named =
+    const bool matches =
         line.starts_with(name + " ") || line.starts_with(name + "{");
-    if (named) {
+    if (matches) {
       sum += std::stod(line.substr(line.rfind(' ') + 1));
     }
   }
@@ -25,55 +26,56 @@
 
 }  // namespace
 
-Usage ReadUsage(const fleet::Node& node) {
-  const auto text = fleet::Get(node.admin_, "/metrics").body_;
-  return {.cpu_seconds_ = Value(text, "chalkwell_cpu_seconds"),
-          .resident_bytes_ = Value(text, "chalkwell_resident_bytes"),
-          .peer_bytes_ = Value(text, "chalkwell_peer_transport_bytes")};
+ProcessUsage ReadProcessUsage(const fleet::Node& node) {
+  const auto metrics_text = fleet::Get(node.admin_, "/metrics").body_;
+  return {
+      .cpu_seconds_ = SumMetric(metrics_text, "chalkwell_cpu_seconds"),
+      .resident_bytes_ = SumMetric(metrics_text, "chalkwell_resident_bytes"),
+      .peer_bytes_ = SumMetric(metrics_text, "chalkwell_peer_transport_bytes")};
 }
 
-Rates Watch(const std::vector<fleet::Node*>& nodes,
-            std::chrono::milliseconds window) {
+MeanUsage MeasureMeanUsage(const std::vector<fleet::Node*>& nodes,
+                           std::chrono::milliseconds window) {
   using Clock = std::chrono::steady_clock;
-  std::vector<Usage> before;
-  std::vector<Clock::time_point> since;
+  std::vector<ProcessUsage> before;
+  std::vector<Clock::time_point> start_times;
   for (const auto* node : nodes) {
-    before.push_back(ReadUsage(*node));
-    since.push_back(Clock::now());
+    before.push_back(ReadProcessUsage(*node));
+    start_times.push_back(Clock::now());
   }
   std::this_thread::sleep_for(window);
-  Rates rates;
+  MeanUsage mean;
   for (std::size_t i = 0; i < nodes.size(); ++i) {
-    const auto after = ReadUsage(*nodes[i]);
-    const std::chrono::duration<double> took = Clock::now() - since[i];
-    rates.cpu_share_ +=
-        (after.cpu_seconds_ - before[i].cpu_seconds_) / took.count();
-    rates.resident_bytes_ += after.resident_bytes_;
-    rates.peer_bytes_per_second_ +=
-        (after.peer_bytes_ - before[i].peer_bytes_) / took.count();
+    const auto after = ReadProcessUsage(*nodes[i]);
+    const std::chrono::duration<double> elapsed = Clock::now() - start_times[i];
+    mean.cpu_share_ +=
+        (after.cpu_seconds_ - before[i].cpu_seconds_) / elapsed.count();
+    mean.resident_bytes_ += after.resident_bytes_;
+    mean.peer_bytes_per_second_ +=
+        (after.peer_bytes_ - before[i].peer_bytes_) / elapsed.count();
   }
   const auto count = static_cast<double>(nodes.size());
-  rates.cpu_share_ /= count;
-  rates.resident_bytes_ /= count;
-  rates.peer_bytes_per_second_ /= count;
-  return rates;
+  mean.cpu_share_ /= count;
+  mean.resident_bytes_ /= count;
+  mean.peer_bytes_per_second_ /= count;
+  return mean;
 }
 
-Line Fit(const std::vector<double>& x, const std::vector<double>& y) {
+LinearFit FitLine(const std::vector<double>& x, const std::vector<double>& y) {
   const auto count = static_cast<double>(x.size());
   const double mean_x = std::accumulate(x.begin(), x.end(), 0.0) / count;
   const double mean_y = std::accumulate(y.begin(), y.end(), 0.0) / count;
-  double above = 0;
-  double below = 0;
+  double covariance_sum = 0;
+  double variance_sum = 0;
   for (std::size_t i = 0; i < x.size(); ++i) {
-    above += (x[i] - mean_x) * (y[i] - mean_y);
-    below += (x[i] - mean_x) * (x[i] - mean_x);
+    covariance_sum += (x[i] - mean_x) * (y[i] - mean_y);
+    variance_sum += (x[i] - mean_x) * (x[i] - mean_x);
   }
-  const double slope = below == 0 ? 0 : above / below;
-  return {.at_zero_ = mean_y - slope * mean_x, .slope_ = slope};
+  const double slope = variance_sum == 0 ? 0 : covariance_sum / variance_sum;
+  return {.intercept_ = mean_y - slope * mean_x, .slope_ = slope};
 }
 
-double LogTime(const std::string& line) {
+double ParseLogTime(const std::string& line) {
   std::tm time{};
   const auto* end = strptime(line.c_str(), "%Y-%m-%d %H:%M:%S", &time);
   if (end == nullptr) {
@@ -84,7 +86,7 @@
          std::stod("0." + std::string(end + 1, 3));
 }
 
-void Figure(const std::string& name, double value) {
+void PrintFigure(const std::string& name, double value) {
   std::cout << "figure " << name << " " << value << std::endl;
 }
 
--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -1,5 +1,6 @@
-// Embedding the decision modules: three members fetch two chunks, and one
-// request is retried, without any socket, thread or clock.
+// Uses the decision modules of chalkwell from another project: three members of
+// a swarm fetch two chunks, and one request is retried. The modules use no
+// sockets, threads or clocks; the caller passes in the time.
 #include <chalkwell/routing/request_tracker.hpp>
 #include <chalkwell/swarm/planner.hpp>
 #include <chrono>
@@ -11,7 +12,10 @@
 using namespace std::chrono_literals;
 using chalkwell::core::TimePoint;
 
-bool FetchTogether() {
+/// Runs three planners for ten rounds.
+/// @return true if each chunk was fetched once from the origin and the last
+/// member is complete.
+bool FetchFromPeers() {
   const std::vector<chalkwell::bundle::Chunk> chunks{
       {chalkwell::core::Digest::Of("first"), 5},
       {chalkwell::core::Digest::Of("second"), 6}};
@@ -27,7 +31,7 @@
     planners.back().SetMembers(members);
     planners.back().Start(chunks, chalkwell::swarm::ChunkSet(2), now);
   }
-  int drawn = 0;
+  int origin_fetches = 0;
   for (int round = 0; round < 10; ++round) {
     for (std::size_t i = 0; i < planners.size(); ++i) {
       for (std::size_t other = 0; other < planners.size(); ++other) {
@@ -36,16 +40,18 @@
         }
       }
       for (const auto& order : planners[i].Next(now)) {
-        drawn += order.peer_ ? 0 : 1;
+        origin_fetches += order.peer_ ? 0 : 1;
         planners[i].OnChunkReceived(order.chunk_, now);
       }
     }
     now += 20ms;
   }
-  std::cout << "drawn from the origin: " << drawn << "\n";
-  return drawn == 2 && planners[2].complete();
+  std::cout << "fetched from the origin: " << origin_fetches << "\n";
+  return origin_fetches == 2 && planners[2].complete();
 }
 
+/// Loses the first attempt of a repeatable request.
+/// @return true if the tracker then asks for an endpoint for a second attempt.
 bool RetryOnce() {
   const TimePoint now{1h};
   chalkwell::routing::RequestTracker tracker(
@@ -60,4 +66,4 @@
 
 }  // namespace
 
-int main() { return FetchTogether() && RetryOnce() ? 0 : 1; }
+int main() { return FetchFromPeers() && RetryOnce() ? 0 : 1; }
