--- a/tests/daemon/http1_server_test.cpp
+++ b/tests/daemon/http1_server_test.cpp
@@ -1,5 +1,5 @@
-// The server on our own streams: callers that leave, limits in force, framing
-// that leaves no doubt, slow readers.
+// The HTTP/1.1 server: refusal of ambiguous framing, limits, detection of
+// closed connections, slow readers.
 #include "daemon/http1_server.hpp"
 
 #include <atomic>
@@ -14,7 +14,7 @@
 
 using namespace std::chrono_literals;
 
-/// A server on this thread's loop and a caller on another thread.
+/// Runs a server on the loop of this thread and a caller on another thread.
 class Fixture {
  public:
   explicit Fixture(HttpHandler handler)
@@ -43,14 +43,16 @@
     thread.join();
   }
 
-  std::string Ask(const std::string& bytes) {
-    std::string answer;
+  /// Sends bytes on a new connection and returns all that comes back until the
+  /// server closes it.
+  std::string SendAndReceive(const std::string& bytes) {
+    std::string response;
     Run([&](std::uint16_t port) {
       const RawSocket caller(port);
       caller.Send(bytes);
-      answer = caller.ReadUntil();
+      response = caller.ReadUntil();
     });
-    return answer;
+    return response;
   }
 
   Loop loop_;
@@ -64,44 +66,46 @@
       200, {}, exchange->request().path_ + "|" + exchange->request().body_);
 }
 
-TEST_CASE("what is not one request beyond doubt is refused and runs nowhere",
-          "[daemon]") {
+TEST_CASE(
+    "ambiguous and oversized requests are refused before the handler runs",
+    "[daemon]") {
   struct Row {
     std::string name_;
     std::string bytes_;
     std::string status_;
   };
   const auto row = GENERATE(
-      Row{"two lengths",
+      Row{"two content lengths",
           "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\ncontent-length: "
           "4\r\n\r\nabcd",
           "400"},
-      Row{"length and chunks",
+      Row{"content length, then chunks",
           "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\n"
           "transfer-encoding: chunked\r\n\r\n0\r\n\r\n",
           "400"},
-      Row{"chunks and length",
+      Row{"chunks, then content length",
           "POST / HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n"
           "content-length: 3\r\n\r\n0\r\n\r\n",
           "400"},
-      Row{"an unknown coding",
+      Row{"an unknown transfer coding",
           "POST / HTTP/1.1\r\nhost: a\r\ntransfer-encoding: gzip\r\n\r\n",
           "400"},
-      Row{"chunks behind another coding",
+      Row{"chunks after another transfer coding",
           "POST / HTTP/1.1\r\nhost: a\r\ntransfer-encoding: gzip, "
           "chunked\r\n\r\n0\r\n\r\n",
           "400"},
-      Row{"chunks from an old caller",
+      Row{"chunks in HTTP/1.0",
           "POST / HTTP/1.0\r\nhost: a\r\ntransfer-encoding: "
           "chunked\r\n\r\n0\r\n\r\n",
           "400"},
-      Row{"two hosts", "GET / HTTP/1.1\r\nhost: a\r\nhost: b\r\n\r\n", "400"},
-      Row{"no host", "GET / HTTP/1.1\r\n\r\n", "400"},
-      Row{"blank before the colon", "GET / HTTP/1.1\r\nhost : a\r\n\r\n",
+      Row{"two host headers", "GET / HTTP/1.1\r\nhost: a\r\nhost: b\r\n\r\n",
+          "400"},
+      Row{"no host header", "GET / HTTP/1.1\r\n\r\n", "400"},
+      Row{"whitespace before the colon", "GET / HTTP/1.1\r\nhost : a\r\n\r\n",
           "400"},
-      Row{"a length with a sign",
+      Row{"a content length with a sign",
           "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: +3\r\n\r\nabc", "400"},
-      Row{"a chunk size that is none",
+      Row{"an invalid chunk size",
           "POST / HTTP/1.1\r\nhost: a\r\ntransfer-encoding: "
           "chunked\r\n\r\nx\r\n\r\n",
           "400"},
@@ -109,14 +113,14 @@
           "GET / HTTP/1.1\r\nhost: a\r\nx: " + std::string(2000, 'h') +
               "\r\n\r\n",
           "431"},
-      Row{"a length over the limit",
+      Row{"a content length over the limit",
           "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 101\r\n\r\n", "413"},
       Row{"chunks over the limit",
           "POST / HTTP/1.1\r\nhost: a\r\ntransfer-encoding: "
           "chunked\r\n\r\n65\r\n" +
               std::string(101, 'b') + "\r\n0\r\n\r\n",
           "413"},
-      Row{"a head that takes too long", "GET / HTTP/1.1\r\nhost: a\r\n", "408"},
+      Row{"headers that take too long", "GET / HTTP/1.1\r\nhost: a\r\n", "408"},
       Row{"a body that takes too long",
           "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 5\r\n\r\nabc", "408"});
   CAPTURE(row.name_);
@@ -125,12 +129,12 @@
     ++handled;
     Echo(exchange);
   });
-  const auto answer = fixture.Ask(row.bytes_);
-  CHECK(answer.starts_with("HTTP/1.1 " + row.status_));
+  const auto response = fixture.SendAndReceive(row.bytes_);
+  CHECK(response.starts_with("HTTP/1.1 " + row.status_));
   CHECK(handled == 0);
 }
 
-TEST_CASE("bodies arrive whole, by length and by chunks", "[daemon]") {
+TEST_CASE("bodies are read completely, by length and by chunks", "[daemon]") {
   struct Row {
     std::string bytes_;
     std::string body_;
@@ -145,37 +149,37 @@
                    "/p|abc"},
                Row{"GET /q HTTP/1.0\r\n\r\n", "/q|"});
   Fixture fixture(Echo);
-  const auto answer = fixture.Ask(row.bytes_);
-  CHECK(answer.starts_with("HTTP/1.1 200"));
-  CHECK(answer.ends_with("\r\n\r\n" + row.body_));
+  const auto response = fixture.SendAndReceive(row.bytes_);
+  CHECK(response.starts_with("HTTP/1.1 200"));
+  CHECK(response.ends_with("\r\n\r\n" + row.body_));
 }
 
-TEST_CASE("one connection carries requests in order, and rests for a time",
+TEST_CASE("pipelined requests are answered in order on one connection",
           "[daemon]") {
   Fixture fixture(Echo);
-  const std::string one = "GET /1 HTTP/1.1\r\nhost: a\r\n\r\n";
-  const std::string two = "GET /2 HTTP/1.1\r\nhost: a\r\n\r\n";
-  const auto answer = fixture.Ask(one + two);
-  const auto first = answer.find("/1|");
-  REQUIRE(first != std::string::npos);
-  CHECK(answer.find("/2|", first) != std::string::npos);
+  const std::string first_request = "GET /1 HTTP/1.1\r\nhost: a\r\n\r\n";
+  const std::string second_request = "GET /2 HTTP/1.1\r\nhost: a\r\n\r\n";
+  const auto response = fixture.SendAndReceive(first_request + second_request);
+  const auto first_position = response.find("/1|");
+  REQUIRE(first_position != std::string::npos);
+  CHECK(response.find("/2|", first_position) != std::string::npos);
 }
 
-TEST_CASE("a caller that leaves is noticed while nothing is written",
+TEST_CASE("a closed connection is detected while no response is written",
           "[daemon]") {
   const bool reset = GENERATE(false, true);
-  std::atomic<bool> begun{false};
+  std::atomic<bool> handler_called{false};
   std::atomic<bool> aborted{false};
   HttpExchangePtr held;
   Fixture fixture([&](const HttpExchangePtr& exchange) {
     held = exchange;
     exchange->OnAbort([&] { aborted = true; });
-    begun = true;
+    handler_called = true;
   });
   fixture.Run([&](std::uint16_t port) {
     RawSocket caller(port);
     caller.Send("GET / HTTP/1.1\r\nhost: a\r\n\r\n");
-    while (!begun) {
+    while (!handler_called) {
       std::this_thread::sleep_for(1ms);
     }
     reset ? caller.Reset() : caller.Close();
@@ -187,22 +191,22 @@
   CHECK_FALSE(held->open());
 }
 
-TEST_CASE("how the end of an answer shows", "[daemon]") {
+TEST_CASE("the framing shows whether a response is complete", "[daemon]") {
   struct Row {
     std::string name_;
-    std::function<void(HttpExchange&)> answer_;
+    std::function<void(HttpExchange&)> respond_;
     std::string contains_;
     std::string end_;
   };
   const auto row =
-      GENERATE(Row{"whole",
+      GENERATE(Row{"complete response",
                    [](HttpExchange& exchange) {
                      exchange.Start(200, {});
                      exchange.Write("abc");
                      exchange.End(true);
                    },
                    "transfer-encoding: chunked", "3\r\nabc\r\n0\r\n\r\n"},
-               Row{"cut",
+               Row{"aborted",
                    [](HttpExchange& exchange) {
                      exchange.Start(200, {});
                      exchange.Write("abc");
@@ -218,60 +222,63 @@
                    "connection: close", "\r\n\r\nabc"});
   CAPTURE(row.name_);
   Fixture fixture(
-      [&](const HttpExchangePtr& exchange) { row.answer_(*exchange); });
-  const auto answer = fixture.Ask("GET / HTTP/1.1\r\nhost: a\r\n\r\n");
-  CHECK(answer.find(row.contains_) != std::string::npos);
-  CHECK(answer.ends_with(row.end_));
-  if (row.name_ != "whole") {
-    CHECK(answer.find("\r\n0\r\n") == std::string::npos);
-    CHECK(answer.find("content-length") == std::string::npos);
+      [&](const HttpExchangePtr& exchange) { row.respond_(*exchange); });
+  const auto response =
+      fixture.SendAndReceive("GET / HTTP/1.1\r\nhost: a\r\n\r\n");
+  CHECK(response.find(row.contains_) != std::string::npos);
+  CHECK(response.ends_with(row.end_));
+  if (row.name_ != "complete response") {
+    CHECK(response.find("\r\n0\r\n") == std::string::npos);
+    CHECK(response.find("content-length") == std::string::npos);
   }
 }
 
-TEST_CASE("a stopping server closes after each answer", "[daemon]") {
+TEST_CASE("a stopping server closes the connection after a response",
+          "[daemon]") {
   Fixture fixture(Echo);
   fixture.server_.CloseAfterAnswers();
-  const auto answer = fixture.Ask("GET / HTTP/1.1\r\nhost: a\r\n\r\n");
-  CHECK(answer.find("connection: close") != std::string::npos);
+  const auto response =
+      fixture.SendAndReceive("GET / HTTP/1.1\r\nhost: a\r\n\r\n");
+  CHECK(response.find("connection: close") != std::string::npos);
 }
 
-TEST_CASE("nothing behind a request that closes its connection is handled",
+TEST_CASE("bytes after a request with connection: close are ignored",
           "[daemon]") {
   int handled = 0;
   Fixture fixture([&](const HttpExchangePtr& exchange) {
     ++handled;
     Echo(exchange);
   });
-  const auto answer = fixture.Ask(
+  const auto response = fixture.SendAndReceive(
       "GET /1 HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n"
       "GET /2 HTTP/1.1\r\nhost: a\r\n\r\n");
-  CHECK(answer.find("/1|") != std::string::npos);
+  CHECK(response.find("/1|") != std::string::npos);
   CHECK(handled == 1);
 }
 
-TEST_CASE("a reader that does not read is seen by what is pending",
+TEST_CASE("bytes that a slow reader has not taken are counted as pending",
           "[daemon]") {
   HttpExchangePtr held;
-  std::atomic<bool> full{false};
+  std::atomic<bool> buffer_full{false};
   std::atomic<bool> drained{false};
   Fixture fixture([&](const HttpExchangePtr& exchange) {
     held = exchange;
     exchange->Start(200, {});
-    const std::string piece(std::size_t{1} << 20, 'x');
+    const std::string block(std::size_t{1} << 20, 'x');
     for (int i = 0; i < 16 && exchange->pending() == 0; ++i) {
-      exchange->Write(piece);
+      exchange->Write(block);
     }
     CHECK(exchange->pending() > 0);
     exchange->OnDrained([&] {
       drained = true;
       held->End(true);
     });
-    full = true;
+    buffer_full = true;
   });
   fixture.Run([&](std::uint16_t port) {
     const RawSocket caller(port);
     caller.Send("GET / HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n");
-    while (!full) {
+    while (!buffer_full) {
       std::this_thread::sleep_for(1ms);
     }
     (void)caller.ReadUntil();
--- a/tests/daemon/http_client_test.cpp
+++ b/tests/daemon/http_client_test.cpp
@@ -1,4 +1,5 @@
-// The client against servers that frame badly, answer twice or answer late.
+// The HTTP client against servers that send incomplete, repeated or late
+// responses.
 #include "daemon/http_client.hpp"
 
 #include <atomic>
@@ -15,34 +16,39 @@
 
 const std::string kHeadEnd = "\r\n\r\n";
 
-/// Runs a scripted server on another thread.
+/// A client on the loop of this thread, and a listener for a server that the
+/// test scripts on another thread.
 class Fixture {
  public:
   Fixture() : client_(loop_, 2s) {}
 
-  HttpResponse Ask(const std::string& id = "", core::Duration max_rest = 2s) {
+  /// Sends a GET request and waits for its end.
+  /// @param response_id accept only a response with this header `id`, if given.
+  /// @param max_idle how long the connection may be idle to be used again.
+  HttpResponse Fetch(const std::string& response_id = "",
+                     core::Duration max_idle = 2s) {
     HttpSendOptions options;
     options.keep_ = true;
-    options.max_rest_ = max_rest;
-    if (!id.empty()) {
-      options.is_ours_ = [id](const HttpHeaders& headers) {
-        return FindHeader(headers, "id") == id;
+    options.max_rest_ = max_idle;
+    if (!response_id.empty()) {
+      options.is_ours_ = [response_id](const HttpHeaders& headers) {
+        return FindHeader(headers, "id") == response_id;
       };
     }
-    HttpResponse answer;
+    HttpResponse result;
     client_.Fetch(
         {"127.0.0.1", listener_.port()}, {.method_ = "GET", .path_ = "/"},
         [&](HttpResponse response) {
-          answer = std::move(response);
+          result = std::move(response);
           loop_.Stop();
         },
         std::size_t{1} << 20, std::move(options));
     loop_.Run();
-    return answer;
+    return result;
   }
 
-  /// Lets the loop see what the server has done meanwhile.
-  void Settle() {
+  /// Runs the loop for 30 ms, to process what the server has done.
+  void RunBriefly() {
     loop_.After(30ms, [this] { loop_.Stop(); });
     loop_.Run();
   }
@@ -52,7 +58,7 @@
   HttpClient client_;
 };
 
-TEST_CASE("an answer is whole only when its framing says so", "[daemon]") {
+TEST_CASE("a response is complete only if its framing shows it", "[daemon]") {
   struct Row {
     std::string name_;
     std::string bytes_;
@@ -62,24 +68,24 @@
   const auto row = GENERATE(
       Row{"by length", "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc", false,
           HttpEnd::kWhole},
-      Row{"short of its length",
+      Row{"shorter than its length",
           "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nabc", false,
           HttpEnd::kBroken},
       Row{"by chunks",
           "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n"
           "0\r\n\r\n",
           false, HttpEnd::kWhole},
-      Row{"between two chunks",
+      Row{"ended between two chunks",
           "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n",
           false, HttpEnd::kBroken},
       Row{"without a length, closed", "HTTP/1.1 200 OK\r\n\r\nabc", false,
           HttpEnd::kUnframed},
       Row{"without a length, reset", "HTTP/1.1 200 OK\r\n\r\nabc", true,
           HttpEnd::kBroken},
-      Row{"no answer at all", "", false, HttpEnd::kBroken},
-      Row{"bytes that are no answer", "nonsense\r\n\r\n", false,
+      Row{"no response", "", false, HttpEnd::kBroken},
+      Row{"bytes that are no response", "nonsense\r\n\r\n", false,
           HttpEnd::kBroken},
-      Row{"an interim answer first",
+      Row{"an interim response first",
           "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\n"
           "content-length: 3\r\n\r\nabc",
           false, HttpEnd::kWhole});
@@ -90,20 +96,20 @@
     (void)peer.ReadUntil(kHeadEnd);
     peer.Send(row.bytes_);
     if (row.reset_) {
-      // The bytes must be read before the reset drops them.
+      // The client must read the bytes before the reset discards them.
       std::this_thread::sleep_for(30ms);
       peer.Reset();
     }
   });
-  const auto answer = fixture.Ask();
+  const auto result = fixture.Fetch();
   server.join();
-  CHECK(answer.end_ == row.end_);
+  CHECK(result.end_ == row.end_);
   if (row.end_ == HttpEnd::kWhole) {
-    CHECK(answer.body_ == "abc");
+    CHECK(result.body_ == "abc");
   }
 }
 
-TEST_CASE("a late answer to an earlier request is nobody's", "[daemon]") {
+TEST_CASE("a late response to an earlier request is discarded", "[daemon]") {
   Fixture fixture;
   std::thread server([&] {
     const auto peer = fixture.listener_.Accept();
@@ -114,21 +120,22 @@
         "HTTP/1.1 200 OK\r\nid: 1\r\ncontent-length: 3\r\n\r\none"
         "HTTP/1.1 200 OK\r\nid: 2\r\ncontent-length: 3\r\n\r\ntwo");
   });
-  CHECK(fixture.Ask("1").body_ == "one");
-  const auto second = fixture.Ask("2");
+  CHECK(fixture.Fetch("1").body_ == "one");
+  const auto second = fixture.Fetch("2");
   server.join();
   CHECK(second.end_ == HttpEnd::kWhole);
   CHECK(second.body_ == "two");
 }
 
-TEST_CASE("a request that may not be sent any more is not", "[daemon]") {
-  // An endpoint left while a connection to it opened, and got the request.
+TEST_CASE("a request is not sent once it may not be sent", "[daemon]") {
+  // Guards against a request reaching an endpoint that was removed while the
+  // connection to it was being opened.
   const bool may_send = GENERATE(true, false);
   Fixture fixture;
-  std::string got;
+  std::string received;
   std::thread server([&] {
     auto peer = fixture.listener_.Accept();
-    got = peer.ReadUntil(may_send ? kHeadEnd : "");
+    received = peer.ReadUntil(may_send ? kHeadEnd : "");
     peer.Send("HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
   });
   HttpSendOptions options;
@@ -143,19 +150,20 @@
       },
       std::size_t{1} << 20, std::move(options));
   fixture.loop_.Run();
-  fixture.Settle();
+  fixture.RunBriefly();
   server.join();
   CHECK(end == (may_send ? HttpEnd::kWhole : HttpEnd::kNotSent));
-  CHECK(got.empty() != may_send);
+  CHECK(received.empty() != may_send);
 }
 
-TEST_CASE("a request that its server does not read is undelivered",
+TEST_CASE("a request that the server does not read is undelivered",
           "[daemon]") {
   struct Row {
     std::size_t bytes_;
     bool undelivered_;
   };
-  // The server's system takes the small one, whoever reads it.
+  // The small request fits the server's socket buffer and counts as delivered,
+  // although nobody reads it.
   const auto row = GENERATE(Row{100, false}, Row{std::size_t{32} << 20, true});
   Fixture fixture;
   std::optional<RawSocket> peer;
@@ -167,27 +175,28 @@
                             .headers_ = {},
                             .body_ = std::string(row.bytes_, 'x')},
                            {});
-  fixture.Settle();
+  fixture.RunBriefly();
   server.join();
   CHECK(call->undelivered() == row.undelivered_);
   call->Cancel();
-  fixture.Settle();
+  fixture.RunBriefly();
 }
 
-TEST_CASE("which connections are used again", "[daemon]") {
+TEST_CASE("a connection is reused only if the response allows it", "[daemon]") {
   struct Row {
     std::string name_;
     std::string first_;
-    bool again_;
+    bool reused_;
   };
   const auto row = GENERATE(
-      Row{"kept", "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\na", true},
-      Row{"to be closed",
+      Row{"kept for reuse", "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\na",
+          true},
+      Row{"connection: close",
           "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 1\r\n\r\na",
           false},
-      Row{"followed by other bytes",
+      Row{"extra bytes after the response",
           "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nabc", false},
-      Row{"kept for no time",
+      Row{"keep-alive with timeout 0",
           "HTTP/1.1 200 OK\r\nkeep-alive: timeout=0\r\ncontent-length: "
           "1\r\n\r\na",
           false});
@@ -199,7 +208,7 @@
     ++accepted;
     (void)peer.ReadUntil(kHeadEnd);
     peer.Send(row.first_);
-    if (row.again_) {
+    if (row.reused_) {
       (void)peer.ReadUntil(kHeadEnd);
       peer.Send("HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb");
       return;
@@ -209,28 +218,29 @@
     (void)next.ReadUntil(kHeadEnd);
     next.Send("HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb");
   });
-  CHECK(fixture.Ask().body_ == "a");
-  fixture.Settle();
-  CHECK(fixture.Ask().body_ == "b");
+  CHECK(fixture.Fetch().body_ == "a");
+  fixture.RunBriefly();
+  CHECK(fixture.Fetch().body_ == "b");
   server.join();
-  CHECK(accepted == (row.again_ ? 1 : 2));
+  CHECK(accepted == (row.reused_ ? 1 : 2));
 }
 
-TEST_CASE("a connection that may not be used again is closed", "[daemon]") {
-  // Servers count those at rest among the ones they take.
+TEST_CASE("an idle connection is closed after its maximum idle time",
+          "[daemon]") {
+  // Idle connections count against a server's limit of connections.
   Fixture fixture;
   std::thread server([&] {
     auto peer = fixture.listener_.Accept();
     (void)peer.ReadUntil(kHeadEnd);
     peer.Send("HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\na");
-    // Until the client hangs up.
+    // Returns when the client closes the connection.
     (void)peer.ReadUntil();
   });
-  CHECK(fixture.Ask("", 50ms).body_ == "a");
+  CHECK(fixture.Fetch("", 50ms).body_ == "a");
   const Address address{"127.0.0.1", fixture.listener_.port()};
   CHECK(fixture.client_.ConnectionsTo(address) == 1);
   while (fixture.client_.ConnectionsTo(address) > 0) {
-    fixture.Settle();
+    fixture.RunBriefly();
   }
   server.join();
 }
--- a/tests/daemon/http_test.cpp
+++ b/tests/daemon/http_test.cpp
@@ -1,4 +1,5 @@
-// HTTP server and client: whole answers, cut answers, limits, aborts.
+// HTTP server and client together: complete and aborted responses, limits,
+// malformed requests.
 #include <arpa/inet.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -15,49 +16,50 @@
 
 using namespace std::chrono_literals;
 
-/// One server that answers by path.
+/// A server whose response depends on the path, and a client, on one loop.
 class Fixture {
  public:
   Fixture()
       : client_(loop_, 5s),
         server_(loop_, {.address_ = {"127.0.0.1", 0}, .max_body_bytes_ = 1000},
-                [this](const HttpExchangePtr& exchange) { Answer(exchange); }) {
+                [this](const HttpExchangePtr& exchange) { Handle(exchange); }) {
   }
 
-  HttpResponse Ask(const std::string& path) {
-    HttpResponse answer;
+  HttpResponse Fetch(const std::string& path) {
+    HttpResponse result;
     client_.Fetch({"127.0.0.1", server_.port()},
                   {.method_ = "POST", .path_ = path, .body_ = "body"},
                   [&](HttpResponse response) {
-                    answer = std::move(response);
+                    result = std::move(response);
                     loop_.Stop();
                   });
     loop_.Run();
-    return answer;
+    return result;
   }
 
-  /// Sends bytes as they are and returns all that comes back.
-  std::string AskRaw(const std::string& bytes) {
-    std::string answer;
+  /// Sends raw bytes on a new connection and returns all that comes back until
+  /// the server closes it.
+  std::string SendRaw(const std::string& bytes) {
+    std::string result;
     std::thread client([&] {
-      const int connection = ::socket(AF_INET, SOCK_STREAM, 0);
+      const int descriptor = ::socket(AF_INET, SOCK_STREAM, 0);
       sockaddr_in address{};
       address.sin_family = AF_INET;
       address.sin_port = htons(server_.port());
       address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-      const int connected = ::connect(
-          connection, reinterpret_cast<sockaddr*>(&address), sizeof(address));
-      REQUIRE(connected == 0);
-      (void)::send(connection, bytes.data(), bytes.size(), 0);
+      const int connect_result = ::connect(
+          descriptor, reinterpret_cast<sockaddr*>(&address), sizeof(address));
+      REQUIRE(connect_result == 0);
+      (void)::send(descriptor, bytes.data(), bytes.size(), 0);
       std::string buffer(4096, '\0');
       for (;;) {
-        const auto size = ::recv(connection, buffer.data(), buffer.size(), 0);
+        const auto size = ::recv(descriptor, buffer.data(), buffer.size(), 0);
         if (size <= 0) {
           break;
         }
-        answer.append(buffer, 0, static_cast<std::size_t>(size));
+        result.append(buffer, 0, static_cast<std::size_t>(size));
       }
-      ::close(connection);
+      ::close(descriptor);
       done_ = true;
     });
     Timer poll(loop_);
@@ -68,11 +70,11 @@
     });
     loop_.Run();
     client.join();
-    return answer;
+    return result;
   }
 
  private:
-  void Answer(const HttpExchangePtr& exchange) {
+  void Handle(const HttpExchangePtr& exchange) {
     if (exchange->request().path_ == "/whole") {
       exchange->Respond(200, {}, "answer");
       return;
@@ -91,7 +93,7 @@
   std::atomic<bool> done_{false};
 };
 
-TEST_CASE("the end of a response tells whether it is whole", "[daemon]") {
+TEST_CASE("the end of a response shows whether it is complete", "[daemon]") {
   struct Row {
     std::string path_;
     HttpEnd end_;
@@ -101,52 +103,54 @@
                             Row{"/stream", HttpEnd::kWhole, "one two"},
                             Row{"/cut", HttpEnd::kBroken, "one two"});
   Fixture fixture;
-  const auto answer = fixture.Ask(row.path_);
-  CHECK(answer.end_ == row.end_);
-  CHECK(row.body_.starts_with(answer.body_));
+  const auto result = fixture.Fetch(row.path_);
+  CHECK(result.end_ == row.end_);
+  CHECK(row.body_.starts_with(result.body_));
   if (row.end_ == HttpEnd::kWhole) {
-    CHECK(answer.body_ == row.body_);
+    CHECK(result.body_ == row.body_);
   }
 }
 
-TEST_CASE("a stream to a closing caller is chunked, so that a cut shows",
+TEST_CASE("a stream is chunked despite connection: close, to show an abort",
           "[daemon]") {
   Fixture fixture;
-  const auto answer = fixture.AskRaw(
+  const auto result = fixture.SendRaw(
       "POST /stream HTTP/1.1\r\nhost: a\r\nconnection: close\r\n"
       "content-length: 0\r\n\r\n");
-  CAPTURE(answer);
-  CHECK(answer.find("hunked") != std::string::npos);
+  CAPTURE(result);
+  CHECK(result.find("hunked") != std::string::npos);
 }
 
-TEST_CASE("a body over the limit is refused before it is sent", "[daemon]") {
+TEST_CASE("a body over the limit is refused by its content length",
+          "[daemon]") {
   Fixture fixture;
-  const auto answer = fixture.AskRaw(
+  const auto result = fixture.SendRaw(
       "POST /whole HTTP/1.1\r\nhost: a\r\ncontent-length: 1001\r\n\r\n");
-  CHECK(answer.starts_with("HTTP/1.1 413"));
+  CHECK(result.starts_with("HTTP/1.1 413"));
 }
 
-TEST_CASE("malformed and oversized headers reach no handler", "[daemon]") {
+TEST_CASE("malformed and oversized headers do not reach the handler",
+          "[daemon]") {
   struct Row {
     std::string name_;
-    std::string head_;
+    std::string request_;
   };
   const std::string end = "connection: close\r\ncontent-length: 0\r\n\r\n";
   const auto row = GENERATE_COPY(
       Row{"no request line", "nonsense\r\n\r\n"},
-      Row{"bytes that are no header",
+      Row{"an invalid header line",
           "POST /whole HTTP/1.1\r\nhost a\x01\r\n" + end},
       Row{"headers over the limit",
           "POST /whole HTTP/1.1\r\nhost: a\r\nx: " + std::string(33'000, 'h') +
               "\r\n" + end});
   CAPTURE(row.name_);
   Fixture fixture;
-  const auto answer = fixture.AskRaw(row.head_);
-  CHECK(answer.find(" 200 ") == std::string::npos);
-  CHECK(fixture.Ask("/whole").body_ == "answer");
+  const auto result = fixture.SendRaw(row.request_);
+  CHECK(result.find(" 200 ") == std::string::npos);
+  CHECK(fixture.Fetch("/whole").body_ == "answer");
 }
 
-TEST_CASE("a server that is not there was sent nothing", "[daemon]") {
+TEST_CASE("a refused connection ends as not sent", "[daemon]") {
   Loop loop;
   HttpClient client(loop, 1s);
   HttpEnd end = HttpEnd::kWhole;
--- a/tests/daemon/log_writer_test.cpp
+++ b/tests/daemon/log_writer_test.cpp
@@ -1,4 +1,4 @@
-// The log: bounded by rate, and it never waits for whoever reads the pipe.
+// The log writer: limits the rate of lines and never blocks on a full pipe.
 #include "daemon/log_writer.hpp"
 
 #include <fcntl.h>
@@ -15,26 +15,26 @@
 
 const core::TimePoint kStart{1000s};
 
-TEST_CASE("lines beyond the burst wait for the rate", "[daemon]") {
-  LogRateLimiter budget({.lines_per_second_ = 10, .burst_ = 3});
-  int taken = 0;
+TEST_CASE("lines beyond the burst are limited by the rate", "[daemon]") {
+  LogRateLimiter limiter({.lines_per_second_ = 10, .burst_ = 3});
+  int accepted = 0;
   for (int i = 0; i < 10; ++i) {
-    taken += budget.TryAcquire(kStart) ? 1 : 0;
+    accepted += limiter.TryAcquire(kStart) ? 1 : 0;
   }
-  CHECK(taken == 3);
-  CHECK_FALSE(budget.TryAcquire(kStart + 50ms));
-  CHECK(budget.TryAcquire(kStart + 100ms));
-  CHECK_FALSE(budget.TryAcquire(kStart + 100ms));
+  CHECK(accepted == 3);
+  CHECK_FALSE(limiter.TryAcquire(kStart + 50ms));
+  CHECK(limiter.TryAcquire(kStart + 100ms));
+  CHECK_FALSE(limiter.TryAcquire(kStart + 100ms));
 }
 
-TEST_CASE("a full pipe costs lines, not time", "[daemon]") {
+TEST_CASE("a full pipe drops lines and does not block the writer", "[daemon]") {
   std::array<int, 2> pipe{};
   REQUIRE(::pipe(pipe.data()) == 0);
   LogWriter writer(pipe[1], {.lines_per_second_ = 1e9, .burst_ = 1e9},
                    [] { return kStart; });
   log4cxx::helpers::Pool pool;
   const std::string line = std::string(1000, 'x') + "\n";
-  // Far more than a pipe holds; a writer that waits would never return.
+  // Far more than a pipe holds: a blocking writer would never return.
   for (int i = 0; i < 1000; ++i) {
     writer.write(line, pool);
   }
@@ -42,13 +42,13 @@
   CHECK(dropped > 0);
   CHECK(writer.TakeDropped() == 0);
   ::fcntl(pipe[0], F_SETFL, O_NONBLOCK);
-  std::size_t read = 0;
+  std::size_t bytes_read = 0;
   std::array<char, 4096> buffer{};
   for (ssize_t size = 0;
        (size = ::read(pipe[0], buffer.data(), buffer.size())) > 0;) {
-    read += static_cast<std::size_t>(size);
+    bytes_read += static_cast<std::size_t>(size);
   }
-  CHECK(read == (1000 - dropped) * line.size());
+  CHECK(bytes_read == (1000 - dropped) * line.size());
   ::close(pipe[0]);
   ::close(pipe[1]);
 }
--- a/tests/daemon/loop_test.cpp
+++ b/tests/daemon/loop_test.cpp
@@ -1,4 +1,5 @@
-// Timers and the two clocks of a machine that is suspended.
+// Timers of the loop across a suspension of the machine, which is detected by
+// comparing a clock that counts suspended time with one that does not.
 #include "daemon/loop.hpp"
 
 #include <catch2/catch.hpp>
@@ -8,51 +9,52 @@
 
 using namespace std::chrono_literals;
 
-/// A loop whose machine can be suspended, and which has something to do now and
-/// then, as daemons have.
+/// A loop on clocks that show a suspension of the machine. A periodic timer
+/// wakes the loop up, so that it compares its clocks.
 struct Fixture {
   Fixture() {
-    tick_.Every(10ms, [] {});
+    keep_awake_timer_.Every(10ms, [] {});
   }
 
   core::Duration suspended_{};
   Loop loop_{LoopClocks{.now_ = [this] { return RunningTime() + suspended_; },
                         .running_ = RunningTime}};
-  Timer tick_{loop_};
+  Timer keep_awake_timer_{loop_};
 };
 
 TEST_CASE("a timer that is due during a suspension fires after it", "[loop]") {
   const bool periodic = GENERATE(false, true);
   CAPTURE(periodic);
   Fixture fixture;
-  std::vector<core::Duration> resumed;
+  std::vector<core::Duration> suspensions;
   fixture.loop_.OnResume(
-      [&](core::Duration length) { resumed.push_back(length); });
+      [&](core::Duration length) { suspensions.push_back(length); });
   Timer timer(fixture.loop_);
-  const auto stop = [&] { fixture.loop_.Stop(); };
-  periodic ? timer.Every(1h, stop) : timer.Once(1h, stop);
+  const auto stop_loop = [&] { fixture.loop_.Stop(); };
+  periodic ? timer.Every(1h, stop_loop) : timer.Once(1h, stop_loop);
   fixture.loop_.Post([&] { fixture.suspended_ = 2h; });
-  Timer guard(fixture.loop_);
-  guard.Once(3h, [&] { FAIL("the timer has not fired"); });
+  Timer timeout(fixture.loop_);
+  timeout.Once(3h,
+               [&] { FAIL("the timer did not fire after the suspension"); });
   fixture.loop_.Run();
-  REQUIRE(resumed.size() == 1);
-  CHECK(resumed.front() > 2h - 1min);
-  CHECK(resumed.front() < 2h + 1min);
+  REQUIRE(suspensions.size() == 1);
+  CHECK(suspensions.front() > 2h - 1min);
+  CHECK(suspensions.front() < 2h + 1min);
 }
 
-TEST_CASE("a timer that is not due yet keeps what is left of its time",
+TEST_CASE("a timer that is not due after a suspension keeps its remaining time",
           "[loop]") {
   Fixture fixture;
-  Timer due(fixture.loop_);
-  Timer later(fixture.loop_);
+  Timer due_timer(fixture.loop_);
+  Timer later_timer(fixture.loop_);
   bool fired = false;
-  due.Once(1h, [&] { fixture.loop_.Stop(); });
-  later.Once(5h, [&] { fired = true; });
+  due_timer.Once(1h, [&] { fixture.loop_.Stop(); });
+  later_timer.Once(5h, [&] { fired = true; });
   fixture.loop_.Post([&] { fixture.suspended_ = 2h; });
   fixture.loop_.Run();
   CHECK_FALSE(fired);
   fixture.loop_.Post([&] { fixture.suspended_ = 6h; });
-  later.Once(5h - 2h, [&] {
+  later_timer.Once(5h - 2h, [&] {
     fired = true;
     fixture.loop_.Stop();
   });
@@ -60,8 +62,7 @@
   CHECK(fired);
 }
 
-TEST_CASE("a process that is paused is not taken for a suspended machine",
-          "[loop]") {
+TEST_CASE("a paused process is not taken for a suspended machine", "[loop]") {
   core::Duration paused{};
   bool between_reads = false;
   SuspensionDetector detector;
@@ -74,7 +75,7 @@
           },
       .running_ = [&] { return core::TimePoint{} + 10s + paused; }};
   CHECK(detector.Check(clocks) == core::Duration{});
-  // It is paused between its looks at the two clocks.
+  // The process is paused between reading the two clocks.
   between_reads = true;
   CHECK(detector.Check(clocks) == core::Duration{});
   CHECK(detector.Check(clocks) == core::Duration{});
--- a/tests/daemon/mesh_messages_test.cpp
+++ b/tests/daemon/mesh_messages_test.cpp
@@ -1,4 +1,5 @@
-// Datagrams between the system's processes.
+// Conversion of the datagrams between entries and agents to the types of the
+// decision modules and back.
 #include "daemon/direct/mesh_messages.hpp"
 
 #include <catch2/catch.hpp>
@@ -12,9 +13,9 @@
 
 TEST_CASE("a report's path delay counts both ways of the endpoint's link",
           "[daemon]") {
-  // Seen: a link filled by pieces of weights held a request back for 1.6 s, so
-  // that it began on weights that were no longer allowed. The agent had told
-  // the delay; the entry took only the delay of the report itself.
+  // Guards against counting only the delay of the report itself, which travels
+  // from the endpoint. Weight chunks on the inbound link then delayed a request
+  // by 1.6 s, so that it began on a weights version no longer allowed.
   struct Row {
     std::uint32_t inbound_ms_;
     core::Duration outbound_;
@@ -27,7 +28,7 @@
   CHECK(ToReport(message, row.outbound_).path_delay_ == row.delay_);
 }
 
-TEST_CASE("a report survives the wire", "[daemon]") {
+TEST_CASE("a report is unchanged by packing and unpacking", "[daemon]") {
   LoadMessage sent;
   sent.endpoint_ = "10.0.0.1:80";
   sent.active_ = 3;
@@ -35,9 +36,9 @@
   sent.accepting_ = false;
   sent.version_ = 7;
   sent.slowdown_ = 1500;
-  const auto got = Unpack<LoadMessage>(Pack(sent), "peer");
-  CHECK(got.endpoint_ == sent.endpoint_);
-  const auto report = ToReport(got, 0ms);
+  const auto received = Unpack<LoadMessage>(Pack(sent), "peer");
+  CHECK(received.endpoint_ == sent.endpoint_);
+  const auto report = ToReport(received, 0ms);
   CHECK(report.active_ == 3);
   CHECK(report.queued_ == 2);
   CHECK_FALSE(report.accepting_);
@@ -45,13 +46,14 @@
   CHECK(report.slowdown_ == Approx(1.5));
 }
 
-TEST_CASE("a list's age counts from the store's answer on, whatever is told",
-          "[daemon]") {
+TEST_CASE(
+    "a list's age counts from the store's response, over every forwarding",
+    "[daemon]") {
   struct Row {
     std::uint64_t age_ms_;
     core::Duration age_;
   };
-  // None of them makes a list newer than its telling.
+  // Ages are cut to 1 h. No age makes the list newer than the message.
   const auto row = GENERATE(Row{0, 0ms}, Row{700, 700ms}, Row{3'600'001, 1h},
                             Row{~std::uint64_t{0}, 1h});
   const core::TimePoint sent_at(5h);
@@ -59,12 +61,12 @@
   message.age_ms_ = row.age_ms_;
   const auto change = ToChange(message, sent_at);
   CHECK(change.as_of_ == sent_at - row.age_);
-  const auto onward = ToMessage(change, sent_at + 1500us);
-  CHECK(ToChange(onward, sent_at + 1500us).as_of_ <=
+  const auto forwarded = ToMessage(change, sent_at + 1500us);
+  CHECK(ToChange(forwarded, sent_at + 1500us).as_of_ <=
         std::max(change.as_of_, sent_at + 1500us - 1h));
 }
 
-TEST_CASE("weights that are not whole are told as none", "[daemon]") {
+TEST_CASE("incomplete weights are reported as no version", "[daemon]") {
   CHECK_FALSE(ToReport(LoadMessage{}, 0ms).weights_version_.has_value());
 }
 
--- a/tests/daemon/mesh_node_test.cpp
+++ b/tests/daemon/mesh_node_test.cpp
@@ -1,4 +1,4 @@
-// How processes come to know each other by datagrams.
+// How entries and agents discover each other by datagrams.
 #include "daemon/direct/mesh_node.hpp"
 
 #include <catch2/catch.hpp>
@@ -13,8 +13,8 @@
 
 using namespace std::chrono_literals;
 
-/// Patience of a test, not a bound.
-constexpr auto kPatience = 10s;
+/// Ends a test that waits in vain; no requirement on the node.
+constexpr auto kTestTimeout = 10s;
 
 membership::Member Member(const std::string& id, membership::MemberKind kind,
                           const std::string& address) {
@@ -26,31 +26,31 @@
   return member;
 }
 
-TEST_CASE("an entry that hears of a neighbour makes itself known to it",
+TEST_CASE("an entry introduces itself to a local entry that it learns of",
           "[daemon]") {
-  // By rumours alone members that started together knew of each other only
-  // after several rounds. Of other failure domains a few are kept, who need not
-  // know each entry.
+  // By gossip alone, members that started together knew each other only after
+  // several rounds. A node keeps only a few members of other failure domains,
+  // and these need not know every entry.
   struct Row {
     std::string name_;
     std::string domain_;
     bool introduced_;
   };
-  const auto row = GENERATE(Row{"a neighbour", "d", true},
+  const auto row = GENERATE(Row{"of the own failure domain", "d", true},
                             Row{"of another failure domain", "far", false});
   CAPTURE(row.name_);
   Loop loop;
   EventLog log(LogFormat::kJson, core::Severity::kError, "test");
   Metrics metrics;
   bool introduced = false;
-  UdpSocket other(loop, {"127.0.0.1", 0}, [&](std::string_view bytes) {
+  UdpSocket other_socket(loop, {"127.0.0.1", 0}, [&](std::string_view bytes) {
     const auto message =
         Unpack<MeshMessage>(std::string(bytes.substr(1)), "test");
-    // Rounds of gossip carry rows; they come sooner or later.
+    // Gossip messages carry rows and may arrive too; an introduction has none.
     introduced = introduced || message.rows_.empty();
     loop.Stop();
   });
-  const auto address = "127.0.0.1:" + std::to_string(other.port());
+  const auto address = "127.0.0.1:" + std::to_string(other_socket.port());
   const UdpSocket reserved(loop, {"127.0.0.2", 0}, [](std::string_view) {});
   MeshSettings settings;
   settings.listen_ = {"127.0.0.3", reserved.port()};
@@ -59,40 +59,40 @@
                 Member("self", membership::MemberKind::kEntry, "127.0.0.3:1"),
                 settings, log, metrics, {});
   node.Start();
-  // The first rounds are over when nobody is known.
+  // Sends after the node's first gossip rounds, in which it knows nobody.
   loop.After(10ms, [&] {
-    MeshMessage rumour;
-    rumour.sender_ = ToMessage(
-        Member("teller", membership::MemberKind::kEntry, "127.0.0.4:9"));
-    auto heard = Member("a", membership::MemberKind::kEntry, address);
-    heard.domain_ = core::FailureDomainId(row.domain_);
-    rumour.rows_.push_back(ToMessage(heard));
-    other.Send(settings.listen_,
-               static_cast<char>(DatagramKind::kMesh) + Pack(rumour));
+    MeshMessage gossip;
+    gossip.sender_ = ToMessage(
+        Member("sender", membership::MemberKind::kEntry, "127.0.0.4:9"));
+    auto subject = Member("a", membership::MemberKind::kEntry, address);
+    subject.domain_ = core::FailureDomainId(row.domain_);
+    gossip.rows_.push_back(ToMessage(subject));
+    other_socket.Send(settings.listen_,
+                      static_cast<char>(DatagramKind::kMesh) + Pack(gossip));
   });
-  loop.After(kPatience, [&] { loop.Stop(); });
+  loop.After(kTestTimeout, [&] { loop.Stop(); });
   loop.Run();
   CHECK(introduced == row.introduced_);
 }
 
-TEST_CASE("an agent's greeting is answered with entries, and told of",
+TEST_CASE("an agent's query is answered with entries and reported to the hook",
           "[daemon]") {
   Loop loop;
   EventLog log(LogFormat::kJson, core::Severity::kError, "test");
   Metrics metrics;
-  std::optional<MeshMessage> answer;
-  std::string greeted;
-  UdpSocket agent(loop, {"127.0.0.1", 0}, [&](std::string_view bytes) {
-    answer = Unpack<MeshMessage>(std::string(bytes.substr(1)), "test");
+  std::optional<MeshMessage> reply;
+  std::string queried_by;
+  UdpSocket agent_socket(loop, {"127.0.0.1", 0}, [&](std::string_view bytes) {
+    reply = Unpack<MeshMessage>(std::string(bytes.substr(1)), "test");
     loop.Stop();
   });
-  const auto address = "127.0.0.1:" + std::to_string(agent.port());
+  const auto address = "127.0.0.1:" + std::to_string(agent_socket.port());
   const UdpSocket reserved(loop, {"127.0.0.2", 0}, [](std::string_view) {});
   MeshSettings settings;
   settings.listen_ = {"127.0.0.3", reserved.port()};
   settings.interval_ = 1h;
   MeshHooks hooks;
-  hooks.on_agent_query_ = [&](const std::string& from) { greeted = from; };
+  hooks.on_agent_query_ = [&](const std::string& from) { queried_by = from; };
   hooks.weights_ = [] {
     return std::map<std::string, std::uint64_t>{{"m", 7}};
   };
@@ -101,20 +101,20 @@
                 settings, log, metrics, hooks);
   node.Start();
   loop.After(10ms, [&] {
-    MeshMessage greeting;
-    greeting.sender_ =
+    MeshMessage query;
+    query.sender_ =
         ToMessage(Member("agent", membership::MemberKind::kAgent, address));
-    greeting.requests_reply_ = true;
-    agent.Send(settings.listen_,
-               static_cast<char>(DatagramKind::kMesh) + Pack(greeting));
+    query.requests_reply_ = true;
+    agent_socket.Send(settings.listen_,
+                      static_cast<char>(DatagramKind::kMesh) + Pack(query));
   });
-  loop.After(kPatience, [&] { loop.Stop(); });
+  loop.After(kTestTimeout, [&] { loop.Stop(); });
   loop.Run();
-  REQUIRE(answer.has_value());
-  CHECK(greeted == address);
-  CHECK(answer->weights_.at("m") == 7);
-  CHECK(answer->rows_.front().id_ == "self");
-  // Agents are no members.
+  REQUIRE(reply.has_value());
+  CHECK(queried_by == address);
+  CHECK(reply->weights_.at("m") == 7);
+  CHECK(reply->rows_.front().id_ == "self");
+  // An agent that queries does not become a member.
   CHECK(node.LiveMembers().empty());
 }
 
--- a/tests/daemon/peer_test.cpp
+++ b/tests/daemon/peer_test.cpp
@@ -1,4 +1,4 @@
-// Streams between processes: a peer of another message version is told so.
+// HTTP/2 streams between processes: check of the protocol version.
 #include <catch2/catch.hpp>
 
 #include "daemon/h2_session.hpp"
@@ -7,8 +7,10 @@
 namespace chalkwell::daemon {
 namespace {
 
-/// Sends one request with the given headers and returns the answer's status.
-std::string StatusFor(const HttpHeaders& extra) {
+/// Sends one request to a peer server.
+/// @param extra_headers sent after the pseudo-headers.
+/// @return the response's status.
+std::string RequestStatus(const HttpHeaders& extra_headers) {
   Loop loop;
   const PeerServer server(
       loop, {"127.0.0.1", 0}, 1000,
@@ -18,13 +20,13 @@
   const auto target = Address{"127.0.0.1", server.port()}.ToSockaddr();
   std::string status;
   internal::H2StreamPtr stream;
-  std::function<void()> begin = [&] {
+  std::function<void()> send_request = [&] {
     session->Begin();
     HttpHeaders headers{{":method", "POST"},
                         {":scheme", "http"},
                         {":authority", "peer"},
                         {":path", "/v1/sync"}};
-    headers.insert(headers.end(), extra.begin(), extra.end());
+    headers.insert(headers.end(), extra_headers.begin(), extra_headers.end());
     stream = session->Submit(headers, "body");
     stream->on_headers_ = [&] {
       status = FindHeader(stream->headers_, ":status");
@@ -32,7 +34,7 @@
     };
   };
   uv_connect_t connect{};
-  connect.data = &begin;
+  connect.data = &send_request;
   REQUIRE(
       uv_tcp_connect(&connect, session->tcp(),
                      reinterpret_cast<const sockaddr*>(&target),
@@ -44,7 +46,8 @@
   return status;
 }
 
-TEST_CASE("a peer of another message version is told so", "[daemon]") {
+TEST_CASE("a peer with another or no protocol version gets status 426",
+          "[daemon]") {
   struct Row {
     HttpHeaders headers_;
     std::string status_;
@@ -53,7 +56,7 @@
   const auto row =
       GENERATE_COPY(Row{{{name, std::string(kProtocolVersion)}}, "200"},
                     Row{{{name, "0"}}, "426"}, Row{{}, "426"});
-  CHECK(StatusFor(row.headers_) == row.status_);
+  CHECK(RequestStatus(row.headers_) == row.status_);
 }
 
 }  // namespace
--- a/tests/daemon/raw_socket.hpp
+++ b/tests/daemon/raw_socket.hpp
@@ -1,4 +1,5 @@
-// A caller or server made of bytes, on its own thread, for tests of framing.
+// Blocking TCP sockets of this machine, for tests that send raw bytes to a
+// server or a client.
 #pragma once
 
 #include <arpa/inet.h>
@@ -11,9 +12,11 @@
 
 namespace chalkwell::daemon {
 
-/// @brief A blocking connection to a port of this machine.
+/// @brief A blocking TCP connection; closed by the destructor.
 class RawSocket {
  public:
+  /// @brief Connects to a port of 127.0.0.1; connected() shows whether it
+  /// could.
   explicit RawSocket(std::uint16_t port)
       : descriptor_(::socket(AF_INET, SOCK_STREAM, 0)) {
     sockaddr_in address{};
@@ -23,8 +26,8 @@
     connected_ = ::connect(descriptor_, reinterpret_cast<sockaddr*>(&address),
                            sizeof(address)) == 0;
   }
-  /// Takes a connection that was accepted.
-  static RawSocket Taken(int descriptor) { return RawSocket(descriptor, 0); }
+  /// @brief Takes ownership of the descriptor of an accepted connection.
+  static RawSocket Adopt(int descriptor) { return RawSocket(descriptor, 0); }
   RawSocket(RawSocket&& other) noexcept
       : descriptor_(other.descriptor_), connected_(other.connected_) {
     other.descriptor_ = -1;
@@ -34,21 +37,24 @@
   ~RawSocket() { Close(); }
 
   [[nodiscard]] bool connected() const { return connected_; }
+  /// @brief Sends bytes; errors and partial sends are ignored.
   void Send(const std::string& bytes) const {
     (void)::send(descriptor_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
-  /// Reads until the end of the connection, or until `text` was seen.
+  /// @brief Reads until the connection ends, or until `text` was received.
+  /// @param text to wait for; empty reads until the end.
+  /// @return all bytes received.
   [[nodiscard]] std::string ReadUntil(const std::string& text = "") const {
-    std::string all;
+    std::string received;
     char buffer[4096];
-    while (text.empty() || all.find(text) == std::string::npos) {
+    while (text.empty() || received.find(text) == std::string::npos) {
       const auto size = ::recv(descriptor_, buffer, sizeof(buffer), 0);
       if (size <= 0) {
         break;
       }
-      all.append(buffer, static_cast<std::size_t>(size));
+      received.append(buffer, static_cast<std::size_t>(size));
     }
-    return all;
+    return received;
   }
   void Close() {
     if (descriptor_ >= 0) {
@@ -56,11 +62,11 @@
       descriptor_ = -1;
     }
   }
-  /// Resets the connection.
+  /// @brief Closes the connection with a reset (RST).
   void Reset() {
-    const linger abort{.l_onoff = 1, .l_linger = 0};
-    (void)::setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &abort,
-                       sizeof(abort));
+    const linger reset_on_close{.l_onoff = 1, .l_linger = 0};
+    (void)::setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &reset_on_close,
+                       sizeof(reset_on_close));
     Close();
   }
 
@@ -71,7 +77,7 @@
   bool connected_ = false;
 };
 
-/// @brief A blocking listener on a free port.
+/// @brief A blocking listener on a free port of 127.0.0.1.
 class RawListener {
  public:
   RawListener() : descriptor_(::socket(AF_INET, SOCK_STREAM, 0)) {
@@ -91,8 +97,9 @@
   ~RawListener() { ::close(descriptor_); }
 
   [[nodiscard]] std::uint16_t port() const { return port_; }
+  /// @brief Waits for the next connection.
   [[nodiscard]] RawSocket Accept() const {
-    return RawSocket::Taken(::accept(descriptor_, nullptr, nullptr));
+    return RawSocket::Adopt(::accept(descriptor_, nullptr, nullptr));
   }
 
  private:
--- a/tests/daemon/settings_test.cpp
+++ b/tests/daemon/settings_test.cpp
@@ -1,5 +1,5 @@
-// Settings: every fault at once, with section, key, line and range; and the
-// pages that must agree with the code.
+// Settings files: all errors reported at once, with section, key, line and
+// range; and the documentation pages that are generated from the tables.
 #include "daemon/settings.hpp"
 
 #include <catch2/catch.hpp>
@@ -13,22 +13,23 @@
 namespace chalkwell::daemon {
 namespace {
 
-const std::string kKey(64, 'a');
-const std::string kGood =
+const std::string kTrustedKey(64, 'a');
+const std::string kValidSettings =
     "[instance]\nid = a\ndomain = d\n[listen]\nadmin = 127.0.0.1:1\n"
     "peer = 127.0.0.1:2\ncaller = 127.0.0.1:3\n[platform]\n"
     "address = 127.0.0.1:4\n[bundle]\ntrusted_keys = " +
-    kKey + "\n";
+    kTrustedKey + "\n";
 
-TEST_CASE("good settings are read, defaults filled in", "[daemon]") {
-  const auto settings = Settings::Parse(kGood + "trusted_keys = " + kKey + "\n",
-                                        "f", UsedBy::kEntry);
+TEST_CASE("valid settings are read and defaults filled in", "[daemon]") {
+  const auto settings =
+      Settings::Parse(kValidSettings + "trusted_keys = " + kTrustedKey + "\n",
+                      "f", UsedBy::kEntry);
   CHECK(settings.Text("instance", "id") == "a");
   CHECK(settings.Number("requests", "max_in_flight") == 256);
   CHECK(settings.List("bundle", "trusted_keys").size() == 2);
 }
 
-TEST_CASE("a fault names section, key, line and range", "[daemon]") {
+TEST_CASE("an error names section, key, line and range", "[daemon]") {
   using Row = std::tuple<std::string, std::string>;
   const auto [text, expected] = GENERATE_COPY(
       Row{"[platfrom]\naddress = 127.0.0.1:1\n",
@@ -42,17 +43,18 @@
       Row{"nonsense\n", "is neither [section] nor key = value"},
       Row{"[trace]\ncollector = localhost:4318\n", "an IP number and port"},
       Row{"[log]\nlevel = " + std::string(300, 'x') + "\n", "is too long"});
-  CHECK_THROWS_WITH(Settings::Parse(kGood + text, "f.ini", UsedBy::kEntry),
-                    Catch::Contains(expected) && Catch::Contains("f.ini:1"));
+  CHECK_THROWS_WITH(
+      Settings::Parse(kValidSettings + text, "f.ini", UsedBy::kEntry),
+      Catch::Contains(expected) && Catch::Contains("f.ini:1"));
 }
 
-TEST_CASE("settings of a deployment with an adapter", "[daemon]") {
-  const std::string good =
+TEST_CASE("settings of a deployment with a platform adapter", "[daemon]") {
+  const std::string valid_settings =
       "[instance]\nid = a\ndomain = d\n[listen]\nadmin = 127.0.0.1:1\n"
       "peer = 127.0.0.1:2\ncaller = 127.0.0.1:3\nready = 127.0.0.1:5\n"
       "[platform]\naddress = 127.0.0.1:4\n";
   const auto parse = [&](const std::string& text) {
-    return Settings::Parse(good + text, "f", UsedBy::kDirectEntry);
+    return Settings::Parse(valid_settings + text, "f", UsedBy::kDirectEntry);
   };
   CHECK(parse("[mesh]\nseeds = 10.0.0.1:1,10.0.0.2:1\n")
             .List("mesh", "seeds")
@@ -60,16 +62,15 @@
   CHECK(parse("[mesh]\nseeds =\n").List("mesh", "seeds").empty());
   CHECK_THROWS_WITH(parse("[mesh]\nseeds = host:1\n"),
                     Catch::Contains("IP numbers and ports"));
-  CHECK_THROWS_WITH(parse("[bundle]\ntrusted_keys = " + kKey + "\n"),
+  CHECK_THROWS_WITH(parse("[bundle]\ntrusted_keys = " + kTrustedKey + "\n"),
                     Catch::Contains("is not used by this subcommand"));
   CHECK_THROWS_WITH(
       Settings::Parse("[log]\nformat = text\n", "f", UsedBy::kDirectAgent),
       Catch::Contains("[endpoint] backend is missing"));
 }
 
-TEST_CASE("quantities that a deployment computes may be any number",
-          "[daemon]") {
-  // All settings that the templates let the platform fill in as numbers.
+TEST_CASE("settings that the platform computes accept fractions", "[daemon]") {
+  // All numeric settings that the platform fills into the templates.
   struct Row {
     std::string section_;
     std::string key_;
@@ -97,13 +98,13 @@
       "f", UsedBy::kDirectEntry);
   CHECK(settings.Real(row.section_, row.key_) == Approx(row.expected_));
   if (row.key_.ends_with("_ms")) {
-    const std::chrono::duration<double, std::milli> span =
+    const std::chrono::duration<double, std::milli> duration =
         settings.Milliseconds(row.section_, row.key_);
-    CHECK(span.count() == Approx(row.expected_));
+    CHECK(duration.count() == Approx(row.expected_));
   }
 }
 
-TEST_CASE("a link's rate may have a fraction or be none", "[daemon]") {
+TEST_CASE("a link rate may have a fraction or be 0", "[daemon]") {
   const auto value = GENERATE("0", "7.3", "1000000");
   const auto settings = Settings::Parse(
       std::string("[instance]\nid = a\ndomain = d\n[listen]\n"
@@ -116,7 +117,7 @@
   CHECK(settings.Real("weights", "link_mbps") == Approx(std::stod(value)));
 }
 
-TEST_CASE("all faults are told at once", "[daemon]") {
+TEST_CASE("all errors are reported at once", "[daemon]") {
   CHECK_THROWS_WITH(Settings::Parse("[log]\nformat = x\n", "f", UsedBy::kAgent),
                     Catch::Contains("[instance] id is missing") &&
                         Catch::Contains("must be one of text|json"));
@@ -124,24 +125,25 @@
                     Catch::Contains("is not a regular file"));
 }
 
-std::string Printed(void (*print)()) {
+/// Returns what a function prints to standard output.
+std::string CaptureOutput(void (*print)()) {
   std::ostringstream out;
-  auto* before = std::cout.rdbuf(out.rdbuf());
+  auto* original_buffer = std::cout.rdbuf(out.rdbuf());
   print();
-  std::cout.rdbuf(before);
+  std::cout.rdbuf(original_buffer);
   return out.str();
 }
 
-std::string Page(const std::string& name) {
+std::string ReadPage(const std::string& name) {
   std::ifstream file(std::string(CHALKWELL_DOCS) + "/" + name);
   std::ostringstream text;
   text << file.rdbuf();
   return text.str();
 }
 
-TEST_CASE("the pages agree with the code", "[daemon]") {
-  CHECK(Page("SETTINGS.md") == Printed(cli::PrintSettingsPage));
-  CHECK(Page("EVENTS.md") == Printed(cli::PrintEventsPage));
+TEST_CASE("the generated documentation pages agree with the code", "[daemon]") {
+  CHECK(ReadPage("SETTINGS.md") == CaptureOutput(cli::PrintSettingsPage));
+  CHECK(ReadPage("EVENTS.md") == CaptureOutput(cli::PrintEventsPage));
 }
 
 }  // namespace
