--- a/packages/chalkwell/src/chalkwell/core/backoff.cpp
+++ b/packages/chalkwell/src/chalkwell/core/backoff.cpp
@@ -1,4 +1,5 @@
-// The delay grows from 1x to 2^n x the initial delay; its upper half is random.
+// The full delay doubles from the initial to the maximum delay; the delay
+// returned is random between half of it and all of it.
 #include "chalkwell/core/backoff.hpp"
 
 #include <algorithm>
@@ -6,8 +7,7 @@
 namespace chalkwell::core {
 namespace {
 
-/// Enough doublings to reach the largest delay of any settings in use; bounds
-/// the shift.
+/// Bounds the shift; enough to reach the maximum delay of all settings in use.
 constexpr unsigned kMaxDoublings = 10;
 
 }  // namespace
--- a/packages/chalkwell/src/chalkwell/core/backoff.hpp
+++ b/packages/chalkwell/src/chalkwell/core/backoff.hpp
@@ -10,13 +10,15 @@
 
 /// @brief Settings of a backoff.
 struct BackoffSettings {
-  /// Delay after the first failure; doubled by each consecutive one.
+  /// Full delay after the first failure; each consecutive one doubles it.
   Duration initial_delay_ = std::chrono::milliseconds(100);
+  /// Upper limit of the full delay.
   Duration max_delay_ = std::chrono::milliseconds(1000);
 };
 
-/// @brief Exponential backoff with jitter. The upper half of each delay is
-/// random, so that callers that fail together do not retry together.
+/// @brief Exponential backoff with jitter. Each delay is random between half of
+/// the full delay and all of it, so that callers that fail together do not
+/// retry together.
 class Backoff {
  public:
   Backoff(BackoffSettings settings, std::uint64_t seed);
@@ -33,7 +35,7 @@
  private:
   BackoffSettings settings_;
   std::mt19937_64 random_;
-  /// Consecutive failures, up to the number that reaches the largest delay.
+  /// Consecutive failures, at most kMaxDoublings (backoff.cpp).
   unsigned failures_ = 0;
   TimePoint ready_at_;
 };
--- a/packages/chalkwell/src/chalkwell/core/error.cpp
+++ b/packages/chalkwell/src/chalkwell/core/error.cpp
@@ -25,7 +25,7 @@
       return "fetch weights";
     case Step::kStageWeights:
       return "stage weights";
-    case Step::kOrderEngine:
+    case Step::kSendEngineOrder:
       return "order engine";
     case Step::kReadStore:
       return "read platform";
--- a/packages/chalkwell/src/chalkwell/core/error.hpp
+++ b/packages/chalkwell/src/chalkwell/core/error.hpp
@@ -20,7 +20,7 @@
   kReceive,
   kFetchWeights,
   kStageWeights,
-  kOrderEngine,
+  kSendEngineOrder,
   kReadStore,
 };
 
--- a/packages/chalkwell/src/chalkwell/core/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/core/fwd.hpp
@@ -16,8 +16,9 @@
 enum class EventNumber : std::uint16_t;
 
 /// @brief Monotonic time, passed to all time-dependent functions as an
-/// argument. Callers use CLOCK_BOOTTIME, as daemon::BootTime() does, so that
-/// known state ages during a suspension; steady_clock::now() stands still then.
+/// argument. Values come from CLOCK_BOOTTIME (daemon::BootTime()), which also
+/// counts the time of a suspension, so that timeouts and leases expire during
+/// it; steady_clock::now() does not count it.
 using TimePoint = std::chrono::steady_clock::time_point;
 /// @brief Wall-clock start time of a process, by its own clock. It identifies
 /// one incarnation; it is never compared with other clocks and not ordered: the
--- a/packages/chalkwell/src/chalkwell/core/json.cpp
+++ b/packages/chalkwell/src/chalkwell/core/json.cpp
@@ -26,7 +26,10 @@
 const nlohmann::json& Require(const nlohmann::json& object,
                               const std::string& field) {
   if (!object.is_object()) {
-    ThrowFieldError(field, "must be a member of a JSON object");
+    ThrowFieldError(
+        field,
+        "cannot be read: the value that should contain it is not a JSON "
+        "object");
   }
   const auto found = object.find(field);
   if (found == object.end()) {
--- a/tests/core/backoff_test.cpp
+++ b/tests/core/backoff_test.cpp
@@ -13,7 +13,7 @@
 const TimePoint kStart(1h);
 constexpr BackoffSettings kSettings{200ms, 2000ms};
 
-TEST_CASE("delays double up to the largest, the upper half of each is random",
+TEST_CASE("full delays double up to the maximum, the upper half is random",
           "[core]") {
   struct Row {
     unsigned failures_;
