--- a/packages/chalkwell/src/chalkwell/bundle/bundle.cpp
+++ b/packages/chalkwell/src/chalkwell/bundle/bundle.cpp
@@ -71,7 +71,10 @@
   file.path_ = RequireString(entry, "path");
   if (!IsSafePath(file.path_)) {
     ThrowFieldError("files.path",
-                    "must be relative without '.' or '..': " + file.path_);
+                    "must be a relative path with '/' between non-empty "
+                    "components, none of them '.' or '..', and without "
+                    "backslashes or zero bytes: " +
+                        file.path_);
   }
   file.kind_ = ParseKind(RequireString(entry, "kind"));
   for (const auto& chunk : RequireArray(entry, "chunks")) {
@@ -91,7 +94,8 @@
   }
   if (std::set<std::string>(names.begin(), names.end()).size() !=
       names.size()) {
-    ThrowFieldError(field, "names one entry twice; remove the duplicate");
+    ThrowFieldError(field,
+                    "contains the same name twice; remove the duplicate");
   }
   return names;
 }
--- a/packages/chalkwell/src/chalkwell/bundle/bundle.hpp
+++ b/packages/chalkwell/src/chalkwell/bundle/bundle.hpp
@@ -42,7 +42,8 @@
   /// Ordered by path; paths are unique.
   std::vector<ManifestFile> files_;
 
-  /// @brief Chunks of all files in order; the index in it identifies a chunk.
+  /// @brief Chunks of all files in order. The index in the returned list
+  /// identifies a chunk in the rest of the system.
   [[nodiscard]] std::vector<Chunk> AllChunks() const;
   [[nodiscard]] std::uint64_t total_size() const noexcept;
 };
@@ -55,7 +56,8 @@
   std::uint64_t version_ = 0;
   /// Name of the model.
   std::string model_;
-  /// Names that requests may give instead of the model's.
+  /// Names of the adapters (variants of the model, in files of kind
+  /// FileKind::kAdapter); a request may name one instead of the model.
   std::vector<std::string> adapters_;
   /// Roles of the endpoints that serve it; at least one.
   std::vector<core::Role> roles_;
--- a/packages/chalkwell/src/chalkwell/config/accepted_documents.cpp
+++ b/packages/chalkwell/src/chalkwell/config/accepted_documents.cpp
@@ -85,19 +85,19 @@
 }
 
 AcceptedDocuments::Stamps AcceptedDocuments::stamps() const {
-  Stamps stamps;
+  Stamps versions;
   for (const auto& [key, entry] : entries_) {
-    stamps.emplace(key, entry.stamp_);
+    versions.emplace(key, entry.version_);
   }
-  return stamps;
+  return versions;
 }
 
 std::vector<Document> AcceptedDocuments::NewerThan(
-    const Stamps& peer_stamps) const {
+    const Stamps& peer_versions) const {
   std::vector<Document> newer;
   for (const auto& [key, entry] : entries_) {
-    const auto known = peer_stamps.find(key);
-    if (known == peer_stamps.end() || known->second < entry.stamp_) {
+    const auto known = peer_versions.find(key);
+    if (known == peer_versions.end() || known->second < entry.version_) {
       newer.push_back(entry.document_);
     }
   }
@@ -107,10 +107,10 @@
   return newer;
 }
 
-bool AcceptedDocuments::IsBehind(const Stamps& peer_stamps) const {
-  for (const auto& [key, stamp] : peer_stamps) {
+bool AcceptedDocuments::IsBehind(const Stamps& peer_versions) const {
+  for (const auto& [key, version] : peer_versions) {
     const auto entry = entries_.find(key);
-    if (entry == entries_.end() || entry->second.stamp_ < stamp) {
+    if (entry == entries_.end() || entry->second.version_ < version) {
       return true;
     }
   }
@@ -127,11 +127,11 @@
   if (!IsAccepted(validated.acceptance_.verdict_)) {
     return validated.acceptance_;
   }
-  auto acceptance = Compare(document.key_, validated.stamp_);
+  auto acceptance = Compare(document.key_, validated.version_);
   if (!IsAccepted(acceptance.verdict_)) {
     return acceptance;
   }
-  entries_[document.key_] = Entry{document, validated.stamp_};
+  entries_[document.key_] = Entry{document, validated.version_};
   if (validated.bundle_) {
     bundle_ = std::move(validated.bundle_);
   }
@@ -145,7 +145,7 @@
     const Document& document) const {
   Validated result;
   result.acceptance_ = {Verdict::kAccepted, ""};
-  result.stamp_ = {document.revision_, {}, core::Digest::Of(document.body_)};
+  result.version_ = {document.revision_, {}, core::Digest::Of(document.body_)};
   if (document.key_ == kBundleKey || document.key_ == kTrustKey) {
     ValidateSigned(document, result);
   } else if (IsInstancesKey(document.key_)) {
@@ -180,38 +180,40 @@
                           "signature does not match the payload"};
     return;
   }
-  result.stamp_.content_ = core::Digest::Of(envelope.payload_);
+  result.version_.content_ = core::Digest::Of(envelope.payload_);
   if (is_bundle) {
     result.bundle_ = bundle::ParseBundle(envelope.payload_);
-    result.stamp_.sequence_ = result.bundle_->version_;
-    result.stamp_.manifest_ = result.bundle_->manifest_;
+    result.version_.sequence_ = result.bundle_->version_;
+    result.version_.manifest_ = result.bundle_->manifest_;
   } else {
-    result.keys_ = ParseTrustedKeys(envelope.payload_, result.stamp_.sequence_);
+    result.keys_ =
+        ParseTrustedKeys(envelope.payload_, result.version_.sequence_);
   }
 }
 
 Acceptance AcceptedDocuments::Compare(const std::string& key,
-                                      const DocumentVersion& stamp) const {
+                                      const DocumentVersion& version) const {
   const auto entry = entries_.find(key);
   if (entry == entries_.end()) {
     return {Verdict::kAccepted, ""};
   }
-  const auto& current = entry->second.stamp_;
-  if (stamp == current) {
+  const auto& current = entry->second.version_;
+  if (version == current) {
     return {Verdict::kUnchanged, ""};
   }
-  if (stamp.sequence_ < current.sequence_ && !faults_.accept_older_) {
-    return {Verdict::kOlder, "version " + std::to_string(stamp.sequence_) +
+  if (version.sequence_ < current.sequence_ && !faults_.accept_older_) {
+    return {Verdict::kOlder, "version " + std::to_string(version.sequence_) +
                                  " is older than the accepted version " +
                                  std::to_string(current.sequence_)};
   }
-  if (stamp.sequence_ != current.sequence_ || faults_.accept_conflicts_) {
+  if (version.sequence_ != current.sequence_ || faults_.accept_conflicts_) {
     return {Verdict::kAccepted, ""};
   }
   const std::string reason = "different contents with the same version " +
-                             std::to_string(stamp.sequence_);
-  return {stamp > current ? Verdict::kAcceptedOverConflict : Verdict::kConflict,
-          reason};
+                             std::to_string(version.sequence_);
+  return {
+      version > current ? Verdict::kAcceptedOverConflict : Verdict::kConflict,
+      reason};
 }
 
 }  // namespace chalkwell::config
--- a/packages/chalkwell/src/chalkwell/config/accepted_documents.hpp
+++ b/packages/chalkwell/src/chalkwell/config/accepted_documents.hpp
@@ -24,8 +24,9 @@
 inline constexpr const char* kRoutesKey = "routes";
 
 /// @brief Whether a key names a list of instances: `instances` itself or a
-/// shard of it, such as `instances/grand-baie`. Large deployments publish
-/// shards, so that a change transfers one shard and not the whole list.
+/// shard of it, `instances/` followed by any name, usually that of a failure
+/// domain. Large deployments publish shards, so that a change transfers one
+/// shard and not the complete list.
 [[nodiscard]] bool IsInstancesKey(std::string_view key) noexcept;
 
 /// @brief A published document.
@@ -42,8 +43,8 @@
   /// The signed version of a signed document, else the revision that the
   /// configuration store assigned.
   std::uint64_t sequence_ = 0;
-  /// Digest of a bundle's manifest. Breaks ties in the same way as
-  /// rollout::Target does; empty for other documents.
+  /// Digest of a bundle's manifest, by which different contents of one version
+  /// are ordered, as in rollout::Target; empty for other documents.
   core::Digest manifest_;
   /// Breaks the remaining ties, so that all processes converge on the same
   /// content.
@@ -89,7 +90,7 @@
 
 /// @brief The accepted documents of one process.
 ///
-/// The version of a document key (its stamp) only increases, also for documents
+/// The accepted DocumentVersion of a key only increases, also for documents
 /// from the configuration store: the store itself may return stale data.
 class AcceptedDocuments {
  public:
@@ -105,14 +106,14 @@
   [[nodiscard]] std::vector<const Document*> All() const;
   /// @brief The accepted bundle, or null.
   [[nodiscard]] const bundle::Bundle* AcceptedBundle() const noexcept;
-  /// @brief Stamps of all accepted documents, to be sent to a peer.
+  /// @brief Versions of all accepted documents by key, to be sent to a peer.
   [[nodiscard]] Stamps stamps() const;
   /// @brief Accepted documents that are newer than the peer's. The list of
   /// trusted keys comes first: it may be needed to verify the others.
   [[nodiscard]] std::vector<Document> NewerThan(
-      const Stamps& peer_stamps) const;
+      const Stamps& peer_versions) const;
   /// @brief Whether the peer has a document that is newer or unknown here.
-  [[nodiscard]] bool IsBehind(const Stamps& peer_stamps) const;
+  [[nodiscard]] bool IsBehind(const Stamps& peer_versions) const;
 
   /// @brief Accepts the document if it is valid and newer.
   [[nodiscard]] Acceptance Apply(const Document& document);
@@ -120,11 +121,11 @@
  private:
   struct Entry {
     Document document_;
-    DocumentVersion stamp_;
+    DocumentVersion version_;
   };
   struct Validated {
     Acceptance acceptance_;
-    DocumentVersion stamp_;
+    DocumentVersion version_;
     std::optional<bundle::Bundle> bundle_;
     std::vector<bundle::PublicKey> keys_;
   };
@@ -132,12 +133,12 @@
   [[nodiscard]] Validated Validate(const Document& document) const;
   void ValidateSigned(const Document& document, Validated& result) const;
   [[nodiscard]] Acceptance Compare(const std::string& key,
-                                   const DocumentVersion& stamp) const;
+                                   const DocumentVersion& version) const;
 
   AcceptanceFaults faults_;
-  /// Replaced as a whole when a list of trusted keys is accepted.
+  /// All keys are replaced when a list of trusted keys is accepted.
   bundle::TrustedKeys trusted_;
-  /// The stamp of an entry only increases.
+  /// By key; the version of an entry only increases.
   std::map<std::string, Entry> entries_;
   /// Parsed form of the document under kBundleKey.
   std::optional<bundle::Bundle> bundle_;
--- a/packages/chalkwell/src/chalkwell/config/published_lists.hpp
+++ b/packages/chalkwell/src/chalkwell/config/published_lists.hpp
@@ -1,6 +1,7 @@
 // Published lists of instances, client accounts and routes, and their parsers.
-// The direct path (daemon/direct), on which entries send requests straight to
-// the endpoints, uses TrafficRules and an endpoint list instead.
+// In the deployment mode of daemon/direct, entries send requests to the
+// endpoints' own addresses instead of over a stream to an agent; it uses
+// TrafficRules and an endpoint list.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +21,7 @@
 /// @brief Kind of backend to which an endpoint forwards requests.
 enum class BackendKind : std::uint8_t { kEngine, kService };
 
-/// @brief One entry of the published instance list.
+/// @brief One row of the published instance list.
 struct Instance {
   core::InstanceId id_;
   InstanceKind kind_ = InstanceKind::kEndpoint;
@@ -29,7 +30,7 @@
   core::Role role_;
   /// Endpoints only.
   BackendKind backend_ = BackendKind::kEngine;
-  /// Address of the own listener for peers, "ip:port".
+  /// Address at which this instance accepts connections of peers, "ip:port".
   std::string peer_;
   /// The instance is draining: the platform is about to terminate it.
   bool leaving_ = false;
--- a/packages/chalkwell/src/chalkwell/config/rules_peer_selector.hpp
+++ b/packages/chalkwell/src/chalkwell/config/rules_peer_selector.hpp
@@ -14,11 +14,12 @@
 /// @brief Delays and timeouts of the selection.
 struct RulesPeerSelectorSettings {
   /// A process that watches the configuration store waits this long for the
-  /// watch to deliver the rules before it asks a peer.
+  /// watch to deliver the rules before it requests them from a peer.
   core::Duration watch_delay_ = std::chrono::milliseconds(150);
-  /// A process that does not watch waits this long for a local peer to get
-  /// rules that a remote peer announced: the local peer's watch takes 0.5 s for
-  /// a megabyte, and all processes of a region share the link.
+  /// A process that does not watch waits this long for a watcher of its own
+  /// failure domain before it requests rules from a remote peer. The watcher
+  /// receives 1 MB of rules from the store in 0.5 s; a fetch from a remote peer
+  /// would compete with it for the link that all machines of the domain share.
   core::Duration remote_delay_ = std::chrono::milliseconds(500);
   /// A request without a response for this long has failed.
   core::Duration response_timeout_ = std::chrono::milliseconds(2000);
@@ -54,7 +55,8 @@
   void OnFetchEnded(const core::InstanceId& id, bool succeeded,
                     core::TimePoint now);
 
-  /// @brief The peer to ask now, if any; a request to it is then pending.
+  /// @brief The peer to request rules from now, if any; a request to it is then
+  /// pending.
   /// @param watches whether this process watches the store.
   [[nodiscard]] std::optional<core::InstanceId> Next(bool watches,
                                                      core::TimePoint now);
--- a/packages/chalkwell/src/chalkwell/config/traffic_rules.cpp
+++ b/packages/chalkwell/src/chalkwell/config/traffic_rules.cpp
@@ -9,7 +9,7 @@
 namespace chalkwell::config {
 namespace {
 
-/// Routes contain host names without a port.
+/// The host name without the port; used if no route names host and port.
 std::string_view StripPort(std::string_view host) {
   return host.substr(0, host.rfind(':'));
 }
@@ -91,10 +91,11 @@
     total += share.weight_;
   }
   // Deterministic in the request id and uniform over [0, 1).
-  const auto draw = static_cast<double>(
-                        core::RendezvousScore(request_id, route.name_) >> 11) /
-                    static_cast<double>(std::uint64_t{1} << 53);
-  double remaining = draw * total;
+  const auto fraction =
+      static_cast<double>(core::RendezvousScore(request_id, route.name_) >>
+                          11) /
+      static_cast<double>(std::uint64_t{1} << 53);
+  double remaining = fraction * total;
   for (const auto& share : route.services_) {
     remaining -= share.weight_;
     if (remaining < 0) {
--- a/packages/chalkwell/src/chalkwell/config/traffic_rules.hpp
+++ b/packages/chalkwell/src/chalkwell/config/traffic_rules.hpp
@@ -1,6 +1,6 @@
 // Traffic rules that operators publish (routes, services, client accounts and
-// limits) and the lookups that each request needs. Used on the direct path
-// (daemon/direct); other deployments use published_lists.hpp.
+// limits) and the lookups that each request needs. Used in the deployment mode
+// of daemon/direct; the other mode uses published_lists.hpp.
 #pragma once
 
 #include <cstdint>
@@ -83,7 +83,7 @@
   core::Duration step_time_per_kilotoken_{};
   /// Prompt tokens that prefill processes per second.
   double prefill_tokens_per_second_ = 1;
-  /// Decode steps per pass of the engine, which begins with a prefill.
+  /// A pass of the engine is a prefill followed by this many decode steps.
   std::uint32_t steps_per_pass_ = 1;
   /// Mean numbers of tokens of a prompt and of an output.
   double mean_prompt_tokens_ = 0;
@@ -120,8 +120,7 @@
 struct CallerLimits {
   std::size_t header_bytes_ = std::size_t{16} << 10;
   std::size_t body_bytes_ = std::size_t{1} << 20;
-  /// Time limit from the first byte of a request to the end of its body, not
-  /// only of its header.
+  /// Time limit from the first byte of a request to the end of its body.
   core::Duration header_time_ = std::chrono::seconds(5);
   /// A connection without a request for this long is closed.
   core::Duration idle_time_ = std::chrono::seconds(30);
@@ -138,7 +137,7 @@
   CallerLimits limits_;
 };
 
-/// @brief Index of the active rules. They are replaced as a whole, never by
+/// @brief Index of the active rules. All rules are replaced at once, never by
 /// an older version.
 class TrafficTable {
  public:
--- a/tests/config/rules_peer_selector_test.cpp
+++ b/tests/config/rules_peer_selector_test.cpp
@@ -13,13 +13,13 @@
 const RulesSource kLocal{core::InstanceId("near"), true};
 const RulesSource kRemote{core::InstanceId("far"), false};
 
-TEST_CASE("when a peer is asked for newer rules", "[config]") {
+TEST_CASE("when newer rules are requested from a peer", "[config]") {
   struct Row {
     std::string name_;
     RulesSource source_;
     bool watches_;
     core::Duration after_;
-    bool asked_;
+    bool requested_;
   };
   const RulesPeerSelectorSettings settings;
   const auto row = GENERATE_COPY(
@@ -39,10 +39,10 @@
   catch_up.OnApplied(3, kStart);
   catch_up.OnAnnounced(row.source_, 4, kStart);
   CHECK(catch_up.Next(row.watches_, kStart + row.after_).has_value() ==
-        row.asked_);
+        row.requested_);
 }
 
-TEST_CASE("no peer is asked for a known version", "[config]") {
+TEST_CASE("a known version is requested from no peer", "[config]") {
   RulesPeerSelector catch_up(kSelf);
   catch_up.OnApplied(4, kStart);
   catch_up.OnAnnounced(kLocal, 4, kStart);
@@ -54,7 +54,8 @@
   CHECK_FALSE(catch_up.IsOverdue(kStart + 1h));
 }
 
-TEST_CASE("one peer is asked at a time, a local one first", "[config]") {
+TEST_CASE("one peer at a time is sent a request, a local one first",
+          "[config]") {
   RulesPeerSelector catch_up(kSelf);
   catch_up.OnAnnounced(kRemote, 5, kStart);
   catch_up.OnAnnounced(kLocal, 4, kStart);
@@ -65,7 +66,7 @@
   CHECK(catch_up.Next(true, kStart + 2s) == kRemote.id_);
 }
 
-TEST_CASE("another peer is asked after a failure or a timeout", "[config]") {
+TEST_CASE("after a failure or a timeout another peer is selected", "[config]") {
   const bool times_out = GENERATE(false, true);
   const RulesPeerSelectorSettings settings;
   RulesPeerSelector catch_up(kSelf);
--- a/tests/config/rules_spread_test.cpp
+++ b/tests/config/rules_spread_test.cpp
@@ -1,6 +1,6 @@
 // Simulates, in virtual time, how long a change of large rules takes to reach
-// all entries of a deployment in which each region shares one link to the
-// configuration store and to the other regions.
+// all entries of a deployment in which each failure domain shares one link
+// to the configuration store and to the other domains.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <iostream>
@@ -18,8 +18,9 @@
 constexpr auto kStep = 5ms;
 constexpr auto kTick = 100ms;
 constexpr std::uint64_t kNewVersion = 2;
-/// Link of a region to the others, 24 Mbit/s, and of an entry, 40 Mbit/s.
-constexpr double kRegionLinkBytesPerSecond = 3e6;
+/// Link of a failure domain to the others, 24 Mbit/s, and of an entry, 40
+/// Mbit/s.
+constexpr double kDomainLinkBytesPerSecond = 3e6;
 constexpr double kEntryLinkBytesPerSecond = 5e6;
 /// Size of the deflated delta when a third of the document changed, as a share
 /// of the document.
@@ -27,7 +28,7 @@
 
 struct Transfer {
   double remaining_bytes_ = 0;
-  /// Uses the region's link.
+  /// Uses the domain's link.
   bool remote_ = false;
   /// The sending entry; empty for the store.
   core::InstanceId sender_;
@@ -35,9 +36,9 @@
 
 struct Entry {
   core::InstanceId id_;
-  std::size_t region_ = 0;
-  std::unique_ptr<membership::WatcherRole> duty_;
-  std::unique_ptr<RulesPeerSelector> catch_up_;
+  std::size_t domain_ = 0;
+  std::unique_ptr<membership::WatcherRole> watcher_role_;
+  std::unique_ptr<RulesPeerSelector> peer_selector_;
   std::uint64_t version_ = 1;
   std::vector<Transfer> transfers_;
   bool notified_ = false;
@@ -55,18 +56,18 @@
 
 class Deployment {
  public:
-  Deployment(std::size_t regions, std::size_t entries, double bytes,
+  Deployment(std::size_t domains, std::size_t entries, double bytes,
              Policy policy)
       : bytes_(bytes), policy_(policy) {
-    for (std::size_t region = 0; region < regions; ++region) {
+    for (std::size_t domain = 0; domain < domains; ++domain) {
       std::vector<core::InstanceId> ids;
       for (std::size_t i = 0; i < entries; ++i) {
-        ids.emplace_back("r" + std::to_string(region) + "-" +
+        ids.emplace_back("r" + std::to_string(domain) + "-" +
                          std::to_string(i));
       }
       members_.push_back(membership::WatcherRole::FirstInRank(ids, ids.size()));
       for (const auto& id : members_.back()) {
-        Add(id, region);
+        Add(id, domain);
       }
     }
   }
@@ -75,8 +76,8 @@
   core::Duration Run() {
     for (auto& entry : entries_) {
       if (policy_ == Policy::kAllFetchAndRefetch ||
-          entry.duty_->IsWatcher(now_)) {
-        entry.transfers_.push_back({bytes_, entry.region_ != 0, {}});
+          entry.watcher_role_->IsWatcher(now_)) {
+        entry.transfers_.push_back({bytes_, entry.domain_ != 0, {}});
       }
     }
     const auto start = now_;
@@ -96,20 +97,20 @@
     return now_ - start;
   }
 
-  /// The connections of a region's watchers stay open but deliver nothing.
-  void StallWatch(std::size_t region) { stalled_region_ = region; }
+  /// The connections of a domain's watchers stay open but deliver nothing.
+  void StallWatch(std::size_t domain) { stalled_domain_ = domain; }
 
  private:
-  void Add(const core::InstanceId& id, std::size_t region) {
+  void Add(const core::InstanceId& id, std::size_t domain) {
     Entry entry;
     entry.id_ = id;
-    entry.region_ = region;
-    entry.duty_ = std::make_unique<membership::WatcherRole>(id);
-    entry.duty_->SetMembers(members_[region]);
-    entry.duty_->OnDocumentReceived(static_cast<std::size_t>(bytes_));
-    entry.duty_->OnWatcherAnnounced(members_[region].front(), now_);
-    entry.catch_up_ = std::make_unique<RulesPeerSelector>(id);
-    entry.catch_up_->OnApplied(1, now_);
+    entry.domain_ = domain;
+    entry.watcher_role_ = std::make_unique<membership::WatcherRole>(id);
+    entry.watcher_role_->SetMembers(members_[domain]);
+    entry.watcher_role_->OnDocumentReceived(static_cast<std::size_t>(bytes_));
+    entry.watcher_role_->OnWatcherAnnounced(members_[domain].front(), now_);
+    entry.peer_selector_ = std::make_unique<RulesPeerSelector>(id);
+    entry.peer_selector_->OnApplied(1, now_);
     entries_.push_back(std::move(entry));
   }
 
@@ -119,15 +120,15 @@
 
   [[nodiscard]] bool Stalled(const Entry& entry,
                              const Transfer& transfer) const {
-    return stalled_region_ && entry.region_ == *stalled_region_ &&
+    return stalled_domain_ && entry.domain_ == *stalled_domain_ &&
            transfer.sender_.empty();
   }
 
   void AdvanceTransfers() {
-    std::vector<double> transfers_by_region(members_.size(), 0);
+    std::vector<double> transfers_by_domain(members_.size(), 0);
     for (const auto& entry : entries_) {
       for (const auto& transfer : entry.transfers_) {
-        transfers_by_region[entry.region_] +=
+        transfers_by_domain[entry.domain_] +=
             transfer.remote_ && !Stalled(entry, transfer) ? 1 : 0;
       }
     }
@@ -141,8 +142,8 @@
         const double entry_rate = kEntryLinkBytesPerSecond;
         const double rate =
             transfer.remote_
-                ? std::min(entry_rate, kRegionLinkBytesPerSecond /
-                                           transfers_by_region[entry.region_])
+                ? std::min(entry_rate, kDomainLinkBytesPerSecond /
+                                           transfers_by_domain[entry.domain_])
                 : entry_rate;
         transfer.remaining_bytes_ -= rate * seconds;
       }
@@ -152,7 +153,7 @@
           });
       if (ended != entry.transfers_.end()) {
         if (!ended->sender_.empty()) {
-          entry.catch_up_->OnFetchEnded(ended->sender_, true, now_);
+          entry.peer_selector_->OnFetchEnded(ended->sender_, true, now_);
         }
         std::erase_if(entry.transfers_, [](const Transfer& transfer) {
           return transfer.remaining_bytes_ <= 0;
@@ -169,8 +170,8 @@
     if (std::exchange(entry.version_, kNewVersion) == kNewVersion) {
       return;
     }
-    const bool watches = entry.duty_->IsWatcher(now_);
-    entry.catch_up_->OnApplied(kNewVersion, now_);
+    const bool watches = entry.watcher_role_->IsWatcher(now_);
+    entry.peer_selector_->OnApplied(kNewVersion, now_);
     if (policy_ == Policy::kWatchersAndPeers) {
       // Transfers in progress would deliver the same version.
       entry.transfers_.clear();
@@ -179,8 +180,8 @@
       return;
     }
     for (auto& other : entries_) {
-      const bool local = other.region_ == entry.region_;
-      const auto& priority_order = members_[other.region_];
+      const bool local = other.domain_ == entry.domain_;
+      const auto& priority_order = members_[other.domain_];
       const bool is_designated =
           other.id_ == priority_order[0] || other.id_ == priority_order[1];
       if (other.id_ != entry.id_ && other.version_ < kNewVersion &&
@@ -193,12 +194,12 @@
   void Notify(Entry& other, const Entry& entry) {
     if (policy_ == Policy::kAllFetchAndRefetch) {
       if (!std::exchange(other.notified_, true)) {
-        other.transfers_.push_back({bytes_, other.region_ != 0, {}});
+        other.transfers_.push_back({bytes_, other.domain_ != 0, {}});
       }
       return;
     }
-    const bool local = other.region_ == entry.region_;
-    other.catch_up_->OnAnnounced({entry.id_, local}, kNewVersion, now_);
+    const bool local = other.domain_ == entry.domain_;
+    other.peer_selector_->OnAnnounced({entry.id_, local}, kNewVersion, now_);
     FetchFromPeer(other);
   }
 
@@ -206,9 +207,10 @@
     if (policy_ == Policy::kAllFetchAndRefetch) {
       return;
     }
-    const auto peer = entry.catch_up_->Next(entry.duty_->IsWatcher(now_), now_);
+    const auto peer =
+        entry.peer_selector_->Next(entry.watcher_role_->IsWatcher(now_), now_);
     if (peer) {
-      const bool remote = Find(*peer).region_ != entry.region_;
+      const bool remote = Find(*peer).domain_ != entry.domain_;
       entry.transfers_.push_back({bytes_ * kDeltaShare, remote, *peer});
     }
   }
@@ -216,36 +218,36 @@
   double bytes_;
   Policy policy_;
   core::TimePoint now_{1h};
-  /// By region, each in priority order. The store is in the first region.
+  /// By domain, each in priority order. The store is in the first domain.
   std::vector<std::vector<core::InstanceId>> members_;
   std::vector<Entry> entries_;
-  std::optional<std::size_t> stalled_region_;
+  std::optional<std::size_t> stalled_domain_;
 };
 
 TEST_CASE("large rules reach all entries quickly through slow links",
           "[config]") {
   struct Row {
-    std::size_t regions_;
+    std::size_t domains_;
     std::size_t entries_;
     double bytes_;
     core::Duration max_duration_;
   };
   const auto row = GENERATE(Row{4, 9, 1.9e6, 1s}, Row{3, 13, 1.9e6, 1s},
                             Row{9, 38, 1.9e6, 1500ms}, Row{3, 3, 60e3, 1s});
-  const auto baseline = Deployment(row.regions_, row.entries_, row.bytes_,
+  const auto baseline = Deployment(row.domains_, row.entries_, row.bytes_,
                                    Policy::kAllFetchAndRefetch)
                             .Run();
-  const auto duration = Deployment(row.regions_, row.entries_, row.bytes_,
+  const auto duration = Deployment(row.domains_, row.entries_, row.bytes_,
                                    Policy::kWatchersAndPeers)
                             .Run();
-  std::cout << "figure rules_everywhere_ms " << row.regions_ << " regions of "
+  std::cout << "figure rules_everywhere_ms " << row.domains_ << " regions of "
             << row.entries_ << " entries, " << row.bytes_ / 1000
             << " KB: " << baseline / 1ms << " -> " << duration / 1ms << "\n";
   CHECK(duration <= row.max_duration_);
   CHECK(duration <= baseline + 10ms);
 }
 
-TEST_CASE("a region whose watch is unresponsive gets rules from peers",
+TEST_CASE("a failure domain whose watch is unresponsive gets rules from peers",
           "[config]") {
   Deployment deployment(4, 9, 1.9e6, Policy::kWatchersAndPeers);
   deployment.StallWatch(2);
