--- a/packages/chalkwell/src/chalkwell/membership/gossip_table.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/gossip_table.hpp
@@ -47,10 +47,10 @@
   /// How long a lost row is kept as a tombstone, so that a delayed copy does
   /// not restore it; counted from its last heartbeat.
   core::Duration tombstone_retention_ = std::chrono::seconds(60);
-  /// Rows kept of each remote failure domain: of the received ones, those that
-  /// come first in the priority order of the watcher role. The first two are
-  /// the delegates of that domain; the others replace them once they are lost,
-  /// which takes a lease to detect.
+  /// Rows kept of each remote failure domain: of the received ones, those with
+  /// the highest WatcherScore(). The first two members are the delegates of
+  /// that domain, which forward changes between domains; the third is a spare
+  /// for the lease that it takes to detect the loss of a delegate.
   std::size_t remote_rows_per_domain_ = 3;
 };
 
@@ -70,7 +70,7 @@
   GossipTable(Member self, GossipSettings settings, std::uint64_t seed);
 
   [[nodiscard]] const Member& self() const noexcept { return self_; }
-  /// @brief Raises the own heartbeat counter.
+  /// @brief Raises this member's heartbeat counter.
   void RaiseHeartbeat();
   void SetLeaving() noexcept { self_.leaving_ = true; }
   /// @brief Merges a row received from any member.
@@ -81,12 +81,13 @@
   std::vector<Member> Expire(core::TimePoint now);
 
   /// @brief Members whose heartbeat counter did not rise for half of the lease,
-  /// the oldest first.
+  /// in the order of their last heartbeats.
   /// @param limit largest number returned; each of them costs a probe.
   [[nodiscard]] std::vector<Member> Unresponsive(std::size_t limit,
                                                  core::TimePoint now) const;
-  /// @brief Live members without this one; of several rows with one address,
-  /// the one whose heartbeat counter rose last.
+  /// @brief Live members without this one. Of several rows with one address
+  /// only the one whose heartbeat counter rose last is returned: after a
+  /// restart the row of the earlier incarnation remains until its lease ends.
   [[nodiscard]] std::vector<Member> Live() const;
   /// @brief Live members of the local failure domain, without this one.
   [[nodiscard]] std::vector<Member> LocalMembers() const;
@@ -97,10 +98,10 @@
   /// @brief Whether this member is a delegate, which forwards changes between
   /// failure domains.
   [[nodiscard]] bool IsDelegate() const;
-  /// @brief The own row and at most `limit` others, those sent least often
-  /// first. A receiver in a remote failure domain gets the rows of its own
-  /// domain first. Of the local domain it gets only the rows that it would
-  /// keep.
+  /// @brief This member's row and at most `limit` others, those sent least
+  /// often first. A receiver in a remote failure domain gets the rows of its
+  /// own domain first, and of the sender's domain only the rows that it would
+  /// keep (`remote_rows_per_domain_`).
   /// @param domain failure domain of the receiver.
   [[nodiscard]] std::vector<Member> Sample(std::size_t limit,
                                            const core::FailureDomainId& domain);
--- a/packages/chalkwell/src/chalkwell/membership/path_delay.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/path_delay.hpp
@@ -1,6 +1,6 @@
 // One-way delay without synchronized clocks: the clocks of two machines differ
 // by an offset that is nearly constant for minutes, so what exceeds the minimum
-// difference is queueing delay.
+// of receive time minus send time is queueing delay.
 #pragma once
 
 #include <deque>
@@ -19,18 +19,18 @@
   core::Duration OnMessage(core::Duration sent_at, core::TimePoint now);
 
  private:
-  /// Minimum difference of the two clocks in the current and in the previous
-  /// period of five minutes; it includes the minimum one-way delay. Older
-  /// minima do not count, because steady clocks of two machines drift apart by
-  /// seconds within days.
+  /// Minimum of receive time minus send time, that is, clock offset plus
+  /// minimum one-way delay, in the current and in the previous period of five
+  /// minutes. Older minima do not count, because the clocks drift apart: by
+  /// less than 30 ms within a period, but by seconds within days.
   std::optional<core::Duration> min_;
   std::optional<core::Duration> previous_min_;
   core::TimePoint period_start_;
 };
 
-/// @brief Delay of the own link, from messages of many senders: a delay that
-/// even the fastest message of a short window shows is not caused by the
-/// senders.
+/// @brief Delay of the local link, from messages of many senders: the minimum
+/// over all messages of a short window, because a slow sender delays only its
+/// own messages.
 class LinkDelay {
  public:
   /// @brief Records a message from any sender.
--- a/packages/chalkwell/src/chalkwell/membership/propagation_plan.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/propagation_plan.hpp
@@ -1,8 +1,9 @@
 // Receivers of a change of any kind: rules, weights, draining endpoints. The
-// process that learns of a change first sends it to its whole failure domain
-// and to the delegates of each remote domain; a delegate forwards what came
-// from a remote domain within its own. One process sends to its own domain and
-// to at most two members of each remote one, whatever their sizes.
+// process that learns of a change first sends it to all members of its failure
+// domain and to the delegates of each remote domain, that is, the first two
+// members in the priority order of the watcher role. A delegate forwards what
+// came from a remote domain within its own. So a process sends to its own
+// domain and to at most two members of each remote one, whatever their sizes.
 #pragma once
 
 #include <cstdint>
--- a/packages/chalkwell/src/chalkwell/membership/reader_role.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/reader_role.cpp
@@ -26,36 +26,36 @@
 
 void ReaderRole::OnRead(core::TimePoint now) noexcept {
   attempted_at_ = now;
-  if (!last_known_read_) {
+  if (!list_age_base_) {
     // Every member reads once at its start; from then on the others wait for
     // the announcements of the first in rank.
-    last_known_read_ = now;
+    list_age_base_ = now;
     discovery_until_ = now + settings_.takeover_timeout_;
   }
 }
 
 void ReaderRole::OnPeerReadFailed(core::TimePoint now) noexcept {
   peer_failed_at_ = now;
-  if (!last_known_read_) {
-    last_known_read_ = now;
+  if (!list_age_base_) {
+    list_age_base_ = now;
   }
 }
 
 bool ReaderRole::IsReader(core::TimePoint now) const noexcept {
-  if (rank_ == 0 || !last_known_read_) {
+  if (rank_ == 0 || !list_age_base_) {
     return !alone_ || now >= discovery_until_.value_or(now);
   }
   const auto standbys_ahead = static_cast<int>(rank_ - 1);
   const auto announced_at =
-      std::max(*last_known_read_, peer_failed_at_.value_or(*last_known_read_));
+      std::max(*list_age_base_, peer_failed_at_.value_or(*list_age_base_));
   const bool no_announcement =
       now - announced_at >=
       settings_.takeover_timeout_ + settings_.rank_delay_ * standbys_ahead;
   const bool peers_fail =
-      now - *last_known_read_ >=
+      now - *list_age_base_ >=
       settings_.takeover_timeout_ +
           settings_.failed_read_rank_delay_ * standbys_ahead;
-  return no_announcement || peers_fail || IsStale(*last_known_read_, now);
+  return no_announcement || peers_fail || IsStale(*list_age_base_, now);
 }
 
 bool ReaderRole::IsStale(core::TimePoint as_of,
@@ -69,14 +69,14 @@
   if (!IsReader(now)) {
     return settings_.standby_interval_;
   }
-  if (!last_known_read_ || !attempted_at_ ||
-      *last_known_read_ <= *attempted_at_) {
+  if (!list_age_base_ || !attempted_at_ || *list_age_base_ <= *attempted_at_) {
     return settings_.reader_interval_;
   }
-  // A read announced by the reader of another domain replaces the own one.
+  // A read announced by the reader of another domain replaces one by this
+  // member.
   const auto delay = settings_.reader_interval_ +
                      settings_.rank_delay_ * static_cast<int>(domains_ahead_);
-  return std::min(*last_known_read_ - *attempted_at_ + delay,
+  return std::min(*list_age_base_ - *attempted_at_ + delay,
                   settings_.standby_interval_);
 }
 
--- a/packages/chalkwell/src/chalkwell/membership/report_subscribers.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/report_subscribers.cpp
@@ -34,9 +34,9 @@
   const auto rate =
       local ? settings_.max_reports_per_second_
             : std::max(settings_.max_reports_per_second_ - local_rate, 1.0);
-  const Seconds stretched((local ? local_count : remote_count) / rate);
+  const Seconds lengthened((local ? local_count : remote_count) / rate);
   return std::chrono::duration_cast<core::Duration>(std::clamp(
-      stretched, min_interval, Seconds(settings_.max_change_interval_)));
+      lengthened, min_interval, Seconds(settings_.max_change_interval_)));
 }
 
 void ReportSubscribers::RequestFullReports() {
--- a/packages/chalkwell/src/chalkwell/membership/report_subscribers.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/report_subscribers.hpp
@@ -18,9 +18,9 @@
   /// A subscription that is not renewed for this long expires: three times the
   /// longest renewal interval.
   core::Duration lease_ = std::chrono::milliseconds(8000);
-  /// Minimum time between two changed reports to one subscriber. A request
-  /// takes about a second, and an entry that chooses by older load figures
-  /// picks an endpoint that others have picked as well.
+  /// Minimum time between two changed reports to one subscriber. Short compared
+  /// with a request (about 1 s), because entries with outdated load figures all
+  /// choose the same endpoint.
   core::Duration change_interval_ = std::chrono::milliseconds(105);
   /// Time between two unchanged reports to one subscriber; well below the time
   /// after which an unresponsive endpoint gets no requests.
@@ -32,7 +32,8 @@
   /// A report is a full one, some 12 bytes larger, if the last full one to the
   /// subscriber is at least this old.
   core::Duration full_interval_ = std::chrono::milliseconds(1000);
-  /// Upper limit of an interval that is stretched to keep the budget.
+  /// Upper limit of `change_interval_` after it was lengthened to keep
+  /// `max_reports_per_second_`.
   core::Duration max_change_interval_ = std::chrono::milliseconds(400);
 };
 
--- a/packages/chalkwell/src/chalkwell/membership/role_assignment.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/role_assignment.hpp
@@ -24,7 +24,9 @@
 /// @brief Score of a member for the watcher role; the highest score has rank 0.
 [[nodiscard]] std::uint64_t WatcherScore(const core::InstanceId& member);
 
-/// @brief Rank of a member in the priority order of an item, from 0.
+/// @brief Rank of a member in the priority order of an item (the name of a role
+/// or chunk), from 0: the number of members with a higher
+/// core::RendezvousScore(item, member).
 /// @return `members.size()` if `self` is not among the members.
 [[nodiscard]] std::size_t RankOf(const core::InstanceId& self,
                                  std::string_view item,
--- a/packages/chalkwell/src/chalkwell/membership/roster.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/roster.cpp
@@ -98,12 +98,12 @@
   if (available.empty()) {
     return std::nullopt;
   }
-  std::uint64_t free_slots = 0;
+  std::uint64_t remaining = 0;
   for (const auto* view : available) {
-    const auto window = MaxInFlight(*view);
-    free_slots += window - std::min(window, view->in_flight_);
+    const auto max_in_flight = MaxInFlight(*view);
+    remaining += max_in_flight - std::min(max_in_flight, view->in_flight_);
   }
-  return free_slots;
+  return remaining;
 }
 
 void Roster::OnLoad(const core::InstanceId& id, std::uint64_t load,
@@ -200,7 +200,7 @@
 }
 
 bool SuspensionDetector::Tick(core::TimePoint now) noexcept {
-  const bool suspended = last_tick_ && now - *last_tick_ > lease_;
+  const bool suspended = last_tick_ && now - *last_tick_ > min_suspension_;
   last_tick_ = now;
   return suspended;
 }
--- a/packages/chalkwell/src/chalkwell/membership/roster.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/roster.hpp
@@ -94,14 +94,13 @@
   /// Endpoints that leave a probe unanswered are included only if there is no
   /// other. Endpoints with a high failure rate are included only for a trial,
   /// unless at least half of the endpoints have a high failure rate: then the
-  /// cause lies elsewhere, and excluding them would shift the whole load to a
-  /// few.
+  /// cause lies elsewhere, and excluding them would shift all load to a few.
   [[nodiscard]] std::vector<const EndpointView*> Available(
       const core::Role& role, core::TimePoint now) const;
 
   /// @brief Number of requests that this entry may have in flight at an
-  /// endpoint: its share of the slots and a little more, so that no slot stays
-  /// idle.
+  /// endpoint: 125 % of its share of the slots (kInFlightPercent), rounded up,
+  /// so that no slot stays idle; 1 before the first report.
   [[nodiscard]] static std::uint64_t MaxInFlight(const EndpointView& view);
   /// @brief Number of requests that available endpoints of a role can still
   /// accept from this entry; std::nullopt if no endpoint is available.
@@ -146,18 +145,23 @@
   std::map<core::InstanceId, EndpointView> endpoints_;
 };
 
-/// @brief Detects that the process was suspended for longer than its lease.
+/// @brief Detects that the process was suspended for longer than a given time,
+/// after which what it knows must be queried again.
 class SuspensionDetector {
  public:
-  explicit SuspensionDetector(core::Duration lease) noexcept : lease_(lease) {}
+  /// @param min_suspension shortest time without a Tick() that counts as a
+  /// suspension.
+  explicit SuspensionDetector(core::Duration min_suspension) noexcept
+      : min_suspension_(min_suspension) {}
 
   /// @brief To be called by a timer whose interval is much shorter than the
-  /// lease.
-  /// @return whether the time since the last call exceeds the lease.
+  /// minimum suspension.
+  /// @return whether the time since the last call exceeds the minimum
+  /// suspension.
   [[nodiscard]] bool Tick(core::TimePoint now) noexcept;
 
  private:
-  core::Duration lease_;
+  core::Duration min_suspension_;
   std::optional<core::TimePoint> last_tick_;
 };
 
--- a/packages/chalkwell/src/chalkwell/membership/store_outage.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/store_outage.hpp
@@ -11,8 +11,9 @@
 namespace chalkwell::membership {
 
 struct StoreOutageSettings {
-  /// Interval at which holders renew a lease, a third of the lease: a shorter
-  /// outage lets no lease expire.
+  /// Interval at which holders renew a lease, a third of the lease. An outage
+  /// shorter than this interval makes a holder miss at most one renewal, so no
+  /// lease expires.
   core::Duration renewal_interval_ = std::chrono::milliseconds(1200);
   /// Endpoints whose leases expired are listed again within this time after the
   /// end of the outage.
--- a/packages/chalkwell/src/chalkwell/membership/watcher_role.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/watcher_role.cpp
@@ -1,8 +1,8 @@
 // The first members in rank watch; the others take over rank by rank when those
 // ahead stop announcing themselves. A member that has just read the document
-// also waits that long for the first announcement: otherwise, when 149 members
-// started together, all watched for some 200 ms, which made 298 calls, before
-// the first two of each domain had announced themselves.
+// also waits for the takeover timeout: otherwise all members that start
+// together watch until the first announcement arrives (some 200 ms and 298
+// calls with 149 members).
 #include "chalkwell/membership/watcher_role.hpp"
 
 #include <algorithm>
--- a/packages/chalkwell/src/chalkwell/membership/watcher_role.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/watcher_role.hpp
@@ -1,9 +1,10 @@
 // Selects the watchers of a published document: two members of each failure
 // domain, or one if the document exceeds half of `max_bytes_per_domain_`,
 // receive it from the configuration store and forward it. The machines of a
-// region share one link to the store. The load on the store grows with the
-// number of failure domains, not with that of members. Used for the traffic
-// rules; for the endpoint list, which is polled, see ReaderRole.
+// failure domain share one link to the store, so few of them receive a large
+// document over it. The load on the store grows with the number of failure
+// domains, not with that of members. Used for the traffic rules; for the
+// endpoint list, which is polled, see ReaderRole.
 #pragma once
 
 #include <cstddef>
@@ -19,14 +20,14 @@
 
 struct WatcherRoleSettings {
   /// Bytes that the members of a failure domain together may receive from the
-  /// store for one change: what a link of 24 Mbit/s carries in a tenth of a
-  /// second.
+  /// store for one change. Chosen for a shared link of 24 Mbit/s, which they
+  /// occupy for 0.1 s.
   std::size_t max_bytes_per_domain_ = std::size_t{256} << 10;
   /// Watchers per failure domain: one may crash, hang or be refused by the
   /// store without being noticed for `takeover_timeout_`.
   std::size_t max_watchers_ = kWatchersPerDomain;
-  /// A first read that takes this long is taken for that of a large document; a
-  /// small one completes within a round trip.
+  /// A first read that takes this long is taken for that of a large document,
+  /// for which one member watches; a small one completes within a round trip.
   core::Duration small_read_limit_ = std::chrono::milliseconds(150);
   /// Time between two announcements of a watcher.
   core::Duration announce_interval_ = std::chrono::milliseconds(700);
@@ -67,8 +68,8 @@
   /// @brief Number of watchers without takeovers: `max_watchers_`, or fewer for
   /// a large document.
   [[nodiscard]] std::size_t WatcherCount(core::TimePoint now) const;
-  /// @brief Whether this member has to announce that it watches: it does, and
-  /// there are members that watch only when announcements cease.
+  /// @brief Whether this member must send announcements: it watches, and other
+  /// members of the domain do not as long as they receive announcements.
   [[nodiscard]] bool MustAnnounce(core::TimePoint now) const;
 
  private:
@@ -80,6 +81,7 @@
   std::size_t rank_ = 0;
   /// Size of the document; 0 until it was received.
   std::size_t bytes_ = 0;
+  /// Start of the first read of the document.
   std::optional<core::TimePoint> reading_since_;
   /// Last announcement by a member ahead in rank.
   std::optional<core::TimePoint> announced_at_;
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -122,13 +122,12 @@
   CHECK(roster.Available(kRole, kStart + row.later_).size() == row.available_);
 }
 
-TEST_CASE("the window of an entry is its share of the slots and a little more",
-          "[membership]") {
+TEST_CASE("an entry may use 125 % of its share of the slots", "[membership]") {
   struct Row {
     std::uint64_t capacity_;
     std::uint64_t sharers_;
     std::uint64_t in_flight_;
-    std::uint64_t free_slots_;
+    std::uint64_t remaining_;
   };
   const auto row = GENERATE(Row{8, 1, 0, 10}, Row{8, 2, 0, 5}, Row{8, 2, 3, 2},
                             Row{8, 2, 7, 0}, Row{12, 9, 0, 2}, Row{1, 9, 0, 1},
@@ -144,7 +143,7 @@
   for (std::uint64_t i = 0; i < row.in_flight_; ++i) {
     roster.OnRequestSent(kId, kStart);
   }
-  CHECK(roster.RemainingRequests(kRole, kStart) == row.free_slots_);
+  CHECK(roster.RemainingRequests(kRole, kStart) == row.remaining_);
 }
 
 TEST_CASE("reports of a replaced process are refused", "[membership]") {
@@ -170,7 +169,7 @@
   CHECK(roster.Available(kRole, kStart + 2s).size() == 1);
 }
 
-TEST_CASE("a suspension longer than the lease is detected once",
+TEST_CASE("a suspension longer than the limit is detected once",
           "[membership]") {
   SuspensionDetector detector(1s);
   CHECK_FALSE(detector.Tick(kStart));
--- a/tests/membership/path_delay_test.cpp
+++ b/tests/membership/path_delay_test.cpp
@@ -28,8 +28,9 @@
 }
 
 TEST_CASE("clock drift does not show as delay", "[membership]") {
-  // The minimum difference used to count without a time limit: after a day with
-  // a drift of 50 ppm, a message seemed to be delayed by 4.3 s.
+  // The minimum of receive time minus send time used to count without a time
+  // limit: after a day with a drift of 50 ppm, a message seemed to be delayed
+  // by 4.3 s.
   const core::TimePoint start{10h};
   PathDelay path;
   core::Duration max_delay{};
@@ -61,7 +62,7 @@
 
 TEST_CASE("the delay of a filling link shows at once when many messages arrive",
           "[membership]") {
-  // The minimum over a whole second hid a queue of 1.6 s while it grew.
+  // The minimum over a full second hid a queue of 1.6 s while it grew.
   const core::TimePoint start{10h};
   LinkDelay link;
   for (int i = 0; i < 10; ++i) {
--- a/tests/membership/reader_role_test.cpp
+++ b/tests/membership/reader_role_test.cpp
@@ -72,11 +72,11 @@
   CHECK(readers == 1);
 }
 
-TEST_CASE("a read announced by another failure domain replaces the own one",
+TEST_CASE("a read announced by another failure domain replaces a local one",
           "[membership]") {
   struct Row {
     std::size_t domains_ahead_;
-    /// Since the last own read; none if there was no announcement since.
+    /// Since this member's last read; none if there was no announcement since.
     std::optional<core::Duration> announced_after_;
     core::Duration interval_;
   };
