--- a/packages/chalkwell/src/chalkwell/rollout/activation.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/activation.cpp
@@ -1,6 +1,7 @@
-// State machine of a rollout. Safety does not depend on rollout slots: an
-// activation order is sent only while the engine runs no requests, and the
-// endpoint accepts requests again only after the engine has reported its state.
+// State machine of a rollout. Rollout slots only limit how many endpoints are
+// unavailable; correctness does not depend on them: an activation order is sent
+// only while the engine runs no requests, and the endpoint accepts requests
+// again only after the engine has reported its state.
 #include "chalkwell/rollout/activation.hpp"
 
 #include <algorithm>
@@ -18,7 +19,8 @@
 /// flight, whatever its tie breaker.
 constexpr std::uint64_t kClaimStep = 2;
 /// Leases that a process waits before it reclaims an engine. The wait doubles,
-/// up to the maximum, with each replacement that comes within it.
+/// up to the maximum, each time the process is replaced before that wait has
+/// passed since its claim was confirmed.
 constexpr int kReclaimLeases = 4;
 constexpr int kMaxReclaimLeases = 8;
 
@@ -48,7 +50,7 @@
          (settings_.tie_breaker_ & kTieBreakerMask);
 }
 
-bool Activation::PredecessorsExpired(core::TimePoint now) const noexcept {
+bool Activation::EarlierProcessesDone(core::TimePoint now) const noexcept {
   if (has_ordered_ || faults_.skip_claim_) {
     return true;
   }
@@ -250,7 +252,7 @@
   const bool staging_confirmed =
       queried_at_ >= staged_at_ || faults_.keep_staged_over_restart_;
   if (phase_ == Phase::kDraining && lease_valid && staging_confirmed &&
-      PredecessorsExpired(now)) {
+      EarlierProcessesDone(now)) {
     AppendOrder(actions);
   }
   return actions;
--- a/packages/chalkwell/src/chalkwell/rollout/activation.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/activation.hpp
@@ -42,7 +42,7 @@
 enum class Phase : std::uint8_t {
   /// The engine's state is unknown; no orders or requests are sent to it.
   kQuerying,
-  /// A claim was sent; left when the engine reports its state or is lost.
+  /// A claim was sent; ends when the engine reports its state or is lost.
   kClaiming,
   /// The claim is confirmed; waits for the leases of earlier processes to
   /// expire.
@@ -52,9 +52,10 @@
   kFetching,
   kWaitingForSlot,
   kDraining,
-  /// An order was sent; left when it is answered or the engine is lost.
+  /// An order was sent; ends when the engine replies or is lost.
   kAwaitingReply,
-  /// An order was answered; left when the engine reports its state or is lost.
+  /// The engine replied to an order; ends when the engine reports its state or
+  /// is lost.
   kConfirming,
   /// Another process claimed the engine with a higher fencing number. This
   /// process stays idle; if the published list contains it, it reclaims the
@@ -64,12 +65,13 @@
 
 /// @brief Query the engine for its state.
 struct QueryEngine {};
-/// @brief Order the engine to keep its version under a new fencing number, so
-/// that an earlier process of this endpoint detects that it was replaced.
+/// @brief Raise the fencing number of the engine without changing its weights,
+/// so that an earlier process of this endpoint detects that it was replaced.
 struct SendClaim {
   std::uint64_t fence_ = 0;
 };
-/// @brief Fetch, verify and stage the weights.
+/// @brief Fetch and verify the weights and stage them: copy them into the
+/// engine's staging area, from which an activation order loads them.
 struct FetchWeights {
   Target target_;
 };
@@ -124,10 +126,10 @@
 /// @brief State machine of one endpoint's weights.
 ///
 /// The engine arbitrates between the processes of one endpoint. A process
-/// claims the engine with a fencing number, forwards requests only while the
-/// last query that returned its own number was sent less than one lease ago,
-/// and sends no activation order until the leases of all earlier processes have
-/// expired and the engine is idle.
+/// claims the engine with a fencing number. It forwards requests only for one
+/// lease after it sent a query whose reply contained its own number. It sends
+/// no activation order until the leases of all earlier processes have expired
+/// and the engine is idle.
 ///
 /// A higher fencing number may belong to a terminated process whose claim or
 /// order arrived late. The published list decides which process reclaims the
@@ -173,14 +175,15 @@
   /// @brief The engine replied to a claim or an activation order, with success
   /// or failure: the engine's state, queried next, decides.
   [[nodiscard]] Actions OnOrderAnswered(core::TimePoint now);
-  /// @brief The process was suspended for longer than its lease.
+  /// @brief The process was suspended for longer than the lease of the reported
+  /// engine state.
   [[nodiscard]] Actions OnSuspension(core::TimePoint now);
 
  private:
   [[nodiscard]] bool NeedsSwitch() const noexcept;
   /// @brief Whether no earlier process forwards requests any more and the
   /// engine is idle.
-  [[nodiscard]] bool PredecessorsExpired(core::TimePoint now) const noexcept;
+  [[nodiscard]] bool EarlierProcessesDone(core::TimePoint now) const noexcept;
   [[nodiscard]] std::uint64_t NextFence(std::uint64_t step) const noexcept;
   /// @return whether this process holds the engine.
   [[nodiscard]] bool CheckOwnership(const EngineState& state,
@@ -225,7 +228,7 @@
   /// Whether the last announcement was ready; accepting() also checks the
   /// lease.
   bool accepting_ = false;
-  /// Whether an order of this process was answered since it claimed the engine.
+  /// Whether the engine replied to an order of this process since the claim.
   bool has_ordered_ = false;
 };
 
--- a/packages/chalkwell/src/chalkwell/rollout/first_fetch.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/first_fetch.hpp
@@ -10,8 +10,8 @@
 
 /// @brief Expected durations for both choices, from now on.
 struct FirstFetchForecast {
-  /// Until the origin has sent out the newest version; empty while that is
-  /// unknown, for example because the origin does not respond.
+  /// Until every chunk of the newest version is held by some member; empty
+  /// while that is unknown, for example because the origin does not respond.
   std::optional<core::Duration> time_to_newest_available_;
   /// Transfer time of the missing part of the newest version on this
   /// instance's link.
--- a/packages/chalkwell/src/chalkwell/rollout/rollout_slots.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/rollout_slots.hpp
@@ -15,14 +15,16 @@
 /// @brief Assigns rollout slots to the endpoints of one role and failure
 /// domain.
 ///
-/// Slots only protect capacity; safety does not depend on them.
+/// Slots only limit how many endpoints are unavailable at once. Correctness (no
+/// activation order while requests run) does not depend on them; see
+/// Activation.
 class RolloutSlots {
  public:
   /// @param max_unavailable_share share of the members that may be unavailable
   /// at once, 0 to 1.
-  /// @param progress_timeout for each such time that passes without a further
-  /// member serving the version, `max_unavailable()` more members may drain,
-  /// although those ahead of them have not switched.
+  /// @param progress_timeout after each such time in which no further member
+  /// began to serve the version, max_unavailable() more members get a slot, in
+  /// rendezvous order, without waiting for those before them.
   RolloutSlots(core::InstanceId self, double max_unavailable_share,
                core::Duration progress_timeout);
 
@@ -40,6 +42,8 @@
   [[nodiscard]] std::size_t max_unavailable() const noexcept;
 
  private:
+  /// @brief Number of members before this one in the rendezvous order of the
+  /// version that do not serve it yet.
   [[nodiscard]] std::size_t PendingAhead() const;
 
   core::InstanceId self_;
--- a/packages/chalkwell/src/chalkwell/rollout/version_bound.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/version_bound.cpp
@@ -1,4 +1,4 @@
-// Bounds on the use of older versions.
+// Limits on the use of older versions.
 #include "chalkwell/rollout/version_bound.hpp"
 
 namespace chalkwell::rollout {
@@ -21,11 +21,11 @@
   return true;
 }
 
-std::uint64_t VersionBound::MinVersion(core::Duration bound,
+std::uint64_t VersionBound::MinVersion(core::Duration use_limit,
                                        core::TimePoint now) const noexcept {
   std::uint64_t minimum = 0;
   for (const auto& known : published_) {
-    if (now - known.received_at_ >= bound) {
+    if (now - known.received_at_ >= use_limit) {
       minimum = known.version_;
     }
   }
@@ -33,21 +33,21 @@
 }
 
 std::optional<core::TimePoint> VersionBound::ExpiryOf(
-    std::uint64_t version, core::Duration bound) const noexcept {
+    std::uint64_t version, core::Duration use_limit) const noexcept {
   for (const auto& known : published_) {
     if (known.version_ > version) {
-      return known.received_at_ + bound;
+      return known.received_at_ + use_limit;
     }
   }
   return std::nullopt;
 }
 
 routing::VersionConstraint VersionBound::ConstraintAt(
-    core::Duration bound, core::Duration margin,
+    core::Duration use_limit, core::Duration margin,
     core::TimePoint now) const noexcept {
   routing::VersionConstraint constraint;
   for (const auto& known : published_) {
-    const auto until = known.received_at_ + bound - margin;
+    const auto until = known.received_at_ + use_limit - margin;
     if (now >= until) {
       constraint.min_version_ = known.version_;
       continue;
--- a/packages/chalkwell/src/chalkwell/rollout/version_bound.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/version_bound.hpp
@@ -22,19 +22,19 @@
     return published_.empty() ? 0 : published_.back().version_;
   }
   /// @brief Minimum version that a request may start on; 0 for any.
-  /// @param bound time after this process received a version from which it is
-  /// the minimum.
-  [[nodiscard]] std::uint64_t MinVersion(core::Duration bound,
+  /// @param use_limit how long older versions may be used after this process
+  /// received a newer one.
+  [[nodiscard]] std::uint64_t MinVersion(core::Duration use_limit,
                                          core::TimePoint now) const noexcept;
   /// @brief When a version may no longer be used; empty if no newer one is
   /// known.
   [[nodiscard]] std::optional<core::TimePoint> ExpiryOf(
-      std::uint64_t version, core::Duration bound) const noexcept;
+      std::uint64_t version, core::Duration use_limit) const noexcept;
   /// @brief The minimum version now, and the next one with its time.
-  /// @param margin how much earlier than `bound` this process stops starting
-  /// requests on older versions.
+  /// @param margin how much earlier than `use_limit` this process stops
+  /// starting requests on older versions.
   [[nodiscard]] routing::VersionConstraint ConstraintAt(
-      core::Duration bound, core::Duration margin,
+      core::Duration use_limit, core::Duration margin,
       core::TimePoint now) const noexcept;
 
  private:
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -214,7 +214,7 @@
   CHECK(activation.OnDrained(now).empty());
 }
 
-TEST_CASE("an order waits for a report asked for after staging", "[rollout]") {
+TEST_CASE("an order waits for a report queried after staging", "[rollout]") {
   Activation activation({.lease_ = 1s, .tie_breaker_ = 5});
   const auto fence = ClaimEngine(activation, kFirst);
   const auto now = kStart + 2s;
--- a/tests/rollout/version_bound_test.cpp
+++ b/tests/rollout/version_bound_test.cpp
@@ -10,10 +10,10 @@
 
 const core::TimePoint kStart{1000s};
 
-TEST_CASE("a later version does not extend the bound of an earlier one",
+TEST_CASE("a later version does not extend the use of an older one",
           "[rollout]") {
   // Regression: versions 2 and 3 were published 2 s apart, the second restarted
-  // the bound, and version 1 was used for 10 s instead of 8 s.
+  // the use limit of version 1, which was used for 10 s instead of 8 s.
   struct Row {
     core::Duration after_;
     std::uint64_t min_version_;
@@ -29,10 +29,10 @@
   CHECK(bound.MinVersion(8s, kStart + row.after_) == row.min_version_);
 }
 
-TEST_CASE("a version expires by the bound of the next published one",
+TEST_CASE("the next published version determines when a version expires",
           "[rollout]") {
-  // Regression: engines with version 1 waited for the bound of version 3,
-  // although the bound of version 2 had expired version 1 two seconds earlier.
+  // Regression: engines with version 1 waited until version 3 expired the older
+  // ones, although version 2 had expired version 1 two seconds earlier.
   struct Row {
     std::uint64_t version_;
     std::optional<core::TimePoint> end_;
@@ -45,7 +45,7 @@
   CHECK(bound.ExpiryOf(row.version_, 8s) == row.end_);
 }
 
-TEST_CASE("an older version may be used until the margin before its bound",
+TEST_CASE("an older version may be used until the margin before its expiry",
           "[rollout]") {
   struct Row {
     core::Duration after_;
@@ -68,7 +68,7 @@
   }
 }
 
-TEST_CASE("discarding old versions keeps the bounds of recent ones",
+TEST_CASE("discarding old versions keeps the expiry of recent ones",
           "[rollout]") {
   VersionBound bound;
   for (std::uint64_t version = 2; version <= 200; ++version) {
