--- a/packages/chalkwell/src/chalkwell/swarm/fetch_window.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/fetch_window.hpp
@@ -15,8 +15,8 @@
 struct FetchWindowSettings {
   /// Sizes of the window in outstanding chunk requests.
   std::size_t min_size_ = 1;
-  /// Fills a link of 7 Mbit/s with a delay of 6 ms to peers that serve other
-  /// members too.
+  /// Six outstanding chunks keep a link of 7 Mbit/s with a delay of 6 ms busy,
+  /// even if the peers reply slowly because they serve others too.
   std::size_t initial_size_ = 6;
   std::size_t max_size_ = 8;
   /// Configured rate of the local link. 0 means unknown: the transmission time
@@ -26,7 +26,8 @@
   /// delay is the transfer time beyond the transmission time on an idle link.
   core::Duration grow_below_ = std::chrono::milliseconds(90);
   /// The window shrinks when the queueing delay is above this. Request traffic
-  /// waits in the same queue, so the limit is a part of the latency target.
+  /// waits in the same queue, so requests may be delayed by up to this much,
+  /// which must fit into their target latency.
   core::Duration shrink_above_ = std::chrono::milliseconds(180);
   /// A link that delivers less than this fraction of its configured rate counts
   /// as degraded. Peers that serve many members deliver a third of the rate,
@@ -66,9 +67,9 @@
   struct Sample {
     core::TimePoint at_;
     core::Duration queueing_delay_;
-    /// Estimated rate of the link, assuming that a whole window of chunks was
-    /// in transfer: the bytes of the window over the transfer time of this
-    /// chunk.
+    /// Estimated rate of the link, assuming that as many chunks as the window
+    /// allows were in transfer: the bytes of the window over the transfer time
+    /// of this chunk.
     double bytes_per_second_ = 0;
   };
 
--- a/packages/chalkwell/src/chalkwell/swarm/manifest_search.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/manifest_search.cpp
@@ -1,6 +1,6 @@
 // Each member ranks the holders in an order of its own. In a common order all
-// members would ask the same holder, whose link carries some 150 manifests per
-// second.
+// members would send their requests to the same holder, whose link carries some
+// 150 manifests per second.
 #include "chalkwell/swarm/manifest_search.hpp"
 
 #include <utility>
@@ -16,7 +16,7 @@
 void ManifestSearch::Start(core::TimePoint now) {
   started_ = now;
   last_request_at_.reset();
-  asked_peers_.clear();
+  requested_peers_.clear();
 }
 
 const SwarmMember* ManifestSearch::BestHolder(
@@ -27,8 +27,8 @@
     const std::pair key(
         holder.domain_ == self_.domain_,
         core::RendezvousScore(self_.id_.value(), holder.id_.value()));
-    const bool asked = asked_peers_.contains(holder.id_);
-    if (!asked && (best == nullptr || key > best_key)) {
+    const bool requested = requested_peers_.contains(holder.id_);
+    if (!requested && (best == nullptr || key > best_key)) {
       best = &holder;
       best_key = key;
     }
@@ -44,21 +44,21 @@
   }
   if (const auto* holder = BestHolder(holders)) {
     last_request_at_ = now;
-    asked_peers_.insert(holder->id_);
+    requested_peers_.insert(holder->id_);
     return ManifestSource{holder->id_};
   }
-  const bool ask_origin =
+  const bool use_origin =
       origin_rank && now - started_ >= settings_.origin_rank_delay_ *
                                            static_cast<int>(*origin_rank);
-  if (ask_origin) {
+  if (use_origin) {
     last_request_at_ = now;
-    asked_peers_.clear();
+    requested_peers_.clear();
     return ManifestSource{};
   }
   if (!holders.empty()) {
-    // All holders were asked and the origin must not be: start over.
+    // All holders were sent a request and the origin must not be: start over.
     last_request_at_ = now;
-    asked_peers_.clear();
+    requested_peers_.clear();
   }
   return std::nullopt;
 }
--- a/packages/chalkwell/src/chalkwell/swarm/origin_progress.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/origin_progress.hpp
@@ -11,7 +11,7 @@
 namespace chalkwell::swarm {
 
 /// @brief Number of chunks of one version that some member holds, over time,
-/// wherever the member got it.
+/// whether fetched from the origin or from a peer.
 class OriginProgress {
  public:
   /// @brief Starts a fetch and discards earlier samples.
--- a/packages/chalkwell/src/chalkwell/swarm/planner.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/planner.cpp
@@ -278,7 +278,8 @@
   return *rank;
 }
 
-bool Planner::IsSkipped(std::size_t chunk, std::size_t ahead) const {
+bool Planner::MembersAheadPresumedLost(std::size_t chunk,
+                                       std::size_t ahead) const {
   if (settings_.origin_window_ == 0 ||
       skip_counts_[chunk] < settings_.origin_window_ * ahead) {
     return false;
@@ -301,7 +302,8 @@
     return OriginFetchCause::kAssigned;
   }
   const auto ahead = rank - settings_.origin_copies_ + 1;
-  if (IsSkipped(chunk, ahead) && CountHolders(chunk).healthy_ == 0) {
+  if (MembersAheadPresumedLost(chunk, ahead) &&
+      CountHolders(chunk).healthy_ == 0) {
     return OriginFetchCause::kTakeover;
   }
   const auto idle = now - last_progress_;
--- a/packages/chalkwell/src/chalkwell/swarm/planner.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/planner.hpp
@@ -1,6 +1,7 @@
 // Plans the fetch of one manifest: which chunk to request from which peer, and
-// which member fetches a chunk from the origin. There is no coordinator: the
-// decisions follow from rendezvous hashing and from the peers' announcements.
+// which member fetches a chunk from the origin, a server that has all chunks
+// and is no member. There is no coordinator: the decisions follow from
+// rendezvous hashing and from the peers' announcements.
 #pragma once
 
 #include <cstdint>
@@ -27,19 +28,20 @@
   std::size_t max_peer_requests_ = 8;
   /// Maximum number of outstanding requests to the origin.
   std::size_t max_origin_requests_ = 2;
-  /// Size of the origin window: number of chunks that no member is known to
-  /// hold, counted from the lowest index, up to which chunks may be fetched
-  /// from the origin. A chunk is skipped, that is, not counted, once this many
-  /// later chunks became available; it may still be fetched. The window applies
-  /// to the fetches by all members together, because the members share the
-  /// origin's link and connections, and chunks that it has sent can spread
-  /// while it sends the next ones. 0 means no limit.
+  /// Size n of the origin window: only chunks before the (n + 1)-th missing
+  /// one, in index order, may be fetched from the origin; missing are chunks
+  /// that no member is known to hold. A missing chunk is not counted any more
+  /// once n later chunks became available, so that chunks that are not fetched
+  /// do not stop the window. The window applies to the fetches by all members
+  /// together, because the members share the origin's link and connections, and
+  /// chunks that it has sent can spread while it sends the next ones. 0 means
+  /// no limit.
   std::size_t origin_window_ = 0;
-  /// A member with n members ahead of it in the priority order of a chunk
-  /// fetches it from the origin in their place in two cases. Either no chunk
-  /// became available and no origin request of this member failed for n times
-  /// this long, or n times `origin_window_` later chunks became available
-  /// before the chunk.
+  /// The n-th member after the assigned ones in the priority order of a chunk
+  /// fetches it from the origin in their place in two cases: (a) for n times
+  /// this long no chunk became available and no origin request of this member
+  /// failed; (b) n times `origin_window_` later chunks became available while
+  /// this one did not (see MembersAheadPresumedLost()).
   core::Duration origin_takeover_timeout_ = std::chrono::seconds(2);
   /// Timeout of a chunk request.
   core::Duration chunk_timeout_ = std::chrono::seconds(5);
@@ -62,12 +64,13 @@
 struct SwarmMember {
   core::InstanceId id_;
   core::FailureDomainId domain_;
-  /// Its link is degraded. The member comes last in the priority order. Chunks
-  /// that only degraded members hold are fetched from the origin by others.
-  /// They are fetched from a degraded member only after
-  /// `origin_takeover_timeout_`. Otherwise chunks would saturate its link, its
-  /// responses to requests would wait behind them, and all members would wait
-  /// for the chunks that it fetches.
+  /// Its link is degraded. The member comes last in the priority order, and
+  /// others avoid fetching chunks from it: a chunk that only degraded members
+  /// hold is fetched from the origin, or from one of them once
+  /// `origin_takeover_timeout_` has passed since it became available. Otherwise
+  /// chunks would saturate the link, the responses of the member to requests
+  /// would wait behind them, and all members would wait for the chunks that it
+  /// fetches.
   bool degraded_ = false;
 
   friend bool operator==(const SwarmMember&, const SwarmMember&) = default;
@@ -76,7 +79,7 @@
 /// @brief A chunk to request now.
 struct FetchRequest {
   std::size_t chunk_ = 0;
-  /// None for the origin, which may be a weight store.
+  /// None for the origin; the caller may try a weight store first.
   std::optional<core::InstanceId> peer_;
 };
 
@@ -117,8 +120,8 @@
   void SetMaxPeerRequests(std::size_t max_count) noexcept {
     settings_.max_peer_requests_ = max_count;
   }
-  /// @brief Sets whether the origin may be asked; false while it refuses
-  /// requests.
+  /// @brief Sets whether requests may be sent to the origin; false while it
+  /// refuses them.
   void SetOriginAvailable(bool available) noexcept {
     origin_available_ = available;
   }
@@ -185,12 +188,13 @@
   [[nodiscard]] std::size_t OriginRank(std::size_t chunk) const;
   /// @brief First member in the priority order of a chunk.
   [[nodiscard]] const core::InstanceId& FirstInOrder(std::size_t chunk) const;
-  /// @brief Whether at least one origin window of later chunks per member ahead
-  /// became available before this one, and the chunk's first member has no
-  /// earlier chunk to fetch: the members ahead are then presumed lost. A member
-  /// that has earlier chunks to fetch is busy, not lost.
-  /// @param ahead number of these members.
-  [[nodiscard]] bool IsSkipped(std::size_t chunk, std::size_t ahead) const;
+  /// @brief Whether the skip count of the chunk is at least `origin_window_ *
+  /// ahead` and the first member in its priority order is not busy with an
+  /// earlier missing chunk.
+  /// @param ahead n, if this member is the n-th after the assigned ones in that
+  /// order.
+  [[nodiscard]] bool MembersAheadPresumedLost(std::size_t chunk,
+                                              std::size_t ahead) const;
   /// @brief First chunk after the origin window.
   [[nodiscard]] std::size_t OriginWindowEnd() const;
   /// @brief Increments the skip count of each unavailable chunk before this one
@@ -238,9 +242,9 @@
   std::vector<core::TimePoint> available_since_;
   /// When a chunk was last added to `available_`, or a request to the origin
   /// last failed: while the origin serves nobody, a lack of progress does not
-  /// mean that the members ahead are lost. After an origin outage of 4 s the
-  /// origin sends each chunk 1.08 times on average; without counting its failed
-  /// requests, 1.11 times.
+  /// mean that the members ahead are lost. Counting failures lowers how often
+  /// the origin sends a chunk after an outage of 4 s from 1.11 to 1.08 times on
+  /// average.
   core::TimePoint last_progress_;
   std::uint64_t assigned_origin_fetches_ = 0;
   std::uint64_t takeover_origin_fetches_ = 0;
--- a/packages/emulator/src/emulator/fleet.cpp
+++ b/packages/emulator/src/emulator/fleet.cpp
@@ -202,11 +202,13 @@
   call.entry_ = static_cast<std::size_t>(Uniform() * 0.999999 *
                                          static_cast<double>(entries_.size()));
   auto& entry = entries_[call.entry_];
-  const auto left = call.time_budget_ - (now_ - call.first_attempt_at_);
+  const auto remaining = call.time_budget_ - (now_ - call.first_attempt_at_);
   routing::StreamRequest request{request_class.target_, {}};
-  // Entries do not see the first attempt; they estimate the age from the time
-  // budgets left of a route's requests.
-  request.age_ = entry.request_age_.AddAndEstimate(request_class.route_, left);
+  // An entry does not know when a request was first attempted. It estimates
+  // that from the remaining time budget, compared with those of other requests
+  // of the route.
+  request.age_ =
+      entry.request_age_.AddAndEstimate(request_class.route_, remaining);
   if (!spec_.on_time_first_) {
     request.age_ = {};
   }
@@ -219,9 +221,9 @@
   auto& call = calls_.at(id);
   call.first_attempt_refused_ =
       call.first_attempt_refused_ || call.attempts_ == 1;
-  const auto left = call.time_budget_ - (now_ - call.first_attempt_at_);
+  const auto remaining = call.time_budget_ - (now_ - call.first_attempt_at_);
   // Callers wait for at most a third of their remaining time.
-  Retry(id, std::min<core::Duration>(retry_jitter_.Draw(wait), left / 3));
+  Retry(id, std::min<core::Duration>(retry_jitter_.Draw(wait), remaining / 3));
 }
 
 std::optional<core::Duration> Simulation::Dispatch(
--- a/packages/emulator/src/emulator/fleet.hpp
+++ b/packages/emulator/src/emulator/fleet.hpp
@@ -78,8 +78,8 @@
   /// Delay before the retry of an attempt made during an outage.
   core::Duration reconnect_delay_ = std::chrono::seconds(1);
   std::uint64_t seed_ = 1;
-  /// Whether entries let late requests wait for those that are on time, as
-  /// estimated at admission.
+  /// Whether entries serve requests that they expect to meet the target latency
+  /// before those that they expect to miss it, as estimated at admission.
   bool on_time_first_ = true;
 };
 
--- a/tests/swarm/neighbours_test.cpp
+++ b/tests/swarm/neighbours_test.cpp
@@ -1,4 +1,4 @@
-// LocalEntries and importers: the recipients of announcements of held chunks.
+// Neighbours and importers: the recipients of announcements of held chunks.
 #include "chalkwell/swarm/neighbours.hpp"
 
 #include <algorithm>
--- a/tests/swarm/swarm_test.cpp
+++ b/tests/swarm/swarm_test.cpp
@@ -59,16 +59,16 @@
     bool degraded_;
     bool other_holds_;
     core::Duration after_;
-    /// The peer that is asked, or "origin".
-    std::string asked_;
+    /// The peer that is sent the request, or "origin".
+    std::string expected_;
   };
   const auto row = GENERATE(
-      Row{"a holder on a healthy link is asked", false, false, 0ms, "holder"},
-      Row{"a holder on a degraded link is not asked", true, false, 0ms,
-          "origin"},
+      Row{"a holder on a healthy link gets the request", false, false, 0ms,
+          "holder"},
+      Row{"a holder on a degraded link does not", true, false, 0ms, "origin"},
       Row{"another holder is preferred", true, true, 0ms, "other"},
-      Row{"it is asked when no other member got the chunk", true, false, 3s,
-          "holder"});
+      Row{"it gets the request when no other member got the chunk", true, false,
+          3s, "holder"});
   CAPTURE(row.name_);
   const core::FailureDomainId domain("d");
   Planner planner({core::InstanceId("me"), domain},
@@ -87,7 +87,7 @@
   const auto requests = planner.Next(kStart + row.after_);
   REQUIRE(requests.size() == 1);
   const auto& peer = requests.front().peer_;
-  CHECK((peer ? peer->value() : "origin") == row.asked_);
+  CHECK((peer ? peer->value() : "origin") == row.expected_);
 }
 
 TEST_CASE("members on degraded links come last in the priority order",
@@ -115,13 +115,13 @@
     "[swarm]") {
   // Guards against duplicate imports: while the first in rank was busy with
   // other imports, the next one requested the same chunks after 500 ms, and a
-  // quarter more bytes crossed between regions.
+  // quarter more bytes crossed between domains.
   struct Row {
     std::string name_;
     /// When the last other chunk became available in the local failure domain.
     core::Duration progress_;
     core::Duration after_;
-    bool requests_reply_;
+    bool imported_;
   };
   const auto row = GENERATE(
       Row{"too early", 0ms, 300ms, false},
@@ -151,16 +151,16 @@
   other.Add(1);
   planner.OnAnnounced(neighbour, other, kStart + row.progress_);
   const auto requests = planner.Next(kStart + row.after_);
-  const bool asks = std::ranges::any_of(
+  const bool requested = std::ranges::any_of(
       requests,
       [](const FetchRequest& request) { return request.chunk_ == 0; });
-  CHECK(asks == row.requests_reply_);
+  CHECK(requested == row.imported_);
 }
 
 TEST_CASE("chunks that no local member holds are requested first", "[swarm]") {
   // Guards against duplicate imports: imports waited behind chunks that local
   // members held, so that the next in rank imported the same chunks and twice
-  // the bytes crossed between regions.
+  // the bytes crossed between domains.
   const core::FailureDomainId local("d");
   const core::FailureDomainId remote("e");
   Planner planner({core::InstanceId("me"), local},
@@ -340,16 +340,16 @@
   PlannerSettings settings;
   settings.max_origin_requests_ = chunks.size();
   settings.origin_window_ = kWindow;
-  std::set<std::size_t> asked;
+  std::set<std::size_t> requested;
   for (const auto& member : members) {
     Planner planner(member, settings, 1);
     planner.SetMembers(members);
     planner.Start(chunks, ChunkSet(chunks.size()), kStart);
     for (const auto& request : planner.Next(kStart)) {
-      asked.insert(request.chunk_);
+      requested.insert(request.chunk_);
     }
   }
-  CHECK(asked == std::set<std::size_t>{0, 1, 2, 3});
+  CHECK(requested == std::set<std::size_t>{0, 1, 2, 3});
 }
 
 TEST_CASE("the next member fetches a chunk skipped by a window of later ones",
@@ -459,8 +459,7 @@
 TEST_CASE("a chunk that its holder fails to send is fetched from the origin",
           "[swarm]") {
   // Guards against waiting for a holder that lost a chunk: two announced chunks
-  // that were lost from staging kept a whole fleet from its new weights for 25
-  // s.
+  // that were lost from staging delayed the new weights of all engines by 25 s.
   const auto chunks = Chunks(1);
   const SwarmMember self{core::InstanceId("a"), core::FailureDomainId("d")};
   const SwarmMember holder{core::InstanceId("b"), core::FailureDomainId("d")};
