--- a/packages/chalkwell/src/chalkwell/config/accepted_documents.hpp
+++ b/packages/chalkwell/src/chalkwell/config/accepted_documents.hpp
@@ -65,9 +65,9 @@
   kOlder,
   /// Different content of the accepted version; lost the tie-break.
   kConflict,
+  /// Cannot be parsed, violates a rule, or its document key is unknown.
   kMalformed,
-  /// Signed with a signing key that is not trusted; an unknown document key is
-  /// kMalformed.
+  /// Signed with a key that is not trusted.
   kUnknownKey,
   kWrongSignature,
 };
--- a/packages/chalkwell/src/chalkwell/config/traffic_rules.hpp
+++ b/packages/chalkwell/src/chalkwell/config/traffic_rules.hpp
@@ -47,6 +47,8 @@
   bool resumable_ = false;
   /// Requires no API key.
   bool public_ = false;
+  /// Limit of the time from the receipt of a request to the end of its
+  /// response.
   core::Duration timeout_{};
   /// Target for the time to first byte, counted from the caller's first
   /// attempt.
@@ -56,6 +58,7 @@
   core::Duration target_gap_{};
   /// 0 is the highest priority.
   std::uint32_t priority_ = 0;
+  /// Maximum number of attempts of a request, including the first.
   std::uint32_t max_attempts_ = 1;
   /// Never empty.
   std::vector<ServiceShare> services_;
--- a/packages/chalkwell/src/chalkwell/membership/reader_role.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/reader_role.hpp
@@ -102,8 +102,8 @@
   std::optional<core::TimePoint> failed_at_;
   /// Time from which the takeover timeout and the age of the known list are
   /// counted; never decreases: when the store was queried for the newest
-  /// announced read or, until a read is announced, the time of the first own
-  /// read or announced failure.
+  /// announced read or, until a read is announced, the time of this member's
+  /// first read or of the first announced failure.
   std::optional<core::TimePoint> list_age_base_;
   /// Last announced failure of a read.
   std::optional<core::TimePoint> peer_failed_at_;
--- a/packages/chalkwell/src/chalkwell/rollout/version_bound.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/version_bound.hpp
@@ -22,8 +22,8 @@
     return published_.empty() ? 0 : published_.back().version_;
   }
   /// @brief Minimum version that a request may start on; 0 for any.
-  /// @param use_limit how long older versions may be used after this process
-  /// received a newer one.
+  /// @param use_limit the version bound: how long older versions may be used
+  /// after this process received a newer one.
   [[nodiscard]] std::uint64_t MinVersion(core::Duration use_limit,
                                          core::TimePoint now) const noexcept;
   /// @brief When a version may no longer be used; empty if no newer one is
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the roster, the suspension detector, rank assignment and graceful
-// shutdown.
+// Tests of the states of listed endpoints, the suspension detector, rank
+// assignment and graceful shutdown.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
