--- a/packages/chalkwell/src/chalkwell/core/event.cpp
+++ b/packages/chalkwell/src/chalkwell/core/event.cpp
@@ -57,8 +57,8 @@
     {kLearnedFromPeer, kInfo, "learned-from-peer",
      "A published document was received from another process instead of the "
      "configuration store.",
-     "None: processes forward large rules to each other, and all documents "
-     "while the store is unreachable."},
+     "None: processes forward the rules document to each other if it is large, "
+     "and all documents while the store is unreachable."},
     {kControlTraffic, kInfo, "control-traffic",
      "Bytes that this process sent to other processes of the system since the "
      "previous such line, by kind; far_bytes went to other failure domains.",
@@ -94,7 +94,9 @@
     {kFetchAbandoned, kInfo, "fetch-abandoned",
      "A fetch was abandoned in favour of a newer bundle.", "None."},
     {kOriginFetched, kDebug, "origin-drawn",
-     "A chunk was fetched from the weight store or origin.", "None."},
+     "A chunk was fetched from the weight store or, without one or if it "
+     "failed, from the origin.",
+     "None."},
     {kStageFailed, kWarning, "stage-failed",
      "Staging weights at the engine failed; it is retried.",
      "If it persists, check the log of the engine."},
@@ -121,20 +123,22 @@
     {kEngineUnreachable, kWarning, "engine-unreachable",
      "The engine does not respond.", "Check the engine."},
     {kSuspensionDetected, kWarning, "pause-noticed",
-     "This process was suspended for longer than its lease; it queries the "
-     "state of its engine again.",
+     "This process was suspended for longer than a reported state of its "
+     "engine stays valid; it queries the state again.",
      "Check the machine if it recurs."},
     {kEngineClaimed, kInfo, "engine-claimed",
      "This agent claims its engine with a fencing number.", "None."},
     {kAgentReplaced, kWarning, "agent-replaced",
      "Another agent claimed the engine with a higher fencing number; this "
-     "agent accepts no more work. It claims the engine again after several "
-     "leases if the published instance list still names it.",
+     "agent accepts no more work. If the published instance list still names "
+     "it, it claims the engine again after 4 to 8 times the lease of the "
+     "engine's state.",
      "Stop this process if the list names another; if it recurs, look for a "
      "second agent of this engine."},
     {kRequestRefused, kInfo, "request-refused",
      "A request was refused and was not run.",
-     "If frequent, add capacity or check the share of the account."},
+     "If frequent, add capacity or check the account's weight in the sharing "
+     "of capacity."},
     {kRequestFailed, kWarning, "request-failed",
      "A request ran and failed; the caller was notified.",
      "Check the endpoint named."},
@@ -146,8 +150,9 @@
     {kAbandonedResponseDropped, kInfo, "late-answer-dropped",
      "A response to an abandoned attempt was discarded.", "None."},
     {kTicketRefused, kInfo, "ticket-refused",
-     "An endpoint did not run a request: its execution ticket was used before, "
-     "is of another incarnation, or is too old.",
+     "An endpoint did not run a request: its ticket (the permission to run it "
+     "once) was used before, was issued for another incarnation of the agent's "
+     "process, or is too old.",
      "None."},
     {kBadRequest, kInfo, "bad-request",
      "A caller's request is malformed; the response names the field.", "None."},
@@ -174,9 +179,9 @@
      "Check the endpoint, unless request-standing names a suspected request."},
     {kRequestStanding, kWarning, "request-standing",
      "A request was suspected of crashing endpoints, quarantined, or cleared; "
-     "the field crashes lists each crash with the entry that observed it.",
-     "Find its caller by the field content of request-sent lines; lift a wrong "
-     "quarantine with `chalkwell quarantine`."},
+     "the field `crashes` lists each crash with the entry that observed it.",
+     "Find its caller by the field `content` of the request-sent lines; lift a "
+     "wrong quarantine with `chalkwell quarantine`."},
     {kRequestQuarantined, kInfo, "request-quarantined",
      "A request was refused because endpoints crashed while running similar "
      "ones.",
