--- a/packages/daemon/src/daemon/config_node.cpp
+++ b/packages/daemon/src/daemon/config_node.cpp
@@ -1,4 +1,5 @@
-// Offers pass the library's acceptance; what changed is parsed once.
+// Documents are accepted by config::AcceptedDocuments and parsed once for each
+// batch that contains a change.
 #include "daemon/config_node.hpp"
 
 #include <algorithm>
@@ -35,15 +36,15 @@
   return request;
 }
 
-std::vector<std::string> ConfigNode::LackedOf(
-    const config::AcceptedDocuments::Stamps& theirs) const {
-  std::vector<std::string> lacked;
-  for (const auto& [key, stamp] : theirs) {
+std::vector<std::string> ConfigNode::MissingKeys(
+    const config::AcceptedDocuments::Stamps& peer_stamps) const {
+  std::vector<std::string> missing;
+  for (const auto& [key, stamp] : peer_stamps) {
     if (documents_.IsBehind({{key, stamp}})) {
-      lacked.push_back(key);
+      missing.push_back(key);
     }
   }
-  return lacked;
+  return missing;
 }
 
 void ConfigNode::OnChange(
@@ -51,9 +52,9 @@
   observers_.push_back(std::move(observer));
 }
 
-void ConfigNode::Report(const config::Document& document,
-                        const config::Acceptance& acceptance,
-                        const std::string& source) {
+void ConfigNode::LogVerdict(const config::Document& document,
+                            const config::Acceptance& acceptance,
+                            const std::string& source) {
   using enum config::Verdict;
   const auto verdict = acceptance.verdict_;
   if (verdict == kUnchanged || verdict == kOlder) {
@@ -74,12 +75,12 @@
                  {{"verdict", std::string(config::ToString(verdict))}});
 }
 
-void ConfigNode::Offer(const std::vector<config::Document>& documents,
+void ConfigNode::Apply(const std::vector<config::Document>& documents,
                        const std::string& source) {
   std::vector<std::string> changed;
   for (const auto& document : documents) {
     const auto acceptance = documents_.Apply(document);
-    Report(document, acceptance, source);
+    LogVerdict(document, acceptance, source);
     if (config::IsAccepted(acceptance.verdict_)) {
       changed.push_back(document.key_);
     }
@@ -87,18 +88,18 @@
   if (changed.empty()) {
     return;
   }
-  Parse();
+  ParseDocuments();
   for (const auto& observer : observers_) {
     observer(changed);
   }
 }
 
-void ConfigNode::Parse() {
+void ConfigNode::ParseDocuments() {
   instances_.clear();
   for (const auto* document : documents_.All()) {
     if (config::IsInstancesKey(document->key_)) {
-      auto part = config::ParseInstances(document->body_);
-      instances_.insert(instances_.end(), part.begin(), part.end());
+      auto shard = config::ParseInstances(document->body_);
+      instances_.insert(instances_.end(), shard.begin(), shard.end());
     } else if (document->key_ == config::kAccountsKey) {
       accounts_ = config::ParseAccounts(document->body_);
     } else if (document->key_ == config::kRoutesKey) {
@@ -109,28 +110,28 @@
 }
 
 SyncMessage ConfigNode::HandleSync(const SyncMessage& message) {
-  Offer(FromMessage(message.documents_, message.sender_), message.sender_);
-  auto answer = FirstRequest();
-  // What a push leaves different is repaired by the next periodic exchange, so
-  // its answers carry no stamps.
+  Apply(FromMessage(message.documents_, message.sender_), message.sender_);
+  auto response = FirstRequest();
+  // Differences that remain after a push are resolved by the next periodic
+  // exchange, so the responses of a push carry no stamps.
   const bool carries_push =
       !message.documents_.empty() && message.stamps_.empty();
   if (message.fingerprint_ == fingerprint_ || carries_push) {
-    return answer;
+    return response;
   }
   if (!message.recent_.empty()) {
-    answer.wanted_ = LackedOf(daemon::FromMessage(message.recent_));
-    return answer;
+    response.wanted_ = MissingKeys(daemon::FromMessage(message.recent_));
+    return response;
   }
-  answer.stamps_ = ToMessage(documents_.stamps());
+  response.stamps_ = ToMessage(documents_.stamps());
   if (message.wants_documents_) {
-    answer.documents_ =
+    response.documents_ =
         ToMessage(documents_.NewerThan(daemon::FromMessage(message.stamps_)));
   }
-  return answer;
+  return response;
 }
 
-SyncMessage ConfigNode::DocumentsFor(
+SyncMessage ConfigNode::DocumentsRequest(
     const std::vector<std::string>& keys) const {
   auto request = FirstRequest();
   std::vector<config::Document> documents;
@@ -143,24 +144,26 @@
   return request;
 }
 
-std::optional<SyncMessage> ConfigNode::HandlePushAnswer(
-    const SyncMessage& answer) const {
-  return answer.wanted_.empty() ? std::nullopt
-                                : std::optional(DocumentsFor(answer.wanted_));
+std::optional<SyncMessage> ConfigNode::HandlePushResponse(
+    const SyncMessage& response) const {
+  return response.wanted_.empty()
+             ? std::nullopt
+             : std::optional(DocumentsRequest(response.wanted_));
 }
 
-std::optional<SyncMessage> ConfigNode::HandleAnswer(const SyncMessage& answer) {
-  Offer(FromMessage(answer.documents_, answer.sender_), answer.sender_);
-  if (answer.fingerprint_ == fingerprint_) {
+std::optional<SyncMessage> ConfigNode::HandleExchangeResponse(
+    const SyncMessage& response) {
+  Apply(FromMessage(response.documents_, response.sender_), response.sender_);
+  if (response.fingerprint_ == fingerprint_) {
     return std::nullopt;
   }
-  const auto theirs = daemon::FromMessage(answer.stamps_);
+  const auto peer_stamps = daemon::FromMessage(response.stamps_);
   auto request = FirstRequest();
-  request.wants_documents_ = documents_.IsBehind(theirs);
+  request.wants_documents_ = documents_.IsBehind(peer_stamps);
   if (request.wants_documents_) {
     request.stamps_ = ToMessage(documents_.stamps());
   }
-  request.documents_ = ToMessage(documents_.NewerThan(theirs));
+  request.documents_ = ToMessage(documents_.NewerThan(peer_stamps));
   if (!request.wants_documents_ && request.documents_.empty()) {
     return std::nullopt;
   }
--- a/packages/daemon/src/daemon/entry.cpp
+++ b/packages/daemon/src/daemon/entry.cpp
@@ -11,12 +11,12 @@
 namespace chalkwell::daemon {
 namespace {
 
-constexpr std::size_t kMaxPeerBody = std::size_t{32} << 20;
+constexpr std::size_t kMaxPeerBodyBytes = std::size_t{32} << 20;
 constexpr int kBadRequestStatus = 400;
-constexpr int kServiceUnavailable = 503;
+constexpr int kServiceUnavailableStatus = 503;
 constexpr auto kExpiryPeriod = std::chrono::milliseconds(20);
 
-AgentLinkSettings LinkSettings(const Process& process) {
+AgentLinkSettings MakeLinkSettings(const Process& process) {
   const auto& settings = process.settings();
   return {.domain_ = process.domain(),
           .attach_ = settings.Number("routing", "attach"),
@@ -24,11 +24,11 @@
           .connection_ = process.connection_settings()};
 }
 
-SpreaderSettings SpreadSettings(const Process& process) {
+DisseminationSettings MakeDisseminationSettings(const Process& process) {
   const auto& settings = process.settings();
   return {.domain_ = process.domain(),
           .watchers_ = settings.Number("platform", "watchers"),
-          .silence_ = settings.Milliseconds("platform", "silence_ms"),
+          .peer_timeout_ = settings.Milliseconds("platform", "silence_ms"),
           .connection_ = process.connection_settings()};
 }
 
@@ -36,7 +36,7 @@
 
 Entry::Entry(Process& process)
     : process_(process),
-      links_(process.loop(), LinkSettings(process), process.config(),
+      links_(process.loop(), MakeLinkSettings(process), process.config(),
              process.log()),
       chooser_(
           process.domain(),
@@ -44,7 +44,7 @@
                                   "routing", "affinity_bound")) /
                               100.0},
           std::random_device{}()),
-      budget_(
+      retry_budget_(
           {.share_ = process.settings().Real("requests", "retry_share"),
            .reserve_ = process.settings().Real("requests", "retry_reserve")}),
       queue_limits_({.max_in_flight_ =
@@ -53,27 +53,27 @@
                          process.settings().Number("requests", "max_waiting")}),
       id_prefix_((static_cast<std::uint64_t>(std::random_device{}()) << 32U) |
                  std::random_device{}()),
-      spreader_(process.loop(), SpreadSettings(process), process.config(),
-                process.platform()),
-      expiry_(process.loop()),
-      reader_(process.config(), process.settings()),
+      disseminator_(process.loop(), MakeDisseminationSettings(process),
+                    process.config(), process.platform()),
+      expiry_timer_(process.loop()),
+      request_reader_(process.config(), process.settings()),
       retry_after_(
           process.settings().Milliseconds("requests", "retry_after_ms")) {
   auto& loop = process.loop();
   const auto& settings = process.settings();
-  peers_ = std::make_unique<PeerServer>(
-      loop, ParseAddress(settings.Text("listen", "peer")), kMaxPeerBody,
+  peer_server_ = std::make_unique<PeerServer>(
+      loop, ParseAddress(settings.Text("listen", "peer")), kMaxPeerBodyBytes,
       [this](const PeerCallPtr& call) { OnPeerCall(call); });
-  callers_ = std::make_unique<HttpServer>(
+  caller_server_ = std::make_unique<HttpServer>(
       loop,
       HttpServerSettings{
           .address_ = ParseAddress(settings.Text("listen", "caller")),
           .max_body_bytes_ = settings.Number("requests", "max_body_bytes")},
-      [this](const HttpExchangePtr& exchange) { OnCaller(exchange); });
-  admin_ = OpenAdmin(
+      [this](const HttpExchangePtr& exchange) { OnRequest(exchange); });
+  admin_server_ = OpenAdmin(
       loop, ParseAddress(settings.Text("listen", "admin")), process.metrics(),
-      {.not_ready_ = [this] { return NotReady(); },
-       .status_ = [this] { return Status(); },
+      {.not_ready_ = [this] { return NotReadyReason(); },
+       .status_ = [this] { return StatusJson(); },
        .refresh_ =
            [this] {
              process_.metrics().Set("requests_in_flight", {},
@@ -82,28 +82,29 @@
   process.log().Write(core::EventNumber::kListening,
                       {{"caller", settings.Text("listen", "caller")}});
   links_.OnChange([this] { StartWaiting(); });
-  expiry_.Every(kExpiryPeriod, [this] { RefuseExpired(); });
+  expiry_timer_.Every(kExpiryPeriod, [this] { RefuseExpired(); });
 }
 
 void Entry::Run() {
-  process_.Run([] {}, [this] { callers_->StopAccepting(); });
+  process_.Run([] {}, [this] { caller_server_->StopAccepting(); });
 }
 
 void Entry::OnPeerCall(const PeerCallPtr& call) {
   try {
     if (call->path() == kSyncPath) {
       const auto message = process_.AnswerSync(call);
-      spreader_.OnPeerHeard(core::InstanceId(message.sender_),
-                            message.reaches_service_, process_.loop().Now());
+      disseminator_.OnPeerMessage(core::InstanceId(message.sender_),
+                                  message.reaches_service_,
+                                  process_.loop().Now());
     } else {
-      call->Respond(404, "an entry answers only " + std::string(kSyncPath));
+      call->Respond(404, "an entry serves only " + std::string(kSyncPath));
     }
   } catch (const std::exception& error) {
     process_.AnswerError(call, error);
   }
 }
 
-void Entry::OnCaller(const HttpExchangePtr& exchange) {
+void Entry::OnRequest(const HttpExchangePtr& exchange) {
   try {
     Admit(exchange);
   } catch (const std::exception& error) {
@@ -134,31 +135,32 @@
   const auto& http = exchange->request();
   const auto id = RequestReader::GivenId(http).value_or(
       std::to_string(id_prefix_) + "-" + std::to_string(++last_number_));
-  if (const auto reason = NotReady(); !reason.empty()) {
-    Refuse(*exchange, kServiceUnavailable, core::EventNumber::kRequestRefused,
-           reason, id, retry_after_);
+  if (const auto reason = NotReadyReason(); !reason.empty()) {
+    Refuse(*exchange, kServiceUnavailableStatus,
+           core::EventNumber::kRequestRefused, reason, id, retry_after_);
     return;
   }
-  auto read = reader_.Read(http, id, process_.loop().Now());
-  if (const auto* rejection = std::get_if<Rejection>(&read)) {
+  auto parsed = request_reader_.Read(http, id, process_.loop().Now());
+  if (const auto* rejection = std::get_if<Rejection>(&parsed)) {
     Refuse(*exchange, rejection->status_, rejection->event_, rejection->detail_,
            id, std::nullopt);
-  } else if (const auto* ticket = std::get_if<TicketRequest>(&read)) {
-    OfferTicket(exchange, ticket->role_);
+  } else if (const auto* ticket = std::get_if<TicketRequest>(&parsed)) {
+    RespondWithTicket(exchange, ticket->role_);
   } else {
-    Enqueue(exchange, std::move(std::get<AdmittedRequest>(read)));
+    Enqueue(exchange, std::move(std::get<AdmittedRequest>(parsed)));
   }
 }
 
-void Entry::OfferTicket(const HttpExchangePtr& exchange,
-                        const core::Role& role) {
+void Entry::RespondWithTicket(const HttpExchangePtr& exchange,
+                              const core::Role& role) {
   const auto now = process_.loop().Now();
   const auto candidates = CandidatesOf(links_.roster(), role, now, {});
   const auto endpoint = chooser_.Choose(candidates, "");
   const auto ticket = endpoint ? links_.MintTicket(*endpoint) : std::nullopt;
   if (!ticket) {
-    Refuse(*exchange, kServiceUnavailable, core::EventNumber::kRequestRefused,
-           "no endpoint of role " + role.value() + " can take work", "",
+    Refuse(*exchange, kServiceUnavailableStatus,
+           core::EventNumber::kRequestRefused,
+           "no endpoint of role " + role.value() + " accepts work", "",
            retry_after_);
     return;
   }
@@ -170,16 +172,18 @@
   const auto now = process_.loop().Now();
   const auto number = ++last_number_;
   auto& queue = QueueOf(request.role_);
-  const bool taken = queue.Offer({.request_ = number,
-                                  .account_ = request.account_,
-                                  .weight_ = request.weight_,
-                                  .deadline_ = request.deadline_},
-                                 now);
-  if (!taken) {
+  const bool accepted = queue.Offer({.request_ = number,
+                                     .account_ = request.account_,
+                                     .weight_ = request.weight_,
+                                     .deadline_ = request.deadline_},
+                                    now);
+  if (!accepted) {
     const auto wait =
         std::max(queue.EstimatedWait(request.account_), retry_after_);
-    Refuse(*exchange, kServiceUnavailable, core::EventNumber::kRequestRefused,
-           "this account's share is in use", request.id_, wait);
+    Refuse(*exchange, kServiceUnavailableStatus,
+           core::EventNumber::kRequestRefused,
+           "the account's queue is full or the deadline cannot be met",
+           request.id_, wait);
     return;
   }
   exchange->OnAbort([this, number, &queue] {
@@ -188,7 +192,7 @@
       process_.stop().OnWorkFinished();
     }
   });
-  waiting_.emplace(number, Waiting{exchange, std::move(request)});
+  waiting_.emplace(number, WaitingRequest{exchange, std::move(request)});
   process_.stop().OnWorkAccepted();
   StartWaiting();
 }
@@ -198,11 +202,11 @@
 }
 
 std::size_t Entry::InFlight() const {
-  std::size_t sum = 0;
+  std::size_t total = 0;
   for (const auto& [role, queue] : queues_) {
-    sum += queue.in_flight();
+    total += queue.in_flight();
   }
-  return sum;
+  return total;
 }
 
 void Entry::StartWaiting() {
@@ -214,7 +218,8 @@
 void Entry::StartWaiting(const core::Role& role, routing::FairQueue& queue) {
   while (queue.waiting() > 0) {
     const auto now = process_.loop().Now();
-    // Without an endpoint a request is refused at once; it does not wait.
+    // Without an endpoint of the role there is no limit here: the runner
+    // refuses the request at once instead of letting it wait.
     const auto room = links_.roster().RemainingRequests(role, now);
     const auto limit = queue_limits_.max_in_flight_;
     queue.SetMaxInFlight(room ? std::min(limit, queue.in_flight() + *room)
@@ -223,12 +228,12 @@
     if (!next) {
       return;
     }
-    auto held = waiting_.extract(next->request_);
+    auto waiting = waiting_.extract(next->request_);
     auto runner = std::make_shared<RequestRunner>(
         RequestServices{process_.loop(), process_.id(), links_, chooser_,
-                        budget_, process_.log(), process_.metrics(),
+                        retry_budget_, process_.log(), process_.metrics(),
                         process_.tracer()},
-        held.mapped().exchange_, std::move(held.mapped().request_),
+        waiting.mapped().exchange_, std::move(waiting.mapped().request_),
         [this, &queue, now](routing::Outcome outcome) {
           const auto end = process_.loop().Now();
           queue.Release(end);
@@ -246,43 +251,44 @@
   const auto now = process_.loop().Now();
   for (auto& [role, queue] : queues_) {
     for (const auto& expired : queue.TakeExpired(now)) {
-      auto held = waiting_.extract(expired.request_);
+      auto waiting = waiting_.extract(expired.request_);
       process_.stop().OnWorkFinished();
-      Refuse(*held.mapped().exchange_, kServiceUnavailable,
+      Refuse(*waiting.mapped().exchange_, kServiceUnavailableStatus,
              core::EventNumber::kRequestRefused,
-             "it could no longer be answered within its deadline",
-             held.mapped().request_.id_, held.mapped().request_.retry_after_);
+             "the request can no longer meet its deadline",
+             waiting.mapped().request_.id_,
+             waiting.mapped().request_.retry_after_);
     }
   }
 }
 
-std::string Entry::NotReady() const {
+std::string Entry::NotReadyReason() const {
   if (process_.stopping()) {
     return "stopping";
   }
   const auto& config = process_.config();
   if (config.instances().empty() || config.accounts().empty() ||
       config.routes().empty()) {
-    return "no configuration was heard yet";
+    return "no configuration has been received yet";
   }
   return "";
 }
 
-std::string Entry::Status() {
+std::string Entry::StatusJson() {
   auto endpoints = nlohmann::json::array();
-  for (const auto& [id, view] : links_.roster().endpoints()) {
-    const auto report = view.report_.value_or(membership::EndpointReport{});
+  for (const auto& [id, endpoint] : links_.roster().endpoints()) {
+    const auto report = endpoint.report_.value_or(membership::EndpointReport{});
     endpoints.push_back(
         {{"id", id.value()},
-         {"domain", view.instance_.domain_.value()},
-         {"role", view.instance_.role_.value()},
-         {"connected", view.connected_},
-         {"ready", view.connected_ && report.ready_},
-         {"leaving", report.leaving_ || view.instance_.leaving_},
+         {"domain", endpoint.instance_.domain_.value()},
+         {"role", endpoint.instance_.role_.value()},
+         {"connected", endpoint.connected_},
+         {"ready", endpoint.connected_ && report.ready_},
+         {"leaving", report.leaving_ || endpoint.instance_.leaving_},
          {"version", report.bundle_version_},
          {"weights", report.manifest_.empty() ? "" : report.manifest_.ToHex()},
          {"load", report.load_},
-         {"in_flight", view.in_flight_}});
+         {"in_flight", endpoint.in_flight_}});
   }
   auto documents = nlohmann::json::object();
   for (const auto& [key, stamp] : process_.config().documents().stamps()) {
@@ -292,8 +298,8 @@
   const nlohmann::json status{
       {"id", process_.id().value()},
       {"domain", process_.domain().value()},
-      {"ready", NotReady().empty()},
-      {"not_ready_reason", NotReady()},
+      {"ready", NotReadyReason().empty()},
+      {"not_ready_reason", NotReadyReason()},
       {"watching_platform", process_.platform().watching()},
       {"bundle_version", bundle == nullptr ? 0 : bundle->version_},
       {"model", bundle == nullptr ? "" : bundle->model_},
--- a/packages/daemon/src/daemon/process.cpp
+++ b/packages/daemon/src/daemon/process.cpp
@@ -1,4 +1,4 @@
-// Parts of a daemon that follows signed documents.
+// Composition of the configuration parts from the settings.
 #include "daemon/process.hpp"
 
 #include <utility>
@@ -19,10 +19,10 @@
 Process::Process(Loop& loop, const Settings& settings, std::string name)
     : ProcessBase(loop, settings, std::move(name)),
       config_(id(), TrustedKeys(settings), log(), metrics()),
-      platform_(loop, http(),
-                ParseAddress(settings.Text("platform", "address")),
-                settings.Milliseconds("platform", "watch_wait_ms"), config_,
-                log(), metrics()) {}
+      store_reader_(loop, http(),
+                    ParseAddress(settings.Text("platform", "address")),
+                    settings.Milliseconds("platform", "watch_wait_ms"), config_,
+                    log(), metrics()) {}
 
 PeerConnectionSettings Process::connection_settings() const {
   PeerConnectionSettings connection;
--- a/packages/daemon/src/daemon/process.hpp
+++ b/packages/daemon/src/daemon/process.hpp
@@ -1,5 +1,5 @@
-// What both daemons that follow signed documents share: configuration and the
-// reader of the configuration service.
+// Parts of a daemon that uses the product's own interface, where the
+// configuration is published as documents.
 #pragma once
 
 #include <string>
@@ -7,30 +7,33 @@
 #include "daemon/config_node.hpp"
 #include "daemon/peer_connection.hpp"
 #include "daemon/peer_server.hpp"
-#include "daemon/platform_reader.hpp"
 #include "daemon/process_base.hpp"
+#include "daemon/store_reader.hpp"
 
 namespace chalkwell::daemon {
 
-/// @brief Common parts of one entry or agent.
+/// @brief Common parts of an entry or agent: the configuration, the reader of
+/// the configuration store and the settings of peer connections.
 class Process : public ProcessBase {
  public:
-  /// @param name of the subcommand.
+  /// @param name name of the subcommand, `entry` or `agent`.
   Process(Loop& loop, const Settings& settings, std::string name);
 
   [[nodiscard]] ConfigNode& config() noexcept { return config_; }
-  [[nodiscard]] PlatformReader& platform() noexcept { return platform_; }
+  [[nodiscard]] StoreReader& platform() noexcept { return store_reader_; }
   [[nodiscard]] PeerConnectionSettings connection_settings() const;
 
-  /// @brief Answers /v1/sync.
+  /// @brief Handles a /v1/sync call and responds to it.
   /// @return the request.
+  /// @throws core::Error for a malformed body; the call then has no response.
   SyncMessage AnswerSync(const PeerCallPtr& call);
-  /// @brief Answers a malformed call: the error goes to the log and the peer.
+  /// @brief Responds to a malformed call with status 400 and the error, and
+  /// logs the error.
   void AnswerError(const PeerCallPtr& call, const std::exception& error);
 
  private:
   ConfigNode config_;
-  PlatformReader platform_;
+  StoreReader store_reader_;
 };
 
 }  // namespace chalkwell::daemon
--- a/packages/daemon/src/daemon/platform_reader.cpp
+++ b/packages/daemon/src/daemon/store_reader.cpp
@@ -1,6 +1,6 @@
-// Watch protocol: GET /v1/watch?after=REVISION&wait_ms=N answers
+// Watch protocol: the response to GET /v1/watch?after=REVISION&wait_ms=N is
 // {"revision": R, "values": [{"key", "revision", "value"}]}.
-#include "daemon/platform_reader.hpp"
+#include "daemon/store_reader.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -12,26 +12,26 @@
 namespace chalkwell::daemon {
 namespace {
 
-constexpr auto kFirstBackoff = std::chrono::milliseconds(250);
-constexpr unsigned kMaxDoublings = 6;
-/// Least time between two reads that both succeeded.
-constexpr auto kLeastInterval = std::chrono::milliseconds(20);
+constexpr auto kInitialBackoff = std::chrono::milliseconds(250);
+constexpr unsigned kMaxBackoffDoublings = 6;
+/// Between the end of a successful read and the start of the next one.
+constexpr auto kWatchInterval = std::chrono::milliseconds(20);
 
 }  // namespace
 
-PlatformReader::PlatformReader(Loop& loop, HttpClient& client, Address address,
-                               core::Duration wait, ConfigNode& node,
-                               EventLog& log, Metrics& metrics)
+StoreReader::StoreReader(Loop& loop, HttpClient& client, Address address,
+                         core::Duration max_wait, ConfigNode& node,
+                         EventLog& log, Metrics& metrics)
     : client_(client),
       address_(std::move(address)),
-      wait_(wait),
+      max_wait_(max_wait),
       node_(node),
       log_(log),
       metrics_(metrics),
       timer_(loop),
       random_(std::random_device{}()) {}
 
-void PlatformReader::SetWatching(bool watching) {
+void StoreReader::SetWatching(bool watching) {
   if (watching == watching_) {
     return;
   }
@@ -45,13 +45,13 @@
   }
 }
 
-void PlatformReader::ReadOnce() {
+void StoreReader::ReadOnce() {
   if (!call_ && !watching_) {
     Read({});
   }
 }
 
-void PlatformReader::Read(core::Duration wait) {
+void StoreReader::Read(core::Duration wait) {
   const auto millis =
       std::chrono::duration_cast<std::chrono::milliseconds>(wait).count();
   HttpRequest request{.method_ = "GET",
@@ -67,12 +67,12 @@
       });
 }
 
-void PlatformReader::OnResponse(const HttpResponse& response) {
+void StoreReader::OnResponse(const HttpResponse& response) {
   bool succeeded = response.ok();
   std::string reason = "status " + std::to_string(response.status_);
   if (succeeded) {
     try {
-      Take(response.body_);
+      ApplyBody(response.body_);
     } catch (const std::exception& error) {
       succeeded = false;
       reason = error.what();
@@ -86,41 +86,42 @@
                   : core::EventNumber::kStoreUnreachable,
         {{"peer", address_.ToString()}, {"reason", succeeded ? "" : reason}});
   }
-  heard_ = heard_ || succeeded;
+  has_read_ = has_read_ || succeeded;
   failures_ = succeeded ? 0 : failures_ + 1;
   if (watching_) {
     ScheduleNext(succeeded);
   }
 }
 
-void PlatformReader::Take(const std::string& body) {
+void StoreReader::ApplyBody(const std::string& body) {
   using core::internal::RequireArray;
   using core::internal::RequireString;
   using core::internal::RequireUnsigned;
-  const auto root = core::internal::ParseObject(body, "watch answer");
+  const auto root = core::internal::ParseObject(body, "watch response");
   std::vector<config::Document> documents;
   for (const auto& value : RequireArray(root, "values")) {
     documents.push_back({RequireString(value, "key"),
                          RequireUnsigned(value, "revision"),
                          RequireString(value, "value")});
   }
+  // A list of trusted keys may be needed to verify the other documents.
   std::stable_partition(
       documents.begin(), documents.end(),
       [](const auto& document) { return document.key_ == config::kTrustKey; });
   revision_ = RequireUnsigned(root, "revision");
-  node_.Offer(documents, "platform");
+  node_.Apply(documents, "platform");
 }
 
-void PlatformReader::ScheduleNext(bool succeeded) {
+void StoreReader::ScheduleNext(bool succeeded) {
   if (succeeded) {
-    timer_.Once(kLeastInterval, [this] { Read(wait_); });
+    timer_.Once(kWatchInterval, [this] { Read(max_wait_); });
     return;
   }
-  const auto doublings = std::min(failures_ - 1, kMaxDoublings);
-  const auto longest = kFirstBackoff * (1U << doublings);
+  const auto backoff_doublings = std::min(failures_ - 1, kMaxBackoffDoublings);
+  const auto max_delay = kInitialBackoff * (1U << backoff_doublings);
   std::uniform_real_distribution<double> jitter(0.5, 1.0);
   timer_.Once(
-      std::chrono::duration_cast<core::Duration>(longest * jitter(random_)),
+      std::chrono::duration_cast<core::Duration>(max_delay * jitter(random_)),
       [this] { Read({}); });
 }
 
