--- a/packages/cli/src/cli/inspect_commands.cpp
+++ b/packages/cli/src/cli/inspect_commands.cpp
@@ -1,4 +1,4 @@
-// Checks, status and explanations.
+// Validation, queries of the admin server and printing of reference texts.
 #include "cli/inspect_commands.hpp"
 
 #include <cstdint>
@@ -16,8 +16,8 @@
 namespace chalkwell::cli {
 namespace {
 
-constexpr auto kTimeout = std::chrono::seconds(5);
-constexpr int kNotReady = 3;
+constexpr auto kAdminTimeout = std::chrono::seconds(5);
+constexpr int kExitNotReady = 3;
 
 std::string_view ToText(core::Severity severity) {
   switch (severity) {
@@ -35,7 +35,7 @@
 
 std::string_view ToText(daemon::UsedBy user) {
   switch (user) {
-    case daemon::UsedBy::kBoth:
+    case daemon::UsedBy::kOwnInterface:
       return "both";
     case daemon::UsedBy::kEntry:
       return "entry";
@@ -47,9 +47,9 @@
       return "agent with an adapter";
     case daemon::UsedBy::kDirect:
       return "both with an adapter";
-    case daemon::UsedBy::kEntries:
+    case daemon::UsedBy::kAnyEntry:
       return "entry, with an adapter or without";
-    case daemon::UsedBy::kAgents:
+    case daemon::UsedBy::kAnyAgent:
       return "agent, with an adapter or without";
     case daemon::UsedBy::kAll:
       return "all";
@@ -57,7 +57,7 @@
   return "";
 }
 
-void PrintTable(const nlohmann::json& status) {
+void PrintStatus(const nlohmann::json& status) {
   std::cout << "entry " << status.value("id", "") << " ("
             << status.value("domain", "") << "), "
             << (status.value("ready", false)
@@ -87,30 +87,30 @@
   }
 }
 
-/// Calls the admin listener of an entry.
-/// @throws core::Error when it does not answer.
+/// Sends a request to the admin server of an entry and waits for the response.
+/// @throws core::Error if no complete response arrives.
 daemon::HttpResponse CallAdmin(const std::string& address,
                                const std::string& method,
                                const std::string& path) {
   daemon::Loop loop;
-  daemon::HttpClient client(loop, kTimeout);
+  daemon::HttpClient client(loop, kAdminTimeout);
   const daemon::HttpRequest request{
       .method_ = method, .path_ = path, .headers_ = {}, .body_ = ""};
   daemon::HttpResponse response;
   client.Fetch(daemon::ParseAddress(address), request,
-               [&](daemon::HttpResponse answer) {
-                 response = std::move(answer);
+               [&](daemon::HttpResponse received) {
+                 response = std::move(received);
                  loop.Stop();
                });
   loop.Run();
   if (response.end_ != daemon::HttpEnd::kWhole) {
     throw core::Error(core::Step::kConnect, address,
-                      "the entry's admin listener does not answer");
+                      "no response from the entry's admin server");
   }
   return response;
 }
 
-nlohmann::json StatusOf(const std::string& address) {
+nlohmann::json FetchStatus(const std::string& address) {
   return nlohmann::json::parse(CallAdmin(address, "GET", "/status").body_);
 }
 
@@ -150,18 +150,18 @@
 }
 
 int ShowStatus(const std::string& address, bool as_json) {
-  const auto status = StatusOf(address);
+  const auto status = FetchStatus(address);
   if (as_json) {
     std::cout << status.dump(2) << "\n";
   } else {
-    PrintTable(status);
+    PrintStatus(status);
   }
-  return status.value("ready", false) ? 0 : kNotReady;
+  return status.value("ready", false) ? 0 : kExitNotReady;
 }
 
 int ShowQuarantine(const std::string& address) {
   PrintQuarantine(
-      StatusOf(address).value("quarantine", nlohmann::json::array()));
+      FetchStatus(address).value("quarantine", nlohmann::json::array()));
   return 0;
 }
 
@@ -171,7 +171,7 @@
   if (!response.ok()) {
     throw core::Error(core::Step::kParse, address, response.body_);
   }
-  std::cout << content << ": lifted; all entries follow\n";
+  std::cout << content << ": lifted; the entry announces this to all entries\n";
   return 0;
 }
 
@@ -195,32 +195,32 @@
 
 void PrintSettingsPage() {
   std::cout << "# Settings\n\nINI files, one for each process; `chalkwelld "
-               "entry --config FILE --check` checks one whole.\nThis page is "
-               "printed by `chalkwell explain --settings` and a test holds it "
-               "to the code.\n\n"
-            << "| section | key | used by | allowed | unit | default | reason "
+               "entry --config FILE --check` checks a file and reports all "
+               "errors.\nThis page is printed by `chalkwell explain "
+               "--settings`; a test compares it with the code.\n\n"
+            << "| section | key | used by | allowed | unit | default | meaning "
                "|\n|---|---|---|---|---|---|---|\n";
   for (const auto& setting : daemon::SettingsTable()) {
-    auto range = daemon::RangeOf(setting);
+    auto range = daemon::DescribeRange(setting);
     for (std::size_t at = 0; (at = range.find('|', at)) != std::string::npos;
          at += 2) {
       range.insert(at, "\\");
     }
-    std::string fallback = "`" + std::string(setting.default_) + "`";
+    std::string default_text = "`" + std::string(setting.default_) + "`";
     if (setting.default_.empty()) {
-      fallback = setting.optional_ ? "none" : "must be given";
+      default_text = setting.optional_ ? "none" : "required";
     }
     std::cout << "| " << setting.section_ << " | " << setting.key_ << " | "
               << ToText(setting.used_by_) << " | " << range << " | "
-              << setting.unit_ << " | " << fallback << " | " << setting.reason_
-              << " |\n";
+              << setting.unit_ << " | " << default_text << " | "
+              << setting.description_ << " |\n";
   }
 }
 
 void PrintEventsPage() {
   std::cout << "# Events\n\nEvery log line, problem document and alarm names a "
                "numbered event.\nThis page is printed by `chalkwell explain "
-               "--events` and a test holds it to the code.\n\n"
+               "--events`; a test compares it with the code.\n\n"
             << "| number | name | severity | meaning | what to do "
                "|\n|---|---|---|---|---|\n";
   for (const auto& event : core::EventCatalogue()) {
--- a/packages/cli/src/cli/inspect_commands.hpp
+++ b/packages/cli/src/cli/inspect_commands.hpp
@@ -1,5 +1,5 @@
-// chalkwell check, status, quarantine and explain: what runs and what a number
-// means.
+// The commands check, status, quarantine and explain: validation of settings
+// and documents, state of a running entry, and reference texts.
 #pragma once
 
 #include <string>
@@ -8,26 +8,35 @@
 
 namespace chalkwell::cli {
 
-/// @brief Checks a settings file.
+/// @brief Validates a settings file.
+/// @throws core::Error with all errors of the file.
 void CheckSettings(const std::string& path, daemon::UsedBy user);
-/// @brief Checks a published document as the daemons would.
-/// @param key of the document, such as "instances".
+/// @brief Validates a document as the daemons do when they receive it.
+/// @param key key of the document, such as "instances".
+/// @param trusted_key public key in hexadecimal that verifies signed documents;
+/// may be empty for other documents.
+/// @throws core::Error with the reason if the document would be refused.
 void CheckDocument(const std::string& key, const std::string& path,
                    const std::string& trusted_key);
-/// @brief Asks an entry's admin listener.
-/// @return an exit code: 0 ready, 3 not ready, 1 unreachable.
+/// @brief Queries /status of an entry's admin server and prints it.
+/// @param address address of the admin server, as ip:port.
+/// @return an exit code: 0 ready, 3 not ready.
+/// @throws core::Error if the entry is unreachable.
 [[nodiscard]] int ShowStatus(const std::string& address, bool as_json);
-/// @brief Prints which requests an entry suspects or refuses because endpoints
-/// crashed under them.
+/// @brief Prints the requests to which an entry attributes crashes of
+/// endpoints, suspected and quarantined ones.
 /// @return an exit code.
+/// @throws core::Error if the entry is unreachable.
 [[nodiscard]] int ShowQuarantine(const std::string& address);
-/// @brief Ends the quarantine of a request at all entries.
-/// @param content its digest, as ShowQuarantine prints it.
+/// @brief Lifts the quarantine of a request at all entries.
+/// @param content content digest of the request, as ShowQuarantine prints it.
 /// @return an exit code.
+/// @throws core::Error if the entry is unreachable or quarantines no such
+/// request.
 [[nodiscard]] int LiftQuarantine(const std::string& address,
                                  const std::string& content);
-/// @brief Prints what an event number means; all of them for 0.
-/// @return an exit code.
+/// @brief Prints the meaning of an event number, or of all events for 0.
+/// @return an exit code: 0, or 1 for an unknown number.
 [[nodiscard]] int Explain(int number);
 /// @brief Prints the settings reference as Markdown.
 void PrintSettingsPage();
--- a/packages/daemon/src/daemon/process_base.cpp
+++ b/packages/daemon/src/daemon/process_base.cpp
@@ -1,4 +1,4 @@
-// Start, reload and planned stop of a daemon.
+// Start, settings reload and graceful shutdown of a daemon.
 #include "daemon/process_base.hpp"
 
 #include <csignal>
@@ -8,13 +8,13 @@
 namespace {
 
 constexpr auto kIoTimeout = std::chrono::seconds(120);
-constexpr auto kStopCheck = std::chrono::milliseconds(50);
-/// Between two looks at the settings file's time of change.
-constexpr auto kFileCheck = std::chrono::seconds(2);
-/// Time for the last answers to leave the sockets.
+constexpr auto kShutdownCheckPeriod = std::chrono::milliseconds(50);
+/// Between two checks of the settings file's modification time.
+constexpr auto kFileCheckPeriod = std::chrono::seconds(2);
+/// For sending what remains of the last responses.
 constexpr auto kFlushTime = std::chrono::milliseconds(300);
 
-core::Severity SeverityOf(const std::string& level) {
+core::Severity ParseSeverity(const std::string& level) {
   if (level == "debug") {
     return core::Severity::kDebug;
   }
@@ -40,13 +40,13 @@
       domain_(settings.Text("instance", "domain")),
       log_(settings.Text("log", "format") == "json" ? LogFormat::kJson
                                                     : LogFormat::kText,
-           SeverityOf(settings.Text("log", "level")), id_.value()),
+           ParseSeverity(settings.Text("log", "level")), id_.value()),
       http_(loop, kIoTimeout),
       tracer_(loop, http_, "chalkwell-" + name,
               OptionalAddress(settings, "trace", "collector")),
-      stop_timer_(loop),
+      shutdown_timer_(loop),
       reload_timer_(loop),
-      stop_(settings.Milliseconds("stop", "drain_ms")) {
+      shutdown_(settings.Milliseconds("stop", "drain_ms")) {
   log_.OnEvent(
       [this](core::EventNumber number) { metrics_.CountEvent(number); });
   log_.OnDropped([this](std::uint64_t lines) {
@@ -56,10 +56,10 @@
     log_.Write(core::EventNumber::kInternalError, {{"error", error.what()}});
   });
   loop_.OnResume([this](core::Duration suspended) {
-    const auto length =
+    const auto suspended_ms =
         std::chrono::duration_cast<std::chrono::milliseconds>(suspended);
     log_.Write(core::EventNumber::kResumed,
-               {{"suspended_ms", std::to_string(length.count())}});
+               {{"suspended_ms", std::to_string(suspended_ms.count())}});
     if (on_resume_) {
       on_resume_();
     }
@@ -68,10 +68,10 @@
              {{"subcommand", name}, {"domain", domain_.value()}});
 }
 
-void ProcessBase::Run(std::function<void()> begin_stop,
-                      std::function<void()> end_accepting) {
-  begin_stop_ = std::move(begin_stop);
-  end_accepting_ = std::move(end_accepting);
+void ProcessBase::Run(std::function<void()> begin_shutdown,
+                      std::function<void()> stop_accepting) {
+  begin_shutdown_ = std::move(begin_shutdown);
+  stop_accepting_ = std::move(stop_accepting);
   std::signal(SIGPIPE, SIG_IGN);
   loop_.OnSignal(SIGTERM, [this] { OnStopSignal(); });
   loop_.OnSignal(SIGINT, [this] { OnStopSignal(); });
@@ -81,8 +81,8 @@
 void ProcessBase::OnReload(std::function<void()> handler) {
   on_reload_ = std::move(handler);
   loop_.OnSignal(SIGHUP, [this] { Reload(); });
-  // The file may change without a signal, too.
-  reload_timer_.Every(kFileCheck, [this] {
+  // Detects changes for which no signal is sent.
+  reload_timer_.Every(kFileCheckPeriod, [this] {
     if (settings_.FileChanged()) {
       Reload();
     }
@@ -91,7 +91,7 @@
 
 void ProcessBase::Reload() {
   try {
-    settings_ = settings_.LoadAgain();
+    settings_ = settings_.Reload();
   } catch (const std::exception& error) {
     log_.Write(core::EventNumber::kSettingsReloaded,
                {{"taken", "no"}, {"error", error.what()}});
@@ -102,26 +102,26 @@
 }
 
 void ProcessBase::OnStopSignal() {
-  if (stop_.draining()) {
+  if (shutdown_.draining()) {
     loop_.Stop();
     return;
   }
-  stop_.Begin(loop_.Now());
+  shutdown_.Begin(loop_.Now());
   log_.Write(core::EventNumber::kStopping);
-  begin_stop_();
-  stop_timer_.Every(kStopCheck, [this] { CheckStopped(); });
+  begin_shutdown_();
+  shutdown_timer_.Every(kShutdownCheckPeriod, [this] { CheckShutdown(); });
 }
 
-void ProcessBase::CheckStopped() {
-  if (!stop_.MayExit(loop_.Now())) {
+void ProcessBase::CheckShutdown() {
+  if (!shutdown_.MayExit(loop_.Now())) {
     return;
   }
   log_.Write(core::EventNumber::kStopped,
-             {{"unfinished", std::to_string(stop_.pending())}});
-  if (end_accepting_) {
-    end_accepting_();
+             {{"unfinished", std::to_string(shutdown_.pending())}});
+  if (stop_accepting_) {
+    stop_accepting_();
   }
-  stop_timer_.Once(kFlushTime, [this] { loop_.Stop(); });
+  shutdown_timer_.Once(kFlushTime, [this] { loop_.Stop(); });
 }
 
 }  // namespace chalkwell::daemon
--- a/packages/daemon/src/daemon/process_base.hpp
+++ b/packages/daemon/src/daemon/process_base.hpp
@@ -1,5 +1,5 @@
-// What every daemon process has: settings, log, metrics, tracer, client, and a
-// planned stop.
+// Parts of every daemon process: settings, log, metrics, tracer, HTTP client
+// and graceful shutdown.
 #pragma once
 
 #include <functional>
@@ -20,7 +20,7 @@
 /// @brief Common parts of one daemon process.
 class ProcessBase {
  public:
-  /// @param name of the subcommand.
+  /// @param name name of the subcommand, `entry` or `agent`.
   ProcessBase(Loop& loop, const Settings& settings, std::string name);
 
   [[nodiscard]] Loop& loop() noexcept { return loop_; }
@@ -33,27 +33,32 @@
   [[nodiscard]] Metrics& metrics() noexcept { return metrics_; }
   [[nodiscard]] HttpClient& http() noexcept { return http_; }
   [[nodiscard]] Tracer& tracer() noexcept { return tracer_; }
-  [[nodiscard]] membership::GracefulShutdown& stop() noexcept { return stop_; }
-  [[nodiscard]] bool stopping() const noexcept { return stop_.draining(); }
+  [[nodiscard]] membership::GracefulShutdown& stop() noexcept {
+    return shutdown_;
+  }
+  [[nodiscard]] bool stopping() const noexcept { return shutdown_.draining(); }
 
-  /// @brief Runs until a planned stop is finished or a second signal comes.
-  /// @param begin_stop called once at the first SIGTERM or SIGINT.
-  /// @param end_accepting called once when all work has ended: a caller that
-  /// comes between this and the exit is to find no listener, not a connection
-  /// that breaks.
-  void Run(std::function<void()> begin_stop,
-           std::function<void()> end_accepting = nullptr);
-  /// @brief Reads the settings file again at each SIGHUP and when it has
-  /// changed, and calls the handler; faulty settings are logged and not taken.
+  /// @brief Runs the event loop until a graceful shutdown has finished. SIGTERM
+  /// or SIGINT starts the shutdown; a second signal ends the process at once.
+  /// @param begin_shutdown called once at the first signal.
+  /// @param stop_accepting called once when no work is pending or the drain
+  /// time has passed. A caller that connects between this and the exit is
+  /// refused instead of losing its connection.
+  void Run(std::function<void()> begin_shutdown,
+           std::function<void()> stop_accepting = nullptr);
+  /// @brief Reloads the settings file at each SIGHUP and whenever the file has
+  /// changed, and calls the handler after each success. Invalid settings are
+  /// logged and have no effect.
   void OnReload(std::function<void()> handler);
-  /// @brief Calls the handler after a suspension of the machine.
+  /// @brief Sets the handler to call after the process was suspended.
   void OnResume(std::function<void()> handler) {
     on_resume_ = std::move(handler);
   }
 
  private:
   void OnStopSignal();
-  void CheckStopped();
+  /// Stops the loop once the shutdown may finish.
+  void CheckShutdown();
   void Reload();
 
   Loop& loop_;
@@ -64,13 +69,13 @@
   Metrics metrics_;
   HttpClient http_;
   Tracer tracer_;
-  Timer stop_timer_;
+  Timer shutdown_timer_;
   Timer reload_timer_;
-  std::function<void()> begin_stop_;
-  std::function<void()> end_accepting_;
+  std::function<void()> begin_shutdown_;
+  std::function<void()> stop_accepting_;
   std::function<void()> on_reload_;
   std::function<void()> on_resume_;
-  membership::GracefulShutdown stop_;
+  membership::GracefulShutdown shutdown_;
 };
 
 }  // namespace chalkwell::daemon
--- a/packages/daemon/src/daemon/settings.cpp
+++ b/packages/daemon/src/daemon/settings.cpp
@@ -1,4 +1,5 @@
-// Reading and checking of settings; every fault is reported at once.
+// Parsing and validation of settings; all errors of a file are reported at
+// once.
 #include "daemon/settings.hpp"
 
 #include <ini.h>
@@ -19,31 +20,36 @@
 
 constexpr std::size_t kMaxFileBytes = 1 << 20;
 
+/// One "key = value" of the file.
 struct Line {
   std::string section_;
   std::string key_;
   std::string value_;
+  /// Number of the line, from 1.
   int number_ = 0;
 };
 
-struct Reader {
+/// State of the INI parser's callbacks.
+struct ParserState {
   std::istringstream text_;
-  int line_ = 0;
+  /// Number of the line read last, from 1.
+  int line_number_ = 0;
   std::vector<Line> lines_;
-  /// Numbers of lines longer than the parser takes.
+  /// Numbers of lines that are longer than the parser's buffer.
   std::vector<int> long_lines_;
 };
 
+/// Reads one line for the INI parser, as fgets does.
 char* ReadLine(char* buffer, int size, void* stream) {
-  auto* reader = static_cast<Reader*>(stream);
+  auto* state = static_cast<ParserState*>(stream);
   std::string line;
-  if (!std::getline(reader->text_, line)) {
+  if (!std::getline(state->text_, line)) {
     return nullptr;
   }
-  ++reader->line_;
+  ++state->line_number_;
   const auto length = std::min(line.size(), static_cast<std::size_t>(size) - 1);
   if (length < line.size()) {
-    reader->long_lines_.push_back(reader->line_);
+    state->long_lines_.push_back(state->line_number_);
   }
   line.copy(buffer, length);
   buffer[length] = '\0';
@@ -52,11 +58,12 @@
 
 int OnValue(void* user, const char* section, const char* key,
             const char* value) {
-  auto* reader = static_cast<Reader*>(user);
-  reader->lines_.push_back({section, key, value, reader->line_});
+  auto* state = static_cast<ParserState*>(user);
+  state->lines_.push_back({section, key, value, state->line_number_});
   return 1;
 }
 
+/// Levenshtein distance.
 std::size_t EditDistance(std::string_view left, std::string_view right) {
   std::vector<std::size_t> row(right.size() + 1);
   for (std::size_t j = 0; j <= right.size(); ++j) {
@@ -78,9 +85,10 @@
 }
 
 bool Applies(const SettingDescription& setting, UsedBy user) {
-  return Overlap(setting.used_by_, user);
+  return Overlaps(setting.used_by_, user);
 }
 
+/// The known setting whose name is most similar.
 std::string NearestName(const std::string& name) {
   const auto nearest = std::ranges::min_element(
       SettingsTable(), {}, [&](const SettingDescription& setting) {
@@ -141,11 +149,11 @@
     case SettingType::kNumber:
     case SettingType::kReal: {
       const auto number = ParseNumber(value);
-      const bool whole =
+      const bool is_allowed_format =
           setting.type_ == SettingType::kReal ||
           value.find_first_not_of("0123456789") == std::string::npos;
-      return number && whole && *number >= setting.least_ &&
-             *number <= setting.greatest_;
+      return number && is_allowed_format && *number >= setting.minimum_ &&
+             *number <= setting.maximum_;
     }
     case SettingType::kChoice: {
       const auto choices = Split(std::string(setting.choices_), '|');
@@ -166,21 +174,24 @@
   return found == SettingsTable().end() ? nullptr : &*found;
 }
 
-std::string At(const std::string& path, const Line& line) {
+/// Location of a line for error messages.
+std::string Location(const std::string& path, const Line& line) {
   return path + ":" + std::to_string(line.number_) + ": [" + line.section_ +
          "] " + line.key_;
 }
 
+/// Validates a line and stores its value.
+/// @return an error message, or nothing.
 std::string CheckLine(const std::string& path, const Line& line, UsedBy user,
                       std::map<std::string, std::string>& values) {
   const std::string name = line.section_ + "." + line.key_;
   const auto* setting = FindSetting(name);
   if (setting == nullptr) {
-    return At(path, line) + " is not known; did you mean " + NearestName(name) +
-           "?";
+    return Location(path, line) + " is unknown; did you mean " +
+           NearestName(name) + "?";
   }
   if (!Applies(*setting, user)) {
-    return At(path, line) + " is not used by this subcommand; remove it";
+    return Location(path, line) + " is not used by this subcommand; remove it";
   }
   if (setting->type_ == SettingType::kKeys && values.contains(name) &&
       IsValid(*setting, line.value_)) {
@@ -188,33 +199,35 @@
     return "";
   }
   if (values.contains(name)) {
-    return At(path, line) + " is given twice; remove one";
+    return Location(path, line) + " is given twice; remove one";
   }
   values[name] = line.value_;
   if (!IsValid(*setting, line.value_)) {
-    return At(path, line) + " = '" + line.value_ + "' must be " +
-           RangeOf(*setting);
+    return Location(path, line) + " = '" + line.value_ + "' must be " +
+           DescribeRange(*setting);
   }
   return "";
 }
 
+/// Adds the defaults of settings that are not given.
+/// @return an error message for each required setting that is missing.
 std::vector<std::string> FillDefaults(
     const std::string& path, UsedBy user,
     std::map<std::string, std::string>& values) {
-  std::vector<std::string> faults;
+  std::vector<std::string> errors;
   for (const auto& setting : SettingsTable()) {
     const auto name = NameOf(setting);
     if (!Applies(setting, user) || values.contains(name)) {
       continue;
     }
     if (setting.default_.empty() && !setting.optional_) {
-      faults.push_back(path + ": [" + std::string(setting.section_) + "] " +
+      errors.push_back(path + ": [" + std::string(setting.section_) + "] " +
                        std::string(setting.key_) + " is missing; give " +
-                       RangeOf(setting));
+                       DescribeRange(setting));
     }
     values[name] = std::string(setting.default_);
   }
-  return faults;
+  return errors;
 }
 
 std::string ReadFile(const std::string& path) {
@@ -237,7 +250,7 @@
 
 }  // namespace
 
-std::string RangeOf(const SettingDescription& setting) {
+std::string DescribeRange(const SettingDescription& setting) {
   const auto number = [](double value) {
     std::ostringstream text;
     text.precision(15);
@@ -250,11 +263,11 @@
     case SettingType::kAddress:
       return "an IP number and port, such as 127.0.0.1:8080";
     case SettingType::kNumber:
-      return "a whole number from " + number(setting.least_) + " to " +
-             number(setting.greatest_);
+      return "a whole number from " + number(setting.minimum_) + " to " +
+             number(setting.maximum_);
     case SettingType::kReal:
-      return "a number from " + number(setting.least_) + " to " +
-             number(setting.greatest_);
+      return "a number from " + number(setting.minimum_) + " to " +
+             number(setting.maximum_);
     case SettingType::kChoice:
       return "one of " + std::string(setting.choices_);
     case SettingType::kKeys:
@@ -267,51 +280,51 @@
 
 Settings Settings::Load(const std::string& path, UsedBy user) {
   std::error_code error;
-  const auto written = std::filesystem::last_write_time(path, error);
+  const auto modified_at = std::filesystem::last_write_time(path, error);
   auto settings = Parse(ReadFile(path), path, user);
   settings.path_ = path;
   settings.user_ = user;
-  settings.written_ = written;
+  settings.modified_at_ = modified_at;
   return settings;
 }
 
 bool Settings::FileChanged() const {
   std::error_code error;
-  const auto written = std::filesystem::last_write_time(path_, error);
-  return !error && written != written_;
+  const auto modified_at = std::filesystem::last_write_time(path_, error);
+  return !error && modified_at != modified_at_;
 }
 
 Settings Settings::Parse(const std::string& text, const std::string& path,
                          UsedBy user) {
-  Reader reader;
-  reader.text_.str(text);
-  std::vector<std::string> faults;
-  const int bad_line = ini_parse_stream(ReadLine, &reader, OnValue, &reader);
+  ParserState state;
+  state.text_.str(text);
+  std::vector<std::string> errors;
+  const int bad_line = ini_parse_stream(ReadLine, &state, OnValue, &state);
   if (bad_line > 0) {
-    faults.push_back(path + ":" + std::to_string(bad_line) +
+    errors.push_back(path + ":" + std::to_string(bad_line) +
                      ": is neither [section] nor key = value");
   }
-  for (const int line : reader.long_lines_) {
-    faults.push_back(path + ":" + std::to_string(line) +
-                     ": is too long; give one key a line");
+  for (const int line : state.long_lines_) {
+    errors.push_back(path + ":" + std::to_string(line) +
+                     ": is too long; write one key per line");
   }
   Settings settings;
-  for (const auto& line : reader.lines_) {
-    auto fault = CheckLine(path, line, user, settings.values_);
-    if (!fault.empty()) {
-      faults.push_back(std::move(fault));
+  for (const auto& line : state.lines_) {
+    auto message = CheckLine(path, line, user, settings.values_);
+    if (!message.empty()) {
+      errors.push_back(std::move(message));
     }
   }
-  for (auto& fault : FillDefaults(path, user, settings.values_)) {
-    faults.push_back(std::move(fault));
+  for (auto& message : FillDefaults(path, user, settings.values_)) {
+    errors.push_back(std::move(message));
   }
-  if (!faults.empty()) {
-    std::string all;
-    for (const auto& fault : faults) {
-      all += "\n  " + fault;
+  if (!errors.empty()) {
+    std::string messages;
+    for (const auto& message : errors) {
+      messages += "\n  " + message;
     }
     throw core::Error(core::Step::kSettings, path,
-                      std::to_string(faults.size()) + " fault(s):" + all);
+                      std::to_string(errors.size()) + " error(s):" + messages);
   }
   return settings;
 }
--- a/packages/daemon/src/daemon/settings_table.cpp
+++ b/packages/daemon/src/daemon/settings_table.cpp
@@ -1,4 +1,4 @@
-// The table of settings.
+// The descriptions of all settings, in the order of docs/SETTINGS.md.
 #include <array>
 
 #include "daemon/settings.hpp"
@@ -9,168 +9,189 @@
 using enum UsedBy;
 using enum SettingType;
 
-constexpr double kAny = 0;
-constexpr double kDay = 86'400'000;
-constexpr double kTera = 1e12;
+/// Limits of types that are not numbers.
+constexpr double kUnused = 0;
+constexpr double kDayMs = 86'400'000;
+constexpr double kTerabyte = 1e12;
 
 constexpr std::array kTable = std::to_array<SettingDescription>({
-    {kAll, "instance", "id", kText, "", false, kAny, kAny, "", "name",
-     "Name of this instance in the published list."},
-    {kAll, "instance", "domain", kText, "", false, kAny, kAny, "", "name",
-     "Failure domain this instance stands in."},
-    {kAll, "listen", "admin", kAddress, "", false, kAny, kAny, "", "ip:port",
-     "Listener for /metrics, /healthz, /readyz and /status."},
-    {kAll, "listen", "peer", kAddress, "", false, kAny, kAny, "", "ip:port",
-     "Listener for other processes of the system."},
-    {kBoth, "listen", "advertised", kAddress, "", true, kAny, kAny, "",
+    {kAll, "instance", "id", kText, "", false, kUnused, kUnused, "", "name",
+     "Name of this instance in the published instance list."},
+    {kAll, "instance", "domain", kText, "", false, kUnused, kUnused, "", "name",
+     "Failure domain of this instance."},
+    {kAll, "listen", "admin", kAddress, "", false, kUnused, kUnused, "",
      "ip:port",
-     "Address of this process in the published list where it differs from "
-     "listen.peer (a relay or translated address)."},
-    {kEntries, "listen", "caller", kAddress, "", false, kAny, kAny, "",
-     "ip:port", "Listener for callers, behind the platform's balancer."},
-    {kDirectEntry, "listen", "ready", kAddress, "", false, kAny, kAny, "",
-     "ip:port", "Listener that the balancer probes."},
-    {kDirect, "platform", "poll_ms", kReal, "600", false, 50, kDay, "", "ms",
-     "Between two reads of the endpoint list by the entry that reads it for "
-     "its "
-     "failure domain; it must stay well under the time in which a leaving "
-     "endpoint may get work."},
-    {kDirect, "platform", "leave_bound_ms", kReal, "2000", false, 100, kDay, "",
-     "ms",
-     "From the store's acknowledgement that an endpoint leaves to the last "
-     "request that may reach it; set by the platform. An entry reads the list "
-     "itself when what it believes is older than 0.6 of it."},
-    {kDirect, "platform", "renewal_ms", kReal, "1200", false, 10, kDay, "",
+     "Address for operators: /metrics, /healthz, /readyz and /status."},
+    {kAll, "listen", "peer", kAddress, "", false, kUnused, kUnused, "",
+     "ip:port", "Address for other processes of the system."},
+    {kOwnInterface, "listen", "advertised", kAddress, "", true, kUnused,
+     kUnused, "", "ip:port",
+     "Address of this process in the published instance list, if it differs "
+     "from listen.peer (behind a relay or address translation)."},
+    {kAnyEntry, "listen", "caller", kAddress, "", false, kUnused, kUnused, "",
+     "ip:port", "Address for callers, behind the platform's load balancer."},
+    {kDirectEntry, "listen", "ready", kAddress, "", false, kUnused, kUnused, "",
+     "ip:port", "Address for the load balancer's readiness probes."},
+    {kDirect, "platform", "poll_ms", kReal, "600", false, 50, kDayMs, "", "ms",
+     "Interval at which the designated reader of a failure domain reads the "
+     "endpoint list; well below platform.leave_bound_ms."},
+    {kDirect, "platform", "leave_bound_ms", kReal, "2000", false, 100, kDayMs,
+     "", "ms",
+     "Time from the store's acknowledgement that an endpoint is leaving until "
+     "no request may reach it; set by the platform. An entry reads the "
+     "endpoint list itself when its snapshot is older than 0.6 of this."},
+    {kDirect, "platform", "renewal_ms", kReal, "1200", false, 10, kDayMs, "",
      "ms",
-     "Between two renewals of an endpoint's row in the store, set by the "
-     "platform: no shorter outage of the store ends a lease."},
-    {kDirect, "mesh", "seeds", kAddresses, "", true, kAny, kAny, "",
+     "Interval at which an endpoint renews its row in the store; set by the "
+     "platform. No outage of the store that is shorter than this ends a "
+     "lease."},
+    {kDirect, "mesh", "seeds", kAddresses, "", true, kUnused, kUnused, "",
      "addresses",
-     "Processes that may be known at the start; only their IP numbers count."},
-    {kDirect, "mesh", "interval_ms", kReal, "1000", false, 50, kDay, "", "ms",
-     "Between two rounds of telling others who lives."},
-    {kDirect, "rollout", "version_bound_ms", kReal, "8000", false, 0, kDay, "",
+     "Processes to contact at the start; only the IP addresses are used."},
+    {kDirect, "mesh", "interval_ms", kReal, "1000", false, 50, kDayMs, "", "ms",
+     "Interval between gossip rounds."},
+    {kDirect, "rollout", "version_bound_ms", kReal, "8000", false, 0, kDayMs,
+     "", "ms",
+     "Time from the publication of a new target version until no request may "
+     "start on an older one; set by the platform. 0 for no limit."},
+    {kOwnInterface, "peer", "tls", kChoice, "off", false, kUnused, kUnused,
+     "off", "choice",
+     "Streams between processes are HTTP/2 without TLS; the key is reserved "
+     "for TLS."},
+    {kOwnInterface, "peer", "silence_ms", kReal, "3000", false, 100, kDayMs, "",
      "ms",
-     "From the naming of new weights until no request may begin on older "
-     "ones; set by the platform. 0: they may for any time."},
-    {kBoth, "peer", "tls", kChoice, "off", false, kAny, kAny, "off", "choice",
-     "Streams between processes are plain HTTP/2 today; the key is kept for "
-     "TLS."},
-    {kBoth, "peer", "silence_ms", kReal, "3000", false, 100, kDay, "", "ms",
-     "A peer that sends no byte for this long is taken for dead; pings go out "
-     "three times as often."},
-    {kAll, "platform", "address", kAddress, "", false, kAny, kAny, "",
-     "ip:port", "The configuration service."},
+     "The connection to a peer that sends no byte for this long is closed; "
+     "pings are sent three times as often."},
+    {kAll, "platform", "address", kAddress, "", false, kUnused, kUnused, "",
+     "ip:port", "Address of the configuration store."},
     {kEntry, "platform", "watchers", kNumber, "2", false, 1, 100, "",
      "processes",
-     "Entries of a failure domain that hold a watch; the rest learn from "
-     "them."},
+     "Entries per failure domain that watch the configuration store; the "
+     "others receive changes from them."},
     {kAll, "platform", "watch_wait_ms", kReal, "10000", false, 100, 600000, "",
-     "ms", "How long the service may hold a watch open."},
-    {kBoth, "platform", "silence_ms", kReal, "5000", false, 100, kDay, "", "ms",
-     "Without a word from any peer for this long a process reads the service "
-     "itself, with jitter."},
-    {kBoth, "bundle", "trusted_keys", kKeys, "", false, kAny, kAny, "",
-     "public keys",
-     "Keys whose signatures count until a list of keys is published; separated "
-     "by commas."},
-    {kAll, "log", "format", kChoice, "text", false, kAny, kAny, "text|json",
-     "choice", "Form of log lines on standard error."},
-    {kAll, "log", "level", kChoice, "info", false, kAny, kAny,
-     "debug|info|warning|error", "choice", "Least severity that is logged."},
-    {kAll, "trace", "collector", kAddress, "", true, kAny, kAny, "", "ip:port",
-     "Where spans are posted as OTLP/JSON; none when left out."},
-    {kAll, "stop", "drain_ms", kReal, "120000", false, 0, kDay, "", "ms",
-     "Longest time a planned stop waits for work to finish; at least the "
-     "longest deadline."},
+     "ms",
+     "Time for which the configuration store may delay its response to a "
+     "watch."},
+    {kOwnInterface, "platform", "silence_ms", kReal, "5000", false, 100, kDayMs,
+     "", "ms",
+     "A process that receives nothing from any peer for this long, plus "
+     "jitter, reads the configuration store itself."},
+    {kOwnInterface, "bundle", "trusted_keys", kKeys, "", false, kUnused,
+     kUnused, "", "public keys",
+     "Keys that are trusted until a list of trusted keys is published; "
+     "separated by commas."},
+    {kAll, "log", "format", kChoice, "text", false, kUnused, kUnused,
+     "text|json", "choice", "Format of log lines on standard error."},
+    {kAll, "log", "level", kChoice, "info", false, kUnused, kUnused,
+     "debug|info|warning|error", "choice", "Lowest severity that is logged."},
+    {kAll, "trace", "collector", kAddress, "", true, kUnused, kUnused, "",
+     "ip:port",
+     "Collector to which spans are sent as OTLP/JSON; without it, no spans "
+     "are sent."},
+    {kAll, "stop", "drain_ms", kReal, "120000", false, 0, kDayMs, "", "ms",
+     "Longest time for which a graceful shutdown waits for pending work; at "
+     "least the longest deadline."},
     {kEntry, "requests", "max_body_bytes", kNumber, "1048576", false, 1,
-     1 << 30, "", "bytes", "Larger bodies are refused with 413."},
-    {kEntry, "requests", "default_deadline_ms", kReal, "60000", false, 1, kDay,
-     "", "ms", "Deadline of a request that names none."},
-    {kEntry, "requests", "max_deadline_ms", kReal, "120000", false, 1, kDay, "",
-     "ms", "Longer deadlines are cut to this."},
+     1 << 30, "", "bytes",
+     "Largest body of a request; larger ones are refused with status 413."},
+    {kEntry, "requests", "default_deadline_ms", kReal, "60000", false, 1,
+     kDayMs, "", "ms", "Deadline of a request without one."},
+    {kEntry, "requests", "max_deadline_ms", kReal, "120000", false, 1, kDayMs,
+     "", "ms", "Longest deadline; longer ones are reduced to it."},
     {kEntry, "requests", "max_in_flight", kNumber, "256", false, 1, 100000, "",
-     "requests", "Requests this entry has at endpoints at once."},
+     "requests", "Requests of this entry that may be in flight at endpoints."},
     {kEntry, "requests", "max_waiting", kNumber, "256", false, 1, 100000, "",
-     "requests", "Requests of one account that may wait here."},
+     "requests",
+     "Requests of one account that may wait in a queue of this entry."},
     {kEntry, "requests", "max_attempts", kNumber, "4", false, 1, 20, "",
-     "attempts", "Endpoints tried for one request at most."},
-    {kEntries, "requests", "retry_share", kReal, "0.1", false, 0, 100, "",
+     "attempts", "Maximum attempts of one request, each at another endpoint."},
+    {kAnyEntry, "requests", "retry_share", kReal, "0.1", false, 0, 100, "",
      "share",
-     "Retries as a share of requests, so that failures do not multiply load."},
-    {kEntries, "requests", "retry_reserve", kReal, "20", false, 0, 1e9, "",
+     "Retries as a share of requests, so that failures do not multiply the "
+     "load."},
+    {kAnyEntry, "requests", "retry_reserve", kReal, "20", false, 0, 1e9, "",
      "retries",
-     "Retries that this entry may make in 10 s beyond that share; half are "
-     "kept for answers under way."},
-    {kEntry, "requests", "retry_after_ms", kReal, "1000", false, 1, kDay, "",
-     "ms", "What Retry-After says when nothing better is known."},
+     "Retries that this entry may make in 10 s beyond that share; half of "
+     "them are reserved for responses that have already started."},
+    {kEntry, "requests", "retry_after_ms", kReal, "1000", false, 1, kDayMs, "",
+     "ms",
+     "Least value of Retry-After, also used when no wait can be estimated."},
     {kEntry, "routing", "affinity_bound", kNumber, "125", false, 100, 1000, "",
      "percent",
-     "A prompt prefix's home is used while its load is within this percentage "
-     "of the mean."},
+     "The preferred endpoint of a prompt prefix is used while its load is "
+     "within this percentage of the mean."},
     {kEntry, "routing", "attach", kNumber, "64", false, 1, 10000, "",
      "endpoints",
-     "Endpoints of each role of its own domain that an entry keeps streams "
-     "to."},
+     "Endpoints per role in the local failure domain to which an entry keeps "
+     "streams open."},
     {kEntry, "routing", "attach_foreign", kNumber, "16", false, 0, 10000, "",
      "endpoints",
-     "Endpoints of each role of other domains that an entry keeps streams "
-     "to."},
-    {kAgents, "endpoint", "backend", kAddress, "", false, kAny, kAny, "",
-     "ip:port", "The model engine or plain service this agent guards."},
-    {kAgent, "endpoint", "kind", kChoice, "engine", false, kAny, kAny,
-     "engine|service", "choice", "What the back end is."},
-    {kAgents, "endpoint", "role", kText, "", false, kAny, kAny, "", "name",
-     "Role of the endpoint; bundles name roles."},
-    {kDirectAgent, "endpoint", "facts_wait_ms", kReal, "120", false, 0, kDay,
+     "Endpoints per role in other failure domains to which an entry keeps "
+     "streams open."},
+    {kAnyAgent, "endpoint", "backend", kAddress, "", false, kUnused, kUnused,
+     "", "ip:port",
+     "Address of the backend that this agent manages: a model engine or a "
+     "plain service."},
+    {kAgent, "endpoint", "kind", kChoice, "engine", false, kUnused, kUnused,
+     "engine|service", "choice", "Kind of the backend."},
+    {kAnyAgent, "endpoint", "role", kText, "", false, kUnused, kUnused, "",
+     "name", "Role of the endpoint; routes and bundles refer to roles."},
+    {kDirectAgent, "endpoint", "facts_wait_ms", kReal, "120", false, 0, kDayMs,
      "", "ms",
-     "How long an agent that starts waits to hear of an entry before it reads "
-     "the rules itself, once and briefly."},
+     "Time for which a starting agent waits to learn of an entry before it "
+     "reads the rules from the store itself, once."},
     {kAgent, "endpoint", "capacity", kNumber, "32", false, 1, 100000, "",
-     "requests", "Requests the back end runs at once; more are refused."},
+     "requests",
+     "Requests that the backend runs concurrently; more are refused."},
     {kAgent, "endpoint", "max_body_bytes", kNumber, "4194304", false, 1,
      1 << 30, "", "bytes", "Largest message a peer may send."},
-    {kAgent, "weights", "store", kAddress, "", true, kAny, kAny, "", "ip:port",
-     "The weight store; asked before the origin."},
-    {kAgent, "weights", "origin", kAddress, "", false, kAny, kAny, "",
-     "ip:port", "The origin of weights."},
-    {kAgent, "weights", "link_bytes_per_second", kNumber, "0", false, 0, kTera,
-     "", "bytes/s",
-     "Rate of this machine's link that weights and live answers share; 0 for "
+    {kAgent, "weights", "store", kAddress, "", true, kUnused, kUnused, "",
+     "ip:port",
+     "Address of the weight store, which is tried before the origin."},
+    {kAgent, "weights", "origin", kAddress, "", false, kUnused, kUnused, "",
+     "ip:port", "Address of the origin of weights."},
+    {kAgent, "weights", "link_bytes_per_second", kNumber, "0", false, 0,
+     kTerabyte, "", "bytes/s",
+     "Rate of this machine's link, which weights and responses share; 0 for "
      "no limit."},
     {kDirectAgent, "weights", "link_mbps", kReal, "0", false, 0, 1e6, "",
      "Mbit/s",
-     "This machine's link; pieces take a part of it; 0 for no limit."},
+     "Rate of this machine's link, of which chunks use a share; 0 for no "
+     "limit."},
     {kAgent, "weights", "memory_bytes", kNumber, "268435456", false, 1 << 20,
-     kTera, "", "bytes", "Chunks kept for peers."},
+     kTerabyte, "", "bytes", "Memory for chunks that are kept for peers."},
     {kAgent, "weights", "origin_copies", kNumber, "1", false, 1, 4, "",
      "copies",
-     "How many members may draw each chunk from the origin: 1 weighs origin "
-     "bytes, 3 time to live."},
-    {kAgent, "weights", "draw_silence_ms", kReal, "2000", false, 10, kDay, "",
+     "Agents that may fetch each chunk from the origin: 1 minimizes the bytes "
+     "read from the origin, 3 the time until new weights are live."},
+    {kAgent, "weights", "draw_silence_ms", kReal, "2000", false, 10, kDayMs, "",
      "ms",
-     "Next in rank draws from the origin when no new chunk was seen for this "
-     "long."},
-    {kAgent, "weights", "chunk_timeout_ms", kReal, "5000", false, 10, kDay, "",
-     "ms", "A chunk request is given up after this."},
+     "The agent next in rank fetches from the origin when no new chunk has "
+     "appeared for this long."},
+    {kAgent, "weights", "chunk_timeout_ms", kReal, "5000", false, 10, kDayMs,
+     "", "ms", "Timeout of a chunk request."},
     {kAgent, "weights", "in_flight", kNumber, "8", false, 1, 1000, "",
-     "requests", "Chunk requests outstanding at all peers."},
+     "requests", "Chunk requests in flight to all peers."},
     {kAgent, "weights", "per_peer", kNumber, "2", false, 1, 100, "", "requests",
-     "Chunk requests outstanding at one peer."},
+     "Chunk requests in flight to one peer."},
     {kAgent, "weights", "neighbours", kNumber, "8", false, 1, 1000, "", "peers",
-     "Peers of its own domain an agent exchanges chunks with."},
+     "Peers in the local failure domain with which an agent exchanges chunks."},
     {kAgent, "weights", "neighbours_foreign", kNumber, "4", false, 0, 1000, "",
-     "peers", "Peers of other domains an agent exchanges chunks with."},
+     "peers",
+     "Peers in other failure domains with which an agent exchanges chunks."},
     {kAgent, "rollout", "max_out_share", kReal, "0.34", false, 0, 1, "",
      "share",
-     "Part of a role's endpoints in a failure domain that may switch at "
+     "Share of a role's endpoints in a failure domain that may switch at "
      "once."},
-    {kAgent, "rollout", "turn_lease_ms", kReal, "10000", false, 10, kDay, "",
-     "ms", "Those ahead that make no progress for this long are passed."},
-    {kAgent, "rollout", "pause_lease_ms", kReal, "1500", false, 500, kDay, "",
+    {kAgent, "rollout", "turn_lease_ms", kReal, "10000", false, 10, kDayMs, "",
+     "ms",
+     "Endpoints earlier in the rollout order that make no progress for this "
+     "long are skipped."},
+    {kAgent, "rollout", "pause_lease_ms", kReal, "1500", false, 500, kDayMs, "",
      "ms",
-     "How long what the engine said is relied on; a process that did not run "
-     "for this long re-reads the world before it acts."},
+     "Time for which a report of the engine is valid. An agent that was "
+     "suspended for this long reads the engine and the configuration again "
+     "before it acts."},
 });
 
 }  // namespace
