--- a/packages/cli/src/cli/files.hpp
+++ b/packages/cli/src/cli/files.hpp
@@ -1,4 +1,4 @@
-// Files that the command line reads and writes.
+// Reading and writing of whole files.
 #pragma once
 
 #include <cstdint>
@@ -7,13 +7,12 @@
 
 namespace chalkwell::cli {
 
-/// @brief Whole content of a regular file.
-/// @throws core::Error that names the file.
+/// @brief Reads the content of a regular file.
+/// @throws core::Error if the file cannot be read or is not a regular file.
 [[nodiscard]] std::string ReadFile(const std::string& path);
-/// @brief Writes a file by way of a temporary one, so that it is whole or
-/// not there.
+/// @brief Writes a file atomically: writes a temporary file and renames it.
 /// @param mode permission bits, such as 0600.
-/// @throws core::Error that names the file.
+/// @throws core::Error if the file cannot be written.
 void WriteFile(const std::string& path, std::string_view content,
                std::uint32_t mode);
 
--- a/packages/cli/src/cli/main.cpp
+++ b/packages/cli/src/cli/main.cpp
@@ -1,4 +1,6 @@
-// chalkwell: the operators' command line. It never orders an instance.
+// chalkwell: the command line for operators. It prepares documents and reads
+// the state of running processes; apart from lifting a quarantine it changes
+// none.
 #include <CLI/CLI.hpp>
 #include <functional>
 #include <iostream>
@@ -13,16 +15,16 @@
 using chalkwell::cli::CreateOptions;
 using Action = std::function<int()>;
 
-constexpr int kExitFault = 2;
-constexpr std::uint64_t kDefaultChunk = 4 << 20;
+constexpr int kExitInvalidInput = 2;
+constexpr std::uint64_t kDefaultChunkBytes = 4 << 20;
 
 void AddKeygen(CLI::App& app, Action& action) {
-  auto* command = app.add_subcommand("keygen", "make an Ed25519 key pair");
+  auto* command = app.add_subcommand("keygen", "generate an Ed25519 key pair");
   auto path = std::make_shared<std::string>();
   command
       ->add_option("path", *path,
-                   "file for the secret key; PATH.pub gets "
-                   "the public one")
+                   "file for the secret key; the public key is written to "
+                   "PATH.pub")
       ->required();
   command->callback([&action, path] {
     action = [path] {
@@ -39,17 +41,21 @@
     std::string out_;
   };
   auto options = std::make_shared<Options>();
-  auto* command = app.add_subcommand(
-      "trust", "write a list of trusted keys, to be signed and published");
-  command->add_option("--version", options->version_, "rises with each list")
+  auto* command =
+      app.add_subcommand("trust", "write an unsigned list of trusted keys");
+  command
+      ->add_option("--version", options->version_,
+                   "version of the list; must increase with each list")
       ->required();
-  command->add_option("--key", options->keys_, "public key or its file")
+  command
+      ->add_option("--key", options->keys_,
+                   "public key or a file that contains it; may be repeated")
       ->required();
   command->add_option("--out", options->out_, "file to write")->required();
   command->callback([&action, options] {
     action = [options] {
-      chalkwell::cli::CreateTrust(options->version_, options->keys_,
-                                  options->out_);
+      chalkwell::cli::CreateTrustList(options->version_, options->keys_,
+                                      options->out_);
       return 0;
     };
   });
@@ -57,27 +63,29 @@
 
 void AddBundleCreate(CLI::App& group, Action& action) {
   auto options = std::make_shared<CreateOptions>();
-  options->chunk_bytes_ = kDefaultChunk;
+  options->chunk_bytes_ = kDefaultChunkBytes;
   auto* command = group.add_subcommand(
-      "create", "cut files into chunks and write an unsigned bundle");
+      "create", "split files into chunks and write an unsigned bundle");
   command
       ->add_option("--version", options->version_,
-                   "higher than that of the bundle in force")
+                   "version of the bundle; higher than that of the active one")
       ->required()
       ->check(CLI::PositiveNumber);
   command->add_option("--model", options->model_, "name of the model")
       ->required();
   command
       ->add_option("--model-file", options->model_files_,
-                   "file of the model; may be given again")
+                   "file of the model; may be repeated")
       ->required();
   command->add_option("--adapter", options->adapters_,
-                      "adapter as name=file; may be given again");
+                      "adapter as name=file; may be repeated");
   command
       ->add_option("--role", options->roles_,
-                   "role of endpoints that shall run it; may be given again")
+                   "role of endpoints that run the bundle; may be repeated")
       ->required();
-  command->add_option("--chunk-bytes", options->chunk_bytes_, "size of a chunk")
+  command
+      ->add_option("--chunk-bytes", options->chunk_bytes_,
+                   "size of a chunk in bytes")
       ->check(CLI::Range(std::uint64_t{1024}, std::uint64_t{64} << 20))
       ->capture_default_str();
   command
@@ -121,17 +129,20 @@
   };
   auto options = std::make_shared<Options>();
   auto* command = group.add_subcommand(
-      "verify", "check signature, manifest and every chunk");
+      "verify", "verify the signature, the manifest and every chunk");
   command->add_option("bundle", options->bundle_, "signed bundle")->required();
-  command->add_option("--trusted", options->keys_, "public key or its file")
+  command
+      ->add_option("--trusted", options->keys_,
+                   "public key or a file that contains it; may be repeated")
       ->required();
-  command->add_option("--folder", options->folder_, "folder that holds blobs/")
+  command
+      ->add_option("--folder", options->folder_, "folder that contains blobs/")
       ->required();
   command->callback([&action, options] {
     action = [options] {
-      const int faults = chalkwell::cli::VerifyBundle(
+      const int errors = chalkwell::cli::VerifyBundle(
           options->bundle_, options->keys_, options->folder_);
-      return faults == 0 ? 0 : kExitFault;
+      return errors == 0 ? 0 : kExitInvalidInput;
     };
   });
 }
@@ -163,12 +174,14 @@
   command->add_option("--entry", options->entry_, "settings of an entry");
   command->add_option("--agent", options->agent_, "settings of an agent");
   command->add_flag("--adapter", options->adapter_,
-                    "the settings are of a deployment with an adapter");
+                    "the settings are those of a deployment with an adapter");
   command->add_option("--document", options->document_, "document to publish");
-  command->add_option("--key", options->key_,
-                      "its key: bundle, trust, instances, accounts or routes");
+  command->add_option(
+      "--key", options->key_,
+      "key of the document: bundle, trust, instances, accounts or "
+      "routes");
   command->add_option("--trusted", options->trusted_,
-                      "public key, for signed documents");
+                      "public key that verifies signed documents");
   command->callback([&action, options] {
     action = [options] {
       using chalkwell::daemon::UsedBy;
@@ -197,11 +210,11 @@
     bool json_ = false;
   };
   auto options = std::make_shared<Options>();
-  auto* command =
-      app.add_subcommand("status", "show the fleet as one entry sees it");
+  auto* command = app.add_subcommand(
+      "status", "show the endpoints that are known to an entry");
   command
       ->add_option("entry", options->address_,
-                   "admin listener of any entry, ip:port")
+                   "address of an entry's admin server, ip:port")
       ->required();
   command->add_flag("--json", options->json_, "print JSON");
   command->callback([&action, options] {
@@ -218,13 +231,14 @@
   };
   auto options = std::make_shared<Options>();
   auto* command = app.add_subcommand(
-      "quarantine", "list requests that crash endpoints, or lift a quarantine");
+      "quarantine",
+      "list requests suspected of crashing endpoints, or lift a quarantine");
   command
       ->add_option("entry", options->address_,
-                   "admin listener of any entry, ip:port")
+                   "address of an entry's admin server, ip:port")
       ->required();
   command->add_option("--lift", options->content_,
-                      "content digest of a request to run again");
+                      "content digest of the request whose quarantine to lift");
   command->callback([&action, options] {
     action = [options] {
       return options->content_.empty()
@@ -243,7 +257,7 @@
   };
   auto options = std::make_shared<Options>();
   auto* command = app.add_subcommand(
-      "explain", "say what an event number means; all without a number");
+      "explain", "explain an event number, or all events without one");
   command->add_option("number", options->number_, "event number, such as 602");
   command->add_flag("--settings", options->settings_,
                     "print the settings reference as Markdown");
@@ -268,18 +282,19 @@
 
 int main(int argc, char** argv) {
   CLI::App app{
-      "chalkwell: make, sign and check what operators publish, and look at "
-      "what runs.\nA roll: bundle create, bundle sign, bundle verify, then "
+      "chalkwell: create, sign and check what operators publish, and inspect "
+      "what runs.\nRollout: bundle create, bundle sign, bundle verify, then "
       "publish the signed file under the key 'bundle'."};
   app.footer(
-      "Exit codes: 0 done, 1 failure, 2 faulty input or settings, 3 not "
+      "Exit codes: 0 success, 1 failure, 2 invalid input or settings, 3 not "
       "ready.");
   app.set_version_flag("--version", std::string(chalkwell::daemon::kVersion));
   app.require_subcommand(1);
   Action action;
   AddKeygen(app, action);
   AddTrust(app, action);
-  auto* bundle = app.add_subcommand("bundle", "make, sign and check bundles");
+  auto* bundle =
+      app.add_subcommand("bundle", "create, sign and verify bundles");
   bundle->require_subcommand(1);
   AddBundleCreate(*bundle, action);
   AddBundleSign(*bundle, action);
@@ -294,10 +309,10 @@
     return action();
   } catch (const chalkwell::core::Error& error) {
     std::cerr << "chalkwell: " << error.what() << "\n";
-    const bool input = error.step() == chalkwell::core::Step::kParse ||
-                       error.step() == chalkwell::core::Step::kVerify ||
-                       error.step() == chalkwell::core::Step::kSettings;
-    return input ? kExitFault : 1;
+    const bool invalid_input = error.step() == chalkwell::core::Step::kParse ||
+                               error.step() == chalkwell::core::Step::kVerify ||
+                               error.step() == chalkwell::core::Step::kSettings;
+    return invalid_input ? kExitInvalidInput : 1;
   } catch (const std::exception& error) {
     std::cerr << "chalkwell: " << error.what() << "\n";
     return 1;
--- a/packages/daemon/src/daemon/admin.cpp
+++ b/packages/daemon/src/daemon/admin.cpp
@@ -1,4 +1,4 @@
-// Routes of the admin listener.
+// Request handling of the admin server.
 #include "daemon/admin.hpp"
 
 #include <unistd.h>
@@ -11,19 +11,20 @@
 namespace chalkwell::daemon {
 namespace {
 
-constexpr std::size_t kMaxBody = 1024;
-/// Followed by a content digest.
-constexpr std::string_view kLiftPath = "/quarantine/lift?content=";
+constexpr std::size_t kMaxBodyBytes = 1024;
+/// Prefix of the path; the content digest follows.
+constexpr std::string_view kLiftPathPrefix = "/quarantine/lift?content=";
 
-/// Resident memory of this process in bytes.
+/// Resident set size of this process.
 double ResidentBytes() {
   std::ifstream statm("/proc/self/statm");
-  double total = 0;
-  double resident = 0;
-  statm >> total >> resident;
-  return resident * static_cast<double>(sysconf(_SC_PAGESIZE));
+  double total_pages = 0;
+  double resident_pages = 0;
+  statm >> total_pages >> resident_pages;
+  return resident_pages * static_cast<double>(sysconf(_SC_PAGESIZE));
 }
 
+/// Processor time that this process has used.
 double CpuSeconds() {
   timespec used{};
   clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &used);
@@ -58,9 +59,10 @@
       hooks.refresh_();
       exchange->Respond(200, {{"content-type", "text/plain; version=0.0.4"}},
                         metrics.Render());
-    } else if (path.starts_with(kLiftPath) && hooks.lift_quarantine_ &&
+    } else if (path.starts_with(kLiftPathPrefix) && hooks.lift_quarantine_ &&
                exchange->request().method_ == "POST") {
-      const bool lifted = hooks.lift_quarantine_(path.substr(kLiftPath.size()));
+      const bool lifted =
+          hooks.lift_quarantine_(path.substr(kLiftPathPrefix.size()));
       exchange->Respond(lifted ? 200 : 404, text,
                         lifted ? "lifted\n"
                                : "content: no request with this digest is "
@@ -72,7 +74,7 @@
   };
   return std::make_unique<HttpServer>(
       loop,
-      HttpServerSettings{.address_ = address, .max_body_bytes_ = kMaxBody},
+      HttpServerSettings{.address_ = address, .max_body_bytes_ = kMaxBodyBytes},
       std::move(handler));
 }
 
--- a/packages/daemon/src/daemon/admin.hpp
+++ b/packages/daemon/src/daemon/admin.hpp
@@ -1,5 +1,5 @@
-// The admin listener of both daemons: /metrics, /healthz, /readyz, /status, and
-// /quarantine/lift where requests are quarantined.
+// HTTP server for operators in every daemon: /metrics, /healthz, /readyz,
+// /status, and /quarantine/lift in processes that quarantine requests.
 #pragma once
 
 #include <functional>
@@ -11,20 +11,22 @@
 
 namespace chalkwell::daemon {
 
-/// @brief What the admin listener asks of its process.
+/// @brief What the process provides to its admin server.
 struct AdminHooks {
-  /// Empty when ready, else the reason why not.
+  /// Why the process is not ready; empty when it is. Sent by /readyz, with
+  /// status 503 unless empty.
   std::function<std::string()> not_ready_;
-  /// JSON text.
+  /// JSON text, sent by /status.
   std::function<std::string()> status_;
-  /// Called before metrics are rendered, to set gauges.
+  /// Sets gauges; called before metrics are rendered.
   std::function<void()> refresh_;
-  /// Ends the quarantine of a request, by its content digest; false when there
-  /// is none. None for processes without a quarantine.
+  /// Lifts the quarantine of the request with this content digest; false if no
+  /// such request is quarantined. Null in processes without a quarantine.
   std::function<bool(const std::string& content)> lift_quarantine_ = nullptr;
 };
 
-/// @brief Opens the admin listener.
+/// @brief Starts the admin server.
+/// @throws core::Error if the address cannot be bound.
 [[nodiscard]] std::unique_ptr<HttpServer> OpenAdmin(Loop& loop,
                                                     const Address& address,
                                                     Metrics& metrics,
--- a/packages/daemon/src/daemon/main.cpp
+++ b/packages/daemon/src/daemon/main.cpp
@@ -1,4 +1,4 @@
-// chalkwelld: the two daemons, entry and agent.
+// chalkwelld: the daemons `entry` and `agent`.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <iostream>
@@ -21,8 +21,8 @@
 struct Options {
   std::string config_;
   bool check_ = false;
-  /// Name of the adapter to a deployment's platform; empty for the product's
-  /// own interface.
+  /// Name of the adapter to a deployment's platform; empty if the product's own
+  /// interface is used.
   std::string adapter_;
 };
 
@@ -32,17 +32,19 @@
   command->add_option("--config", options.config_, "settings file (INI)")
       ->required();
   command->add_flag("--check", options.check_,
-                    "check the settings, report every fault, and exit");
+                    "check the settings, report all errors, and exit");
   command
       ->add_option("--adapter", options.adapter_,
-                   "serve a deployment's own platform through its adapter")
+                   "name of the adapter to a deployment's own platform")
       ->check(CLI::IsMember({"platform"}));
   return command;
 }
 
-/// Entry or agent that speaks a deployment's platform.
-void RunDirect(chalkwell::daemon::Loop& loop,
-               const chalkwell::daemon::Settings& settings, bool is_entry) {
+/// Runs an entry or agent that uses a deployment's platform through its
+/// adapter.
+void RunWithAdapter(chalkwell::daemon::Loop& loop,
+                    const chalkwell::daemon::Settings& settings,
+                    bool is_entry) {
   namespace direct = chalkwell::daemon::direct;
   using chalkwell::daemon::ParseAddress;
   static chalkwell::daemon::ProcessBase process(loop, settings,
@@ -62,8 +64,10 @@
   }
 }
 
-void RunOwn(chalkwell::daemon::Loop& loop,
-            const chalkwell::daemon::Settings& settings, bool is_entry) {
+/// Runs an entry or agent that uses the product's own interface.
+void RunWithOwnInterface(chalkwell::daemon::Loop& loop,
+                         const chalkwell::daemon::Settings& settings,
+                         bool is_entry) {
   static chalkwell::daemon::Process process(loop, settings,
                                             is_entry ? "entry" : "agent");
   if (is_entry) {
@@ -78,24 +82,26 @@
 int RunDaemon(const Options& options, bool is_entry) {
   using chalkwell::daemon::UsedBy;
   chalkwell::daemon::ReportCrashes();
-  // Until the loop listens for it, a hang-up must not end the process.
+  // SIGHUP must not end the process before the loop handles it.
   std::signal(SIGHUP, SIG_IGN);
-  const bool direct = !options.adapter_.empty();
-  const auto own = is_entry ? UsedBy::kEntry : UsedBy::kAgent;
-  const auto adapted = is_entry ? UsedBy::kDirectEntry : UsedBy::kDirectAgent;
+  const bool has_adapter = !options.adapter_.empty();
+  const auto own_interface = is_entry ? UsedBy::kEntry : UsedBy::kAgent;
+  const auto with_adapter =
+      is_entry ? UsedBy::kDirectEntry : UsedBy::kDirectAgent;
   const auto settings = chalkwell::daemon::Settings::Load(
-      options.config_, direct ? adapted : own);
+      options.config_, has_adapter ? with_adapter : own_interface);
   if (options.check_) {
     std::cout << options.config_ << ": settings are valid\n";
     return 0;
   }
   static chalkwell::daemon::Loop loop;
-  if (direct) {
-    RunDirect(loop, settings, is_entry);
+  if (has_adapter) {
+    RunWithAdapter(loop, settings, is_entry);
   } else {
-    RunOwn(loop, settings, is_entry);
+    RunWithOwnInterface(loop, settings, is_entry);
   }
-  // Connections may still refer to the parts of the process: leave at once.
+  // Connections may still refer to parts of the process, so exit without
+  // destroying static objects.
   std::cout.flush();
   std::_Exit(0);
 }
@@ -103,16 +109,17 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"chalkwelld: serves model requests and rolls model weights"};
-  app.footer("Exit codes: 0 planned stop, 1 failure, 2 faulty settings.");
+  CLI::App app{"chalkwelld: serves model requests and rolls out model weights"};
+  app.footer("Exit codes: 0 graceful shutdown, 1 failure, 2 invalid settings.");
   app.set_version_flag("--version", std::string(chalkwell::daemon::kVersion));
   app.require_subcommand(1);
   Options options;
   auto* entry = AddCommand(
-      app, "entry", "meet callers, route their requests, spread configuration",
+      app, "entry",
+      "accept and route requests of callers, disseminate configuration",
       options);
   AddCommand(app, "agent",
-             "guard one endpoint: fetch and activate weights, run requests",
+             "manage one endpoint: fetch and activate weights, run requests",
              options);
   CLI11_PARSE(app, argc, argv);
   try {
