--- a/bench/burst.cpp
+++ b/bench/burst.cpp
@@ -106,7 +106,7 @@
     std::vector<ReadinessChange> all_changes;
     std::size_t listed_engines = 0;
     for (const auto* engine : engines) {
-      if (engine->domain_ == domain && engine->listed_) {
+      if (engine->domain_ == domain && engine->published_) {
         ++listed_engines;
         const auto engine_changes = ReadReadinessChanges(*engine, since);
         all_changes.insert(all_changes.end(), engine_changes.begin(),
@@ -137,7 +137,7 @@
 
 /// Bytes of weights over a node's link, to and from peers and from the origin.
 double ReadLinkBytes(const Node& node) {
-  std::istringstream lines(fleet::Get(node.admin_, "/metrics").body_);
+  std::istringstream lines(fleet::Get(node.admin_address_, "/metrics").body_);
   double sum = 0;
   for (std::string line; std::getline(lines, line);) {
     if (line.starts_with("chalkwell_peer_bytes_total{") ||
@@ -167,7 +167,7 @@
                                    "--out",
                                    out};
   for (const auto* entry : fleet.Entries()) {
-    command.insert(command.end(), {"--entry", entry->caller_});
+    command.insert(command.end(), {"--entry", entry->caller_address_});
   }
   fleet::Child load(command, fleet.folder() + "/" + name + ".log");
   action();
@@ -242,12 +242,12 @@
 
 int RunBurst(unsigned instances, bool optimizes_time, bool faults) {
   const BurstSizes sizes(instances);
-  const fleet::Scratch scratch;
+  const fleet::TemporaryFolder scratch;
   Fleet fleet(MakeFleetSpec(instances, optimizes_time, scratch.path()));
-  fleet.StartOutside();
+  fleet.StartExternalServices();
   fleet.PublishFleet();
   fleet.Publish("bundle", fleet.MakeBundle(1, 1, 1 << 20, 256 << 10));
-  fleet.StartSystem();
+  fleet.StartNodes();
   if (!fleet.WaitLive(1, 120s)) {
     std::cerr << "version 1 did not become live\n";
     return 1;
@@ -311,7 +311,7 @@
   PrintFigure(name + "wrong_answers" + suffix, burst_load.value("wrong", -1.0));
   double bad_activations = 0;
   for (const auto* engine : engines) {
-    const auto record = fleet::GetJson(engine->backend_, "/control/record");
+    const auto record = fleet::GetJson(engine->backend_address_, "/control/record");
     bad_activations +=
         record.value("bad_orders", 1.0) + record.value("mixed", 1.0);
   }
--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -42,10 +42,10 @@
 
 /// Starts the fleet, waits until version 1 is live, then lets the load settle.
 void StartAndWaitUntilLive(Fleet& fleet) {
-  fleet.StartOutside();
+  fleet.StartExternalServices();
   fleet.PublishFleet();
   fleet.Publish("bundle", fleet.MakeBundle(1, 1, 1 << 20, 256 << 10));
-  fleet.StartSystem();
+  fleet.StartNodes();
   if (!fleet.WaitLive(1, 120s)) {
     throw std::runtime_error("the fleet did not become live");
   }
@@ -133,7 +133,7 @@
 void MeasureByEndpoints() {
   Measurements measurements;
   for (const unsigned engines : {3U, 10U, 30U, 60U}) {
-    const fleet::Scratch scratch;
+    const fleet::TemporaryFolder scratch;
     Fleet fleet(MakeFleetSpec(2, engines, scratch.path()));
     StartAndWaitUntilLive(fleet);
     // Streams of an entry by the default settings: up to 64 to local endpoints
@@ -147,7 +147,7 @@
 void MeasureByEntries() {
   Measurements measurements;
   for (const unsigned entries : {1U, 3U, 6U, 10U}) {
-    const fleet::Scratch scratch;
+    const fleet::TemporaryFolder scratch;
     Fleet fleet(MakeFleetSpec(entries, 5, scratch.path()));
     StartAndWaitUntilLive(fleet);
     measurements.Measure(3.0 * entries, fleet);
@@ -158,7 +158,7 @@
 void MeasureByRows() {
   Measurements measurements;
   for (const std::size_t rows : {0UL, 1000UL, 2000UL, 3400UL}) {
-    const fleet::Scratch scratch;
+    const fleet::TemporaryFolder scratch;
     auto spec = MakeFleetSpec(2, 3, scratch.path());
     spec.entry_settings_ = {{"routing.attach_foreign", "0"}};
     Fleet fleet(spec);
@@ -174,7 +174,7 @@
   Measurements measurements;
   constexpr std::size_t kRows = 3400;
   for (const double rate : {0.0, 0.5, 1.0, 2.0}) {
-    const fleet::Scratch scratch;
+    const fleet::TemporaryFolder scratch;
     auto spec = MakeFleetSpec(3, 20, scratch.path());
     spec.entry_settings_ = {{"routing.attach_foreign", "0"}};
     Fleet fleet(spec);
@@ -217,7 +217,7 @@
   Measurements measurements;
   constexpr std::uint64_t kTokens = 64;
   for (const double requests : {5.0, 20.0, 40.0, 80.0}) {
-    const fleet::Scratch scratch;
+    const fleet::TemporaryFolder scratch;
     Fleet fleet(MakeFleetSpec(1, 2, scratch.path()));
     StartAndWaitUntilLive(fleet);
     std::vector<std::string> command{
@@ -226,7 +226,7 @@
         "--service-share",      "0",     "--tokens",
         std::to_string(kTokens)};
     for (const auto* entry : fleet.Entries()) {
-      command.insert(command.end(), {"--entry", entry->caller_});
+      command.insert(command.end(), {"--entry", entry->caller_address_});
     }
     fleet::Child load(command, fleet.folder() + "/load.log");
     std::this_thread::sleep_for(2s);
@@ -294,7 +294,7 @@
 /// @param one_reader true: the configuration store is reachable from one entry
 /// only, and all others learn changes from peers.
 void MeasureLargeFleet(bool one_reader) {
-  const fleet::Scratch scratch;
+  const fleet::TemporaryFolder scratch;
   auto spec = MakeFleetSpec(10, 66, scratch.path());
   if (one_reader) {
     spec.entry_settings_ = {{"platform.address", "127.0.0.1:9"}};
@@ -307,10 +307,10 @@
                          fleet.platform());
   }
   const auto begin = std::chrono::steady_clock::now();
-  fleet.StartOutside();
+  fleet.StartExternalServices();
   fleet.PublishFleet();
   fleet.Publish("bundle", fleet.MakeBundle(1, 1, 1 << 20, 256 << 10));
-  fleet.StartSystem();
+  fleet.StartNodes();
   if (!fleet.WaitLive(1, 180s)) {
     throw std::runtime_error("the large fleet did not become live");
   }
--- a/bench/demo.cpp
+++ b/bench/demo.cpp
@@ -90,7 +90,7 @@
 bool WaitLiveWithProgress(Fleet& fleet, std::uint64_t version) {
   const auto engines = fleet.Engines();
   const auto listed_engines = static_cast<std::size_t>(std::ranges::count_if(
-      engines, [](const Node* node) { return node->listed_; }));
+      engines, [](const Node* node) { return node->published_; }));
   ProgressDisplay progress;
   return Fleet::WaitFor(
       [&] {
@@ -140,7 +140,7 @@
 std::uint64_t CountRepeatedExecutions(Fleet& fleet) {
   std::map<std::string, std::uint64_t> executed;
   for (auto* node : fleet.Services()) {
-    const auto record = GetJson(node->backend_, "/control/record");
+    const auto record = GetJson(node->backend_address_, "/control/record");
     for (const auto& [id, times] : record["executed"].items()) {
       executed[id] += times.get<std::uint64_t>();
     }
@@ -153,14 +153,14 @@
   const auto& entry = *fleet.Entries().back();
   const auto key = Fleet::CallerKey();
   Print("\nThe fleet keeps running; try:");
-  Print("  curl -N http://" + entry.caller_ +
+  Print("  curl -N http://" + entry.caller_address_ +
         "/v1/chat/completions -H 'authorization: Bearer " + key +
         "' -d '{\"prompt\":\"a pitch by the sea\",\"stream\":true}'");
-  Print("  curl -i http://" + entry.caller_ +
+  Print("  curl -i http://" + entry.caller_address_ +
         "/records/orders -H 'authorization: Bearer " + key +
         "' -d '{\"order\":\"bell 7\"}'");
-  Print("  chalkwell status " + entry.admin_);
-  Print("  curl http://" + entry.admin_ + "/metrics");
+  Print("  chalkwell status " + entry.admin_address_);
+  Print("  curl http://" + entry.admin_address_ + "/metrics");
   Print("Press Ctrl-C to stop all processes.");
 }
 
@@ -231,7 +231,7 @@
                                    "--out",
                                    result_path};
   for (const auto* entry : fleet.Entries()) {
-    command.insert(command.end(), {"--entry", entry->caller_});
+    command.insert(command.end(), {"--entry", entry->caller_address_});
   }
   Print(
       "\nstarting streamed chat completions and plain-service calls, 60 a "
@@ -250,11 +250,11 @@
         " (agent and engine)");
   killed_engine.process_.Signal(SIGKILL);
   killed_engine.backend_process_.Signal(SIGKILL);
-  killed_engine.listed_ = false;
+  killed_engine.published_ = false;
   auto& stopped_entry = *fleet.Entries().at(1);
   Print("stopping entry " + stopped_entry.id_);
   stopped_entry.process_.Signal(SIGTERM);
-  stopped_entry.listed_ = false;
+  stopped_entry.published_ = false;
   fleet.PublishInstances();
 
   if (!WaitLiveWithProgress(fleet, 2)) {
@@ -289,9 +289,9 @@
   auto public_key = ReadAll(folder + "/operator.key.pub");
   public_key.pop_back();
   const auto fleet = MakeFleet(folder, public_key);
-  fleet->StartOutside();
+  fleet->StartExternalServices();
   fleet->PublishFleet();
-  fleet->StartSystem();
+  fleet->StartNodes();
   Print("creating, signing and publishing bundle 1");
   MakeBundle(*fleet, 1);
   const auto first_published = std::chrono::steady_clock::now();
@@ -323,7 +323,7 @@
 
 int main() {
   try {
-    const chalkwell::fleet::Scratch scratch;
+    const chalkwell::fleet::TemporaryFolder scratch;
     return RunDemo(scratch.path(), std::getenv("KEEP") != nullptr);
   } catch (const std::exception& error) {
     std::cerr << "demo: FAILED: " << error.what() << "\n";
--- a/bench/requests.cpp
+++ b/bench/requests.cpp
@@ -90,11 +90,11 @@
       adjust_spec(spec);
     }
     fleet_ = std::make_unique<Fleet>(std::move(spec));
-    fleet_->StartOutside();
+    fleet_->StartExternalServices();
     fleet_->PublishFleet();
     PublishAccounts(*fleet_);
     fleet_->Publish("bundle", fleet_->MakeBundle(1, 1, 1 << 20, 256 << 10));
-    fleet_->StartSystem();
+    fleet_->StartNodes();
     if (!fleet_->WaitLive(1, 60s) || !fleet_->WaitEntriesReady(20s)) {
       throw std::runtime_error("the fleet did not become live");
     }
@@ -134,7 +134,7 @@
           "--out",
           result_paths.back()};
       for (const auto* entry : fleet_->Entries()) {
-        command.insert(command.end(), {"--entry", entry->caller_});
+        command.insert(command.end(), {"--entry", entry->caller_address_});
       }
       loads.emplace_back(command, result_paths.back() + ".log");
     }
@@ -165,7 +165,7 @@
   }
 
  private:
-  fleet::Scratch scratch_;
+  fleet::TemporaryFolder scratch_;
   std::unique_ptr<Fleet> fleet_;
   unsigned run_count_ = 0;
   std::chrono::duration<double> run_duration_{};
@@ -196,7 +196,7 @@
 double ReadCancelledRuns(Fleet& fleet) {
   double sum = 0;
   for (const auto* engine : fleet.Engines()) {
-    const auto record = fleet::GetJson(engine->backend_, "/control/record");
+    const auto record = fleet::GetJson(engine->backend_address_, "/control/record");
     sum += record.value("cancelled", 0.0);
   }
   return sum;
@@ -255,7 +255,7 @@
 double ReadOfferedRuns(Fleet& fleet) {
   double sum = 0;
   for (const auto* engine : fleet.Engines()) {
-    const auto record = fleet::GetJson(engine->backend_, "/control/record");
+    const auto record = fleet::GetJson(engine->backend_address_, "/control/record");
     sum += record.value("offered", 0.0);
   }
   return sum;
@@ -281,7 +281,7 @@
     });
     const auto engines = bench.fleet().Engines();
     for (const std::size_t i : {0, 1}) {
-      (void)fleet::Post(engines.at(i)->backend_,
+      (void)fleet::Post(engines.at(i)->backend_address_,
                         "/control/switches?fail_percent=50", "");
     }
     const auto offered_before = ReadOfferedRuns(bench.fleet());
--- a/bench/usage.cpp
+++ b/bench/usage.cpp
@@ -27,7 +27,7 @@
 }  // namespace
 
 ProcessUsage ReadProcessUsage(const fleet::Node& node) {
-  const auto metrics_text = fleet::Get(node.admin_, "/metrics").body_;
+  const auto metrics_text = fleet::Get(node.admin_address_, "/metrics").body_;
   return {
       .cpu_seconds_ = SumMetric(metrics_text, "chalkwell_cpu_seconds"),
       .resident_bytes_ = SumMetric(metrics_text, "chalkwell_resident_bytes"),
--- a/packages/chalkwell/src/chalkwell/bundle/signature.cpp
+++ b/packages/chalkwell/src/chalkwell/bundle/signature.cpp
@@ -135,7 +135,7 @@
                                      std::string_view context) const {
   const auto key = keys_.find(envelope.key_id_);
   if (key == keys_.end()) {
-    return SignatureVerdict::kUnknownKey;
+    return SignatureVerdict::kUntrustedKey;
   }
   const std::string bytes = SignedBytes(context, envelope.payload_);
   const bool valid =
--- a/packages/chalkwell/src/chalkwell/bundle/signature.hpp
+++ b/packages/chalkwell/src/chalkwell/bundle/signature.hpp
@@ -63,7 +63,7 @@
 [[nodiscard]] SignedEnvelope ParseEnvelope(std::string_view text);
 
 /// @brief Result of verifying a signature.
-enum class SignatureVerdict : std::uint8_t { kValid, kUnknownKey, kInvalid };
+enum class SignatureVerdict : std::uint8_t { kValid, kUntrustedKey, kInvalid };
 
 /// @brief The set of keys whose signatures are accepted.
 class TrustedKeys {
--- a/packages/chalkwell/src/chalkwell/config/accepted_documents.cpp
+++ b/packages/chalkwell/src/chalkwell/config/accepted_documents.cpp
@@ -34,7 +34,7 @@
       return "conflict";
     case Verdict::kMalformed:
       return "malformed";
-    case Verdict::kUnknownKey:
+    case Verdict::kUntrustedSigningKey:
       return "unknown key";
     case Verdict::kWrongSignature:
       return "wrong signature";
@@ -84,8 +84,8 @@
   return bundle_ ? &*bundle_ : nullptr;
 }
 
-AcceptedDocuments::Stamps AcceptedDocuments::stamps() const {
-  Stamps versions;
+AcceptedDocuments::Versions AcceptedDocuments::versions() const {
+  Versions versions;
   for (const auto& [key, entry] : entries_) {
     versions.emplace(key, entry.version_);
   }
@@ -93,7 +93,7 @@
 }
 
 std::vector<Document> AcceptedDocuments::NewerThan(
-    const Stamps& peer_versions) const {
+    const Versions& peer_versions) const {
   std::vector<Document> newer;
   for (const auto& [key, entry] : entries_) {
     const auto known = peer_versions.find(key);
@@ -107,7 +107,7 @@
   return newer;
 }
 
-bool AcceptedDocuments::IsBehind(const Stamps& peer_versions) const {
+bool AcceptedDocuments::IsBehind(const Versions& peer_versions) const {
   for (const auto& [key, version] : peer_versions) {
     const auto entry = entries_.find(key);
     if (entry == entries_.end() || entry->second.version_ < version) {
@@ -170,8 +170,8 @@
   const auto verdict = faults_.skip_signature_
                            ? bundle::SignatureVerdict::kValid
                            : trusted_.Verify(envelope, context);
-  if (verdict == bundle::SignatureVerdict::kUnknownKey) {
-    result.acceptance_ = {Verdict::kUnknownKey,
+  if (verdict == bundle::SignatureVerdict::kUntrustedKey) {
+    result.acceptance_ = {Verdict::kUntrustedSigningKey,
                           "signed by untrusted key " + envelope.key_id_};
     return;
   }
--- a/packages/chalkwell/src/chalkwell/config/accepted_documents.hpp
+++ b/packages/chalkwell/src/chalkwell/config/accepted_documents.hpp
@@ -68,7 +68,7 @@
   /// Cannot be parsed, violates a rule, or its document key is unknown.
   kMalformed,
   /// Signed with a key that is not trusted.
-  kUnknownKey,
+  kUntrustedSigningKey,
   kWrongSignature,
 };
 
@@ -94,7 +94,7 @@
 /// from the configuration store: the store itself may return stale data.
 class AcceptedDocuments {
  public:
-  using Stamps = std::map<std::string, DocumentVersion>;
+  using Versions = std::map<std::string, DocumentVersion>;
 
   /// @param trusted keys from the settings: the root of trust.
   explicit AcceptedDocuments(const std::vector<bundle::PublicKey>& trusted,
@@ -107,13 +107,13 @@
   /// @brief The accepted bundle, or null.
   [[nodiscard]] const bundle::Bundle* AcceptedBundle() const noexcept;
   /// @brief Versions of all accepted documents by key, to be sent to a peer.
-  [[nodiscard]] Stamps stamps() const;
+  [[nodiscard]] Versions versions() const;
   /// @brief Accepted documents that are newer than the peer's. The list of
   /// trusted keys comes first: it may be needed to verify the others.
   [[nodiscard]] std::vector<Document> NewerThan(
-      const Stamps& peer_versions) const;
+      const Versions& peer_versions) const;
   /// @brief Whether the peer has a document that is newer or unknown here.
-  [[nodiscard]] bool IsBehind(const Stamps& peer_versions) const;
+  [[nodiscard]] bool IsBehind(const Versions& peer_versions) const;
 
   /// @brief Accepts the document if it is valid and newer.
   [[nodiscard]] Acceptance Apply(const Document& document);
--- a/packages/chalkwell/src/chalkwell/config/published_lists.cpp
+++ b/packages/chalkwell/src/chalkwell/config/published_lists.cpp
@@ -42,7 +42,7 @@
   instance.id_ = core::InstanceId(RequireString(entry, "id"));
   instance.kind_ = ParseKind(RequireString(entry, "kind"));
   instance.domain_ = core::FailureDomainId(RequireString(entry, "domain"));
-  instance.peer_ = RequireString(entry, "peer");
+  instance.peer_address_ = RequireString(entry, "peer");
   instance.leaving_ = OptionalFlag(entry, "leaving", false);
   instance.checks_fencing_ = OptionalFlag(entry, "checks_fencing", true);
   if (instance.kind_ == InstanceKind::kEndpoint) {
--- a/packages/chalkwell/src/chalkwell/config/published_lists.hpp
+++ b/packages/chalkwell/src/chalkwell/config/published_lists.hpp
@@ -31,7 +31,7 @@
   /// Endpoints only.
   BackendKind backend_ = BackendKind::kEngine;
   /// Address at which this instance accepts connections of peers, "ip:port".
-  std::string peer_;
+  std::string peer_address_;
   /// The instance is draining: the platform is about to terminate it.
   bool leaving_ = false;
   /// The engine refuses activation orders with a stale fencing number.
--- a/packages/chalkwell/src/chalkwell/config/traffic_rules.hpp
+++ b/packages/chalkwell/src/chalkwell/config/traffic_rules.hpp
@@ -65,7 +65,7 @@
 
   /// @brief Whether a request may be retried after an attempt that may have
   /// run.
-  [[nodiscard]] bool repeatable() const noexcept {
+  [[nodiscard]] bool may_retry() const noexcept {
     return repeatability_ == Repeatability::kIdempotent ||
            (streaming_ && resumable_);
   }
@@ -124,9 +124,9 @@
   std::size_t header_bytes_ = std::size_t{16} << 10;
   std::size_t body_bytes_ = std::size_t{1} << 20;
   /// Time limit from the first byte of a request to the end of its body.
-  core::Duration header_time_ = std::chrono::seconds(5);
+  core::Duration request_read_timeout_ = std::chrono::seconds(5);
   /// A connection without a request for this long is closed.
-  core::Duration idle_time_ = std::chrono::seconds(30);
+  core::Duration idle_timeout_ = std::chrono::seconds(30);
 };
 
 /// @brief All rules of one version.
--- a/packages/chalkwell/src/chalkwell/core/event.cpp
+++ b/packages/chalkwell/src/chalkwell/core/event.cpp
@@ -47,7 +47,7 @@
      "This process started or stopped watching published documents for its "
      "failure domain.",
      "None."},
-    {kRulesInForce, kInfo, "rules-in-force",
+    {kRulesActivated, kInfo, "rules-in-force",
      "A newer version of routes, services, accounts and limits is active.",
      "None."},
     {kEndpointsChanged, kInfo, "endpoints-changed",
@@ -93,7 +93,7 @@
      "A chunk request failed or timed out; another source is tried.", "None."},
     {kFetchAbandoned, kInfo, "fetch-abandoned",
      "A fetch was abandoned in favour of a newer bundle.", "None."},
-    {kOriginFetched, kDebug, "origin-drawn",
+    {kOriginFetchStarted, kDebug, "origin-drawn",
      "A chunk was fetched from the weight store or, without one or if it "
      "failed, from the origin.",
      "None."},
@@ -167,17 +167,17 @@
      "If it recurs at one endpoint, check that endpoint."},
     {kRequestEnded, kInfo, "request-ended",
      "An admitted request ended; the fields give its outcome.", "None."},
-    {kCallerGone, kInfo, "caller-gone",
+    {kCallerDisconnected, kInfo, "caller-gone",
      "A caller disconnected before its response was complete; its run is "
      "cancelled.",
      "None."},
-    {kCallerLimit, kInfo, "caller-limit",
+    {kRequestLimitViolated, kInfo, "caller-limit",
      "A request violated a limit on size, time or format.",
      "Raise the active limit if such requests should be allowed."},
     {kEndpointCrashed, kWarning, "endpoint-crashed",
      "An endpoint's process ended while requests were in flight there.",
      "Check the endpoint, unless request-standing names a suspected request."},
-    {kRequestStanding, kWarning, "request-standing",
+    {kRequestSuspicionChanged, kWarning, "request-standing",
      "A request was suspected of crashing endpoints, quarantined, or cleared; "
      "the field `crashes` lists each crash with the entry that observed it.",
      "Find its caller by the field `content` of the request-sent lines; lift a "
--- a/packages/chalkwell/src/chalkwell/membership/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/fwd.hpp
@@ -6,7 +6,7 @@
 
 namespace chalkwell::membership {
 
-class Roster;
+class ListedEndpoints;
 struct EndpointReport;
 struct EndpointView;
 class SuspensionDetector;
--- a/packages/chalkwell/src/chalkwell/membership/roster.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/listed_endpoints.cpp
@@ -1,6 +1,6 @@
 // Availability of endpoints: leases, probes, failure rates and circuit
 // breakers.
-#include "chalkwell/membership/roster.hpp"
+#include "chalkwell/membership/listed_endpoints.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -16,26 +16,26 @@
 
 }  // namespace
 
-Roster::Roster(RosterSettings settings, RosterFaults faults)
+ListedEndpoints::ListedEndpoints(ListedEndpointsSettings settings, ListedEndpointsFaults faults)
     : settings_(settings), faults_(faults) {}
 
-const EndpointView* Roster::Find(const core::InstanceId& id) const {
+const EndpointView* ListedEndpoints::Find(const core::InstanceId& id) const {
   const auto found = endpoints_.find(id);
   return found == endpoints_.end() ? nullptr : &found->second;
 }
 
-bool Roster::MayTakeWork(const EndpointView& view, core::TimePoint now) const {
+bool ListedEndpoints::MayTakeWork(const EndpointView& view, core::TimePoint now) const {
   const bool within_lease = view.connected_ && view.report_ &&
                             now - view.last_report_at_ <= settings_.lease_;
   const bool leaving =
       view.report_ && (view.report_->leaving_ || view.instance_.leaving_);
-  if (leaving && !faults_.ignore_leaving_) {
+  if (leaving && !faults_.ignore_draining_) {
     return false;
   }
   return within_lease && view.report_->ready_ && now >= view.open_until_;
 }
 
-std::vector<const EndpointView*> Roster::Available(const core::Role& role,
+std::vector<const EndpointView*> ListedEndpoints::Available(const core::Role& role,
                                                    core::TimePoint now) const {
   std::vector<const EndpointView*> available;
   std::vector<const EndpointView*> unresponsive;
@@ -58,41 +58,41 @@
   return available;
 }
 
-bool Roster::HasHighFailureRate(const EndpointView& view) const noexcept {
+bool ListedEndpoints::HasHighFailureRate(const EndpointView& view) const noexcept {
   return view.failure_rate_ >= settings_.high_failure_rate_;
 }
 
-bool Roster::IsUnresponsive(const EndpointView& view,
+bool ListedEndpoints::IsUnresponsive(const EndpointView& view,
                             core::TimePoint now) const noexcept {
   return view.probed_at_ && now - *view.probed_at_ > settings_.probe_timeout_;
 }
 
-void Roster::OnProbed(const core::InstanceId& id, core::TimePoint now) {
+void ListedEndpoints::OnProbed(const core::InstanceId& id, core::TimePoint now) {
   const auto found = endpoints_.find(id);
   if (found != endpoints_.end() && !found->second.probed_at_) {
     found->second.probed_at_ = now;
   }
 }
 
-void Roster::OnReceived(const core::InstanceId& id) {
+void ListedEndpoints::OnReceived(const core::InstanceId& id) {
   const auto found = endpoints_.find(id);
   if (found != endpoints_.end()) {
     found->second.probed_at_.reset();
   }
 }
 
-std::uint64_t Roster::MaxInFlight(const EndpointView& view) {
+std::uint64_t ListedEndpoints::MaxInFlight(const EndpointView& view) {
   if (!view.report_) {
     return 1;
   }
-  const auto sharers = std::max<std::uint64_t>(1, view.report_->sharers_);
+  const auto sharers = std::max<std::uint64_t>(1, view.report_->active_entries_);
   const auto numerator = view.report_->capacity_ * kInFlightPercent;
   const auto denominator = 100 * sharers;
   return std::max<std::uint64_t>(1,
                                  (numerator + denominator - 1) / denominator);
 }
 
-std::optional<std::uint64_t> Roster::RemainingRequests(
+std::optional<std::uint64_t> ListedEndpoints::RemainingRequests(
     const core::Role& role, core::TimePoint now) const {
   const auto available = Available(role, now);
   if (available.empty()) {
@@ -106,16 +106,16 @@
   return remaining;
 }
 
-void Roster::OnLoad(const core::InstanceId& id, std::uint64_t load,
+void ListedEndpoints::OnLoad(const core::InstanceId& id, std::uint64_t load,
                     std::uint64_t sharers) {
   const auto found = endpoints_.find(id);
   if (found != endpoints_.end() && found->second.report_ && sharers > 0) {
     found->second.report_->load_ = load;
-    found->second.report_->sharers_ = sharers;
+    found->second.report_->active_entries_ = sharers;
   }
 }
 
-void Roster::SetInstances(const std::vector<config::Instance>& instances) {
+void ListedEndpoints::SetInstances(const std::vector<config::Instance>& instances) {
   std::map<core::InstanceId, EndpointView> next;
   for (const auto& instance : instances) {
     if (instance.kind_ != config::InstanceKind::kEndpoint) {
@@ -123,7 +123,7 @@
     }
     auto known = endpoints_.extract(instance.id_);
     auto& view = next[instance.id_];
-    if (!known.empty() && known.mapped().instance_.peer_ == instance.peer_) {
+    if (!known.empty() && known.mapped().instance_.peer_address_ == instance.peer_address_) {
       view = std::move(known.mapped());
     }
     view.instance_ = instance;
@@ -131,7 +131,7 @@
   endpoints_ = std::move(next);
 }
 
-void Roster::OnConnected(const core::InstanceId& id, core::TimePoint now) {
+void ListedEndpoints::OnConnected(const core::InstanceId& id, core::TimePoint now) {
   const auto found = endpoints_.find(id);
   if (found != endpoints_.end()) {
     found->second.connected_ = true;
@@ -140,14 +140,14 @@
   }
 }
 
-void Roster::OnDisconnected(const core::InstanceId& id) {
+void ListedEndpoints::OnDisconnected(const core::InstanceId& id) {
   const auto found = endpoints_.find(id);
   if (found != endpoints_.end()) {
     found->second.connected_ = false;
   }
 }
 
-bool Roster::OnReport(const core::InstanceId& id, const EndpointReport& report,
+bool ListedEndpoints::OnReport(const core::InstanceId& id, const EndpointReport& report,
                       core::TimePoint now) {
   const auto found = endpoints_.find(id);
   if (found == endpoints_.end()) {
@@ -168,7 +168,7 @@
   return true;
 }
 
-void Roster::OnRequestSent(const core::InstanceId& id, core::TimePoint now) {
+void ListedEndpoints::OnRequestSent(const core::InstanceId& id, core::TimePoint now) {
   const auto found = endpoints_.find(id);
   if (found != endpoints_.end()) {
     ++found->second.in_flight_;
@@ -176,7 +176,7 @@
   }
 }
 
-void Roster::OnRequestEnded(const core::InstanceId& id, bool failed,
+void ListedEndpoints::OnRequestEnded(const core::InstanceId& id, bool failed,
                             core::TimePoint now) {
   const auto found = endpoints_.find(id);
   if (found == endpoints_.end()) {
--- a/packages/chalkwell/src/chalkwell/membership/roster.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/listed_endpoints.hpp
@@ -30,7 +30,7 @@
   /// Number of requests that it can run at once.
   std::uint64_t capacity_ = 1;
   /// Entries that recently sent requests to it, as counted by the endpoint.
-  std::uint64_t sharers_ = 1;
+  std::uint64_t active_entries_ = 1;
 };
 
 /// @brief State of one endpoint as known to this entry.
@@ -58,7 +58,7 @@
   core::TimePoint open_until_;
 };
 
-struct RosterSettings {
+struct ListedEndpointsSettings {
   /// An endpoint that sent no report for this long gets no work.
   core::Duration lease_ = std::chrono::seconds(3);
   /// An endpoint that leaves a probe unanswered for this long is used only if
@@ -74,15 +74,15 @@
 };
 
 /// @brief Faults that tests inject to show that their checks detect them.
-struct RosterFaults {
-  bool ignore_leaving_ = false;
+struct ListedEndpointsFaults {
+  bool ignore_draining_ = false;
   bool accept_old_incarnation_ = false;
 };
 
 /// @brief Endpoints as known to one entry.
-class Roster {
+class ListedEndpoints {
  public:
-  explicit Roster(RosterSettings settings = {}, RosterFaults faults = {});
+  explicit ListedEndpoints(ListedEndpointsSettings settings = {}, ListedEndpointsFaults faults = {});
 
   [[nodiscard]] const EndpointView* Find(const core::InstanceId& id) const;
   [[nodiscard]] const std::map<core::InstanceId, EndpointView>& endpoints()
@@ -139,8 +139,8 @@
   [[nodiscard]] bool IsUnresponsive(const EndpointView& view,
                                     core::TimePoint now) const noexcept;
 
-  RosterSettings settings_;
-  RosterFaults faults_;
+  ListedEndpointsSettings settings_;
+  ListedEndpointsFaults faults_;
   /// Only endpoints in the published list.
   std::map<core::InstanceId, EndpointView> endpoints_;
 };
--- a/packages/chalkwell/src/chalkwell/rollout/activation.cpp
+++ b/packages/chalkwell/src/chalkwell/rollout/activation.cpp
@@ -269,7 +269,7 @@
   }
 }
 
-Actions Activation::OnOrderAnswered(core::TimePoint now) {
+Actions Activation::OnOrderReply(core::TimePoint now) {
   Actions actions;
   if (phase_ == Phase::kAwaitingReply) {
     phase_ = Phase::kConfirming;
--- a/packages/chalkwell/src/chalkwell/rollout/activation.hpp
+++ b/packages/chalkwell/src/chalkwell/rollout/activation.hpp
@@ -174,7 +174,7 @@
   [[nodiscard]] Actions OnDrained(core::TimePoint now);
   /// @brief The engine replied to a claim or an activation order, with success
   /// or failure: the engine's state, queried next, decides.
-  [[nodiscard]] Actions OnOrderAnswered(core::TimePoint now);
+  [[nodiscard]] Actions OnOrderReply(core::TimePoint now);
   /// @brief The process was suspended for longer than the lease of the reported
   /// engine state.
   [[nodiscard]] Actions OnSuspension(core::TimePoint now);
--- a/packages/chalkwell/src/chalkwell/swarm/origin_progress.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/availability_forecast.cpp
@@ -1,5 +1,5 @@
 // The rate is measured over the last second.
-#include "chalkwell/swarm/origin_progress.hpp"
+#include "chalkwell/swarm/availability_forecast.hpp"
 
 #include <chrono>
 
@@ -12,13 +12,13 @@
 
 }  // namespace
 
-void OriginProgress::Start(std::size_t chunks, core::TimePoint now) {
+void AvailabilityForecast::Start(std::size_t chunks, core::TimePoint now) {
   chunks_ = chunks;
   started_ = now;
   samples_.clear();
 }
 
-void OriginProgress::OnAvailable(std::size_t available, core::TimePoint now) {
+void AvailabilityForecast::OnAvailable(std::size_t available, core::TimePoint now) {
   if (samples_.empty() || available != samples_.back().available_) {
     samples_.push_back({now, available});
   }
@@ -27,11 +27,11 @@
   }
 }
 
-bool OriginProgress::HasRate(core::TimePoint now) const {
+bool AvailabilityForecast::HasRate(core::TimePoint now) const {
   return now - started_ >= kSamplingWindow;
 }
 
-std::optional<core::Duration> OriginProgress::TimeLeft(
+std::optional<core::Duration> AvailabilityForecast::TimeLeft(
     core::TimePoint now) const {
   if (chunks_ == 0 || samples_.empty()) {
     return std::nullopt;
--- a/packages/chalkwell/src/chalkwell/swarm/origin_progress.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/availability_forecast.hpp
@@ -12,7 +12,7 @@
 
 /// @brief Number of chunks of one version that some member holds, over time,
 /// whether fetched from the origin or from a peer.
-class OriginProgress {
+class AvailabilityForecast {
  public:
   /// @brief Starts a fetch and discards earlier samples.
   /// @param chunks number of chunks of the version; 0 while its manifest is not
--- a/packages/chalkwell/src/chalkwell/swarm/fwd.hpp
+++ b/packages/chalkwell/src/chalkwell/swarm/fwd.hpp
@@ -12,7 +12,7 @@
 class Assembly;
 class FetchWindow;
 class OlderVersionChunks;
-class OriginProgress;
+class AvailabilityForecast;
 struct FetchRequest;
 struct PlannerSettings;
 
--- a/packages/cli/src/cli/bundle_commands.cpp
+++ b/packages/cli/src/cli/bundle_commands.cpp
@@ -279,7 +279,7 @@
   int errors = 0;
   if (verdict != bundle::SignatureVerdict::kValid) {
     ++errors;
-    std::cout << (verdict == bundle::SignatureVerdict::kUnknownKey
+    std::cout << (verdict == bundle::SignatureVerdict::kUntrustedKey
                       ? "signed by a key that is not trusted: "
                       : "signature does not match the bundle: ")
               << envelope.key_id_ << "\n";
--- a/packages/cli/src/cli/inspect_commands.cpp
+++ b/packages/cli/src/cli/inspect_commands.cpp
@@ -103,7 +103,7 @@
                  loop.Stop();
                });
   loop.Run();
-  if (response.end_ != daemon::HttpEnd::kWhole) {
+  if (response.end_ != daemon::HttpEnd::kComplete) {
     throw core::Error(core::Step::kConnect, address,
                       "no response from the entry's admin server");
   }
--- a/packages/daemon/src/daemon/admin.cpp
+++ b/packages/daemon/src/daemon/admin.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-std::unique_ptr<HttpServer> OpenAdmin(Loop& loop, const Address& address,
+std::unique_ptr<HttpServer> MakeAdminServer(Loop& loop, const Address& address,
                                       Metrics& metrics, AdminHooks hooks) {
   auto handler = [&metrics,
                   hooks = std::move(hooks)](const HttpExchangePtr& exchange) {
@@ -43,20 +43,20 @@
     if (path == "/healthz") {
       exchange->Respond(200, text, "ok\n");
     } else if (path == "/readyz") {
-      const auto reason = hooks.not_ready_();
+      const auto reason = hooks.not_ready_reason_();
       exchange->Respond(reason.empty() ? 200 : 503, text,
                         reason.empty() ? "ready\n" : reason + "\n");
     } else if (path == "/status") {
       exchange->Respond(200, {{"content-type", "application/json"}},
-                        hooks.status_());
+                        hooks.status_json_());
     } else if (path == "/metrics") {
       metrics.Set("resident_bytes", {}, ResidentBytes());
       metrics.Set("cpu_seconds", {}, CpuSeconds());
       metrics.Set("peer_transport_bytes", {{"way", "in"}},
-                  static_cast<double>(internal::Totals().in_));
+                  static_cast<double>(internal::TotalTransportBytes().received_bytes_));
       metrics.Set("peer_transport_bytes", {{"way", "out"}},
-                  static_cast<double>(internal::Totals().out_));
-      hooks.refresh_();
+                  static_cast<double>(internal::TotalTransportBytes().sent_bytes_));
+      hooks.update_gauges_();
       exchange->Respond(200, {{"content-type", "text/plain; version=0.0.4"}},
                         metrics.Render());
     } else if (path.starts_with(kLiftPathPrefix) && hooks.lift_quarantine_ &&
--- a/packages/daemon/src/daemon/agent.cpp
+++ b/packages/daemon/src/daemon/agent.cpp
@@ -48,7 +48,7 @@
       has_engine_(process.settings().Text("endpoint", "kind") == "engine"),
       capacity_(process.settings().Number("endpoint", "capacity")),
       role_(process.settings().Text("endpoint", "role")),
-      engine_(process.http(),
+      engine_(process.http_client(),
               ParseAddress(process.settings().Text("endpoint", "backend"))),
       activation_({.lease_ = process.settings().Milliseconds("rollout",
                                                              "pause_lease_ms"),
@@ -84,15 +84,15 @@
       settings.Number("endpoint", "max_body_bytes"),
       [this](const PeerCallPtr& call) { OnPeerCall(call); });
   admin_server_ =
-      OpenAdmin(process_.loop(), ParseAddress(settings.Text("listen", "admin")),
+      MakeAdminServer(process_.loop(), ParseAddress(settings.Text("listen", "admin")),
                 process_.metrics(),
-                {.not_ready_ =
+                {.not_ready_reason_ =
                      [this] {
                        return CurrentState().accepting_ ? std::string{}
                                                         : "accepts no work";
                      },
-                 .status_ = [this] { return StatusJson(); },
-                 .refresh_ =
+                 .status_json_ = [this] { return StatusJson(); },
+                 .update_gauges_ =
                      [this] {
                        process_.metrics().Set(
                            "requests_in_flight", {},
@@ -132,7 +132,7 @@
     if (path == kRunPath) {
       run_handler_->Handle(call);
     } else if (path == kSyncPath) {
-      (void)process_.AnswerSync(call);
+      (void)process_.HandleSync(call);
       last_entry_contact_ = process_.loop().Now();
     } else if (path == kAttachPath) {
       OnAttach(call);
@@ -144,7 +144,7 @@
       call->Respond(404, "unknown call");
     }
   } catch (const std::exception& error) {
-    process_.AnswerError(call, error);
+    process_.RespondError(call, error);
   }
 }
 
@@ -196,7 +196,7 @@
 }
 
 EndpointState Agent::CurrentState() const {
-  if (!process_.stop().accepting()) {
+  if (!process_.shutdown().accepting()) {
     return {};
   }
   if (!has_engine_) {
@@ -267,7 +267,7 @@
   process_.log().Write(core::EventNumber::kEngineClaimed,
                        {{"fence", std::to_string(claim.fence_)}});
   engine_.Claim(claim, role_, [this](bool) {
-    Perform(activation_.OnOrderAnswered(process_.loop().Now()));
+    Perform(activation_.OnOrderReply(process_.loop().Now()));
   });
 }
 
@@ -275,7 +275,7 @@
   for (const auto& instance : process_.config().instances()) {
     if (instance.id_ == process_.id()) {
       activation_.SetChecksFencing(instance.checks_fencing_);
-      activation_.SetListed(instance.peer_ == AdvertisedAddress());
+      activation_.SetListed(instance.peer_address_ == AdvertisedAddress());
     }
   }
 }
@@ -307,7 +307,7 @@
     if (!accepted) {
       process_.log().Write(core::EventNumber::kOrderRefused);
     }
-    Perform(activation_.OnOrderAnswered(process_.loop().Now()));
+    Perform(activation_.OnOrderReply(process_.loop().Now()));
   });
 }
 
@@ -369,7 +369,7 @@
     last_entry_contact_ = now;
   } else if (now - last_entry_contact_ > isolation_timeout_) {
     last_entry_contact_ = now;
-    process_.platform().ReadOnce();
+    process_.store_reader().ReadOnce();
   }
 }
 
--- a/packages/daemon/src/daemon/agent.hpp
+++ b/packages/daemon/src/daemon/agent.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "chalkwell/membership/roster.hpp"
+#include "chalkwell/membership/listed_endpoints.hpp"
 #include "chalkwell/rollout/activation.hpp"
 #include "chalkwell/rollout/rollout_slots.hpp"
 #include "daemon/engine_client.hpp"
--- a/packages/daemon/src/daemon/agent_links.cpp
+++ b/packages/daemon/src/daemon/agent_links.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "chalkwell/membership/role_assignment.hpp"
-#include "daemon/config_spreader.hpp"
+#include "daemon/config_dissemination.hpp"
 
 namespace chalkwell::daemon {
 namespace {
@@ -22,13 +22,13 @@
 
 }  // namespace
 
-AgentLinks::AgentLinks(Loop& loop, AgentLinkSettings settings, ConfigNode& node,
+AgentLinks::AgentLinks(Loop& loop, AgentLinkSettings settings, ConfigReplica& node,
                        EventLog& log)
     : loop_(loop),
       settings_(std::move(settings)),
       node_(node),
       log_(log),
-      roster_(membership::RosterSettings{
+      roster_(membership::ListedEndpointsSettings{
           .lease_ = kReportLease,
           .breaker_failures_ = 5,
           .breaker_time_ = std::chrono::seconds(2)}) {
@@ -46,7 +46,7 @@
   return link == links_.end() ? nullptr : link->second.connection_;
 }
 
-std::optional<routing::ExecutionTicket> AgentLinks::MintTicket(
+std::optional<routing::ExecutionTicket> AgentLinks::IssueTicket(
     const core::InstanceId& id) {
   const auto link = links_.find(id);
   if (link == links_.end() || !link->second.issuer_) {
@@ -71,7 +71,7 @@
   std::set<core::InstanceId> selected_ids;
   for (const auto& [group, ids] : groups) {
     const auto limit =
-        group.second ? settings_.attach_ : settings_.attach_foreign_;
+        group.second ? settings_.local_links_per_role_ : settings_.remote_links_per_role_;
     for (auto& id :
          membership::HighestRanked(node_.self().value(), ids, limit)) {
       selected_ids.insert(std::move(id));
@@ -94,12 +94,12 @@
     auto existing = links_.extract(instance.id_);
     auto& link = next[instance.id_];
     if (!existing.empty() &&
-        existing.mapped().instance_.peer_ == instance.peer_) {
+        existing.mapped().instance_.peer_address_ == instance.peer_address_) {
       link = std::move(existing.mapped());
     } else {
       link.connection_ = std::make_shared<PeerConnection>(
-          loop_, ParseAddress(instance.peer_), settings_.connection_);
-      link.connection_->OnProbe([this, id = instance.id_](bool unanswered) {
+          loop_, ParseAddress(instance.peer_address_), settings_.connection_);
+      link.connection_->OnPing([this, id = instance.id_](bool unanswered) {
         if (unanswered) {
           roster_.OnProbed(id, loop_.Now());
         } else {
@@ -166,7 +166,7 @@
        .bundle_version_ = frame.bundle_version_,
        .load_ = frame.load_,
        .capacity_ = std::max<std::uint64_t>(1, frame.capacity_),
-       .sharers_ = std::max<std::uint64_t>(1, frame.sharers_)},
+       .active_entries_ = std::max<std::uint64_t>(1, frame.sharers_)},
       now);
   if (!accepted) {
     return;
--- a/packages/daemon/src/daemon/agent_links.hpp
+++ b/packages/daemon/src/daemon/agent_links.hpp
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "chalkwell/membership/roster.hpp"
+#include "chalkwell/membership/listed_endpoints.hpp"
 #include "chalkwell/routing/execution_ticket.hpp"
-#include "daemon/config_node.hpp"
+#include "daemon/config_replica.hpp"
 #include "daemon/loop.hpp"
 #include "daemon/peer_connection.hpp"
 
@@ -23,9 +23,9 @@
   core::FailureDomainId domain_;
   /// Maximum number of endpoints of each role in the local failure domain to
   /// keep streams to.
-  std::size_t attach_ = 64;
+  std::size_t local_links_per_role_ = 64;
   /// The same for endpoints of remote failure domains, taken together.
-  std::size_t attach_foreign_ = 16;
+  std::size_t remote_links_per_role_ = 16;
   PeerConnectionSettings connection_;
 };
 
@@ -35,16 +35,16 @@
 /// again with exponential backoff.
 class AgentLinks {
  public:
-  AgentLinks(Loop& loop, AgentLinkSettings settings, ConfigNode& node,
+  AgentLinks(Loop& loop, AgentLinkSettings settings, ConfigReplica& node,
              EventLog& log);
 
-  [[nodiscard]] membership::Roster& roster() noexcept { return roster_; }
+  [[nodiscard]] membership::ListedEndpoints& roster() noexcept { return roster_; }
   /// @brief Connection to an agent; null if the agent is not selected.
   [[nodiscard]] std::shared_ptr<PeerConnection> Connection(
       const core::InstanceId& id) const;
   /// @brief Issues an execution ticket for an agent.
   /// @return none unless the stream to the agent is open.
-  [[nodiscard]] std::optional<routing::ExecutionTicket> MintTicket(
+  [[nodiscard]] std::optional<routing::ExecutionTicket> IssueTicket(
       const core::InstanceId& id);
   /// @brief Sets the observer that is called after each report of an endpoint,
   /// which may change where requests can be routed.
@@ -82,9 +82,9 @@
 
   Loop& loop_;
   AgentLinkSettings settings_;
-  ConfigNode& node_;
+  ConfigReplica& node_;
   EventLog& log_;
-  membership::Roster roster_;
+  membership::ListedEndpoints roster_;
   std::map<core::InstanceId, Link> links_;
   std::function<void()> observer_;
   std::mt19937_64 random_{std::random_device{}()};
--- a/packages/daemon/src/daemon/config_spreader.cpp
+++ b/packages/daemon/src/daemon/config_dissemination.cpp
@@ -1,6 +1,6 @@
 // Epidemic push with a small fan-out; periodic exchanges resolve what the push
 // missed.
-#include "daemon/config_spreader.hpp"
+#include "daemon/config_dissemination.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -33,11 +33,11 @@
               const OnResponse& on_response) {
   // Handling the response may remove this peer and its connection.
   const std::weak_ptr<PeerConnection> weak = connection;
-  connection->Ask(std::string(kSyncPath), Pack(request),
+  connection->Fetch(std::string(kSyncPath), Pack(request),
                   [weak, follow_up, on_response](PeerEnd end, int status,
                                                  const std::string& body) {
                     const auto target = weak.lock();
-                    if (!target || end != PeerEnd::kWhole || status != 200) {
+                    if (!target || end != PeerEnd::kComplete || status != 200) {
                       return;
                     }
                     const auto response =
@@ -56,7 +56,7 @@
 }  // namespace
 
 void ExchangeDocuments(
-    const std::shared_ptr<PeerConnection>& connection, ConfigNode& node,
+    const std::shared_ptr<PeerConnection>& connection, ConfigReplica& node,
     const std::function<void(const SyncMessage&)>& on_response) {
   SendSync(
       connection, node.FirstRequest(),
@@ -67,7 +67,7 @@
 }
 
 void PushDocuments(const std::shared_ptr<PeerConnection>& connection,
-                   ConfigNode& node, const std::vector<std::string>& keys,
+                   ConfigReplica& node, const std::vector<std::string>& keys,
                    const OnResponse& on_response) {
   SendSync(
       connection, node.PushRequest(keys),
@@ -79,7 +79,7 @@
 
 ConfigDisseminator::ConfigDisseminator(Loop& loop,
                                        DisseminationSettings settings,
-                                       ConfigNode& node, StoreReader& reader)
+                                       ConfigReplica& node, StoreReader& reader)
     : loop_(loop),
       settings_(std::move(settings)),
       node_(node),
@@ -134,11 +134,11 @@
     }
     auto known = peers_.extract(instance.id_);
     auto& peer = updated[instance.id_];
-    if (!known.empty() && known.mapped().instance_.peer_ == instance.peer_) {
+    if (!known.empty() && known.mapped().instance_.peer_address_ == instance.peer_address_) {
       peer = std::move(known.mapped());
     } else {
       peer.connection_ = std::make_shared<PeerConnection>(
-          loop_, ParseAddress(instance.peer_), settings_.connection_);
+          loop_, ParseAddress(instance.peer_address_), settings_.connection_);
     }
     peer.instance_ = instance;
   }
--- a/packages/daemon/src/daemon/config_spreader.hpp
+++ b/packages/daemon/src/daemon/config_dissemination.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "daemon/config_node.hpp"
+#include "daemon/config_replica.hpp"
 #include "daemon/loop.hpp"
 #include "daemon/peer_connection.hpp"
 #include "daemon/store_reader.hpp"
@@ -33,14 +33,14 @@
 /// lacks. Takes at most two requests.
 /// @param on_response called with each response; may be empty.
 void ExchangeDocuments(
-    const std::shared_ptr<PeerConnection>& connection, ConfigNode& node,
+    const std::shared_ptr<PeerConnection>& connection, ConfigReplica& node,
     const std::function<void(const SyncMessage&)>& on_response);
 
 /// @brief Announces changed documents to a peer and sends those it requests.
 /// @param keys of the documents that changed.
 /// @param on_response called with each response; may be empty.
 void PushDocuments(const std::shared_ptr<PeerConnection>& connection,
-                   ConfigNode& node, const std::vector<std::string>& keys,
+                   ConfigReplica& node, const std::vector<std::string>& keys,
                    const std::function<void(const SyncMessage&)>& on_response);
 
 /// @brief Synchronizes the configuration of one entry with other entries and
@@ -58,7 +58,7 @@
 class ConfigDisseminator {
  public:
   ConfigDisseminator(Loop& loop, DisseminationSettings settings,
-                     ConfigNode& node, StoreReader& reader);
+                     ConfigReplica& node, StoreReader& reader);
 
   /// @brief Records a sign of life of a peer: a /v1/sync request from it, or
   /// its response to one.
@@ -93,7 +93,7 @@
 
   Loop& loop_;
   DisseminationSettings settings_;
-  ConfigNode& node_;
+  ConfigReplica& node_;
   StoreReader& reader_;
   std::mt19937_64 random_;
   /// The other entries of the published instance list.
--- a/packages/daemon/src/daemon/config_node.cpp
+++ b/packages/daemon/src/daemon/config_replica.cpp
@@ -1,12 +1,12 @@
 // Documents are accepted by config::AcceptedDocuments and parsed once for each
 // batch that contains a change.
-#include "daemon/config_node.hpp"
+#include "daemon/config_replica.hpp"
 
 #include <algorithm>
 #include <utility>
 
 namespace chalkwell::daemon {
-ConfigNode::ConfigNode(core::InstanceId self,
+ConfigReplica::ConfigReplica(core::InstanceId self,
                        const std::vector<bundle::PublicKey>& trusted,
                        EventLog& log, Metrics& metrics)
     : self_(std::move(self)),
@@ -14,7 +14,7 @@
       metrics_(metrics),
       documents_(trusted) {}
 
-SyncMessage ConfigNode::FirstRequest() const {
+SyncMessage ConfigReplica::FirstRequest() const {
   return {.sender_ = self_.value(),
           .fingerprint_ = fingerprint_,
           .reaches_service_ = reaches_service_,
@@ -25,10 +25,10 @@
           .wanted_ = {}};
 }
 
-SyncMessage ConfigNode::PushRequest(
+SyncMessage ConfigReplica::PushRequest(
     const std::vector<std::string>& keys) const {
   auto request = FirstRequest();
-  auto recent = documents_.stamps();
+  auto recent = documents_.versions();
   std::erase_if(recent, [&](const auto& entry) {
     return std::ranges::find(keys, entry.first) == keys.end();
   });
@@ -36,8 +36,8 @@
   return request;
 }
 
-std::vector<std::string> ConfigNode::MissingKeys(
-    const config::AcceptedDocuments::Stamps& peer_stamps) const {
+std::vector<std::string> ConfigReplica::MissingKeys(
+    const config::AcceptedDocuments::Versions& peer_stamps) const {
   std::vector<std::string> missing;
   for (const auto& [key, stamp] : peer_stamps) {
     if (documents_.IsBehind({{key, stamp}})) {
@@ -47,12 +47,12 @@
   return missing;
 }
 
-void ConfigNode::OnChange(
+void ConfigReplica::OnChange(
     std::function<void(const std::vector<std::string>&)> observer) {
   observers_.push_back(std::move(observer));
 }
 
-void ConfigNode::LogVerdict(const config::Document& document,
+void ConfigReplica::LogVerdict(const config::Document& document,
                             const config::Acceptance& acceptance,
                             const std::string& source) {
   using enum config::Verdict;
@@ -75,7 +75,7 @@
                  {{"verdict", std::string(config::ToString(verdict))}});
 }
 
-void ConfigNode::Apply(const std::vector<config::Document>& documents,
+void ConfigReplica::Apply(const std::vector<config::Document>& documents,
                        const std::string& source) {
   std::vector<std::string> changed;
   for (const auto& document : documents) {
@@ -94,7 +94,7 @@
   }
 }
 
-void ConfigNode::ParseDocuments() {
+void ConfigReplica::ParseDocuments() {
   instances_.clear();
   for (const auto* document : documents_.All()) {
     if (config::IsInstancesKey(document->key_)) {
@@ -106,10 +106,10 @@
       routes_ = config::ParseRoutes(document->body_);
     }
   }
-  fingerprint_ = Fingerprint(documents_.stamps());
+  fingerprint_ = Fingerprint(documents_.versions());
 }
 
-SyncMessage ConfigNode::HandleSync(const SyncMessage& message) {
+SyncMessage ConfigReplica::HandleSync(const SyncMessage& message) {
   Apply(FromMessage(message.documents_, message.sender_), message.sender_);
   auto response = FirstRequest();
   // Differences that remain after a push are resolved by the next periodic
@@ -123,7 +123,7 @@
     response.wanted_ = MissingKeys(daemon::FromMessage(message.recent_));
     return response;
   }
-  response.stamps_ = ToMessage(documents_.stamps());
+  response.stamps_ = ToMessage(documents_.versions());
   if (message.wants_documents_) {
     response.documents_ =
         ToMessage(documents_.NewerThan(daemon::FromMessage(message.stamps_)));
@@ -131,7 +131,7 @@
   return response;
 }
 
-SyncMessage ConfigNode::DocumentsRequest(
+SyncMessage ConfigReplica::DocumentsRequest(
     const std::vector<std::string>& keys) const {
   auto request = FirstRequest();
   std::vector<config::Document> documents;
@@ -144,14 +144,14 @@
   return request;
 }
 
-std::optional<SyncMessage> ConfigNode::HandlePushResponse(
+std::optional<SyncMessage> ConfigReplica::HandlePushResponse(
     const SyncMessage& response) const {
   return response.wanted_.empty()
              ? std::nullopt
              : std::optional(DocumentsRequest(response.wanted_));
 }
 
-std::optional<SyncMessage> ConfigNode::HandleExchangeResponse(
+std::optional<SyncMessage> ConfigReplica::HandleExchangeResponse(
     const SyncMessage& response) {
   Apply(FromMessage(response.documents_, response.sender_), response.sender_);
   if (response.fingerprint_ == fingerprint_) {
@@ -161,7 +161,7 @@
   auto request = FirstRequest();
   request.wants_documents_ = documents_.IsBehind(peer_stamps);
   if (request.wants_documents_) {
-    request.stamps_ = ToMessage(documents_.stamps());
+    request.stamps_ = ToMessage(documents_.versions());
   }
   request.documents_ = ToMessage(documents_.NewerThan(peer_stamps));
   if (!request.wants_documents_ && request.documents_.empty()) {
--- a/packages/daemon/src/daemon/config_node.hpp
+++ b/packages/daemon/src/daemon/config_replica.hpp
@@ -28,11 +28,11 @@
 /// fingerprint; stamps and then documents follow only if the fingerprints
 /// differ. A push starts with the stamps of the documents that just changed;
 /// the peer replies with the keys for which it needs the document.
-class ConfigNode {
+class ConfigReplica {
  public:
   /// @param trusted trusted keys from the settings: the root of trust for
   /// signed documents.
-  ConfigNode(core::InstanceId self,
+  ConfigReplica(core::InstanceId self,
              const std::vector<bundle::PublicKey>& trusted, EventLog& log,
              Metrics& metrics);
 
@@ -94,7 +94,7 @@
       const std::vector<std::string>& keys) const;
   /// Keys of documents that the peer has and that are newer or unknown here.
   [[nodiscard]] std::vector<std::string> MissingKeys(
-      const config::AcceptedDocuments::Stamps& peer_stamps) const;
+      const config::AcceptedDocuments::Versions& peer_stamps) const;
   /// Logs and counts the verdict on a document, unless it is unchanged or
   /// older.
   void LogVerdict(const config::Document& document,
--- a/packages/daemon/src/daemon/crash_report.cpp
+++ b/packages/daemon/src/daemon/crash_report.cpp
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-void ReportCrashes() {
+void InstallCrashHandler() {
   // The first call of backtrace() loads a library and allocates memory, which a
   // signal handler must not do.
   std::array<void*, 1> frame{};
--- a/packages/daemon/src/daemon/direct/adapter.hpp
+++ b/packages/daemon/src/daemon/direct/adapter.hpp
@@ -36,7 +36,7 @@
 struct AttemptTerms {
   /// Instance id of the only incarnation that may run the request; any other
   /// refuses it.
-  core::InstanceId incarnation_;
+  core::InstanceId instance_id_;
   /// The only weights version that may run the request; endpoints with another
   /// version refuse it.
   std::optional<std::uint64_t> weights_version_;
@@ -56,7 +56,7 @@
   /// than the attempt requires.
   bool mismatched_ = false;
   /// Instance id of the incarnation that responded; empty if not stated.
-  core::InstanceId incarnation_;
+  core::InstanceId instance_id_;
   /// Signed by the endpoint. Without it, something else on the path may have
   /// sent the response.
   bool signed_ = false;
--- a/packages/daemon/src/daemon/direct/chunk_exchange.cpp
+++ b/packages/daemon/src/daemon/direct/chunk_exchange.cpp
@@ -155,12 +155,12 @@
     std::function<void(std::optional<ReceivedChunk>)> done) {
   const auto chunk = std::size_t{request.chunk_};
   const auto since = process_.loop().Now();
-  requests_[chunk] = ConnectionTo(peer)->Ask(
+  requests_[chunk] = ConnectionTo(peer)->Fetch(
       std::string(kChunkPath), Pack(request),
       [this, peer, chunk, since, done = std::move(done)](
           PeerEnd end, int status, const std::string& body) {
         requests_.erase(chunk);
-        if (end != PeerEnd::kWhole || status != kOk) {
+        if (end != PeerEnd::kComplete || status != kOk) {
           done(std::nullopt);
           return;
         }
@@ -187,12 +187,12 @@
 void ChunkExchange::RequestManifest(
     const core::InstanceId& peer, const ChunkRequest& request,
     std::function<void(std::optional<WeightsManifest>)> done) {
-  ConnectionTo(peer)->Ask(
+  ConnectionTo(peer)->Fetch(
       std::string(kManifestPath), Pack(request),
       [this, peer, done = std::move(done)](PeerEnd end, int status,
                                            const std::string& body) {
         std::optional<WeightsManifest> manifest;
-        if (end == PeerEnd::kWhole && status == kOk) {
+        if (end == PeerEnd::kComplete && status == kOk) {
           manifest = ToManifest(Unpack<ManifestMessage>(body, peer.value()));
         }
         const auto known = peers_.find(peer);
--- a/packages/daemon/src/daemon/direct/direct_agent.cpp
+++ b/packages/daemon/src/daemon/direct/direct_agent.cpp
@@ -125,15 +125,15 @@
 
 void DirectAgent::Run() {
   const auto& settings = process_.settings();
-  admin_ = OpenAdmin(
+  admin_ = MakeAdminServer(
       process_.loop(), ParseAddress(settings.Text("listen", "admin")),
       process_.metrics(),
-      {.not_ready_ =
+      {.not_ready_reason_ =
            [this] {
              return engine_responds_ ? "" : "the engine does not respond";
            },
-       .status_ = [this] { return Status(); },
-       .refresh_ = [] {}});
+       .status_json_ = [this] { return Status(); },
+       .update_gauges_ = [] {}});
   process_.OnReload(
       [this] { mesh_.SetSeeds(MeshSettingsOf(process_.settings()).seeds_); });
   mesh_.Start();
--- a/packages/daemon/src/daemon/direct/direct_entry.cpp
+++ b/packages/daemon/src/daemon/direct/direct_entry.cpp
@@ -79,7 +79,7 @@
       retry_jitter_(std::random_device{}()),
       context_{
           process.loop(),
-          process.http(),
+          process.http_client(),
           adapter_,
           endpoints_,
           budget_,
@@ -187,11 +187,11 @@
   ApplySettings();
   auto& loop = process_.loop();
   const auto& settings = process_.settings();
-  admin_server_ = OpenAdmin(
+  admin_server_ = MakeAdminServer(
       loop, ParseAddress(settings.Text("listen", "admin")), process_.metrics(),
-      {.not_ready_ = [this] { return NotReadyReason(); },
-       .status_ = [this] { return Status(); },
-       .refresh_ = [this] { quarantine_.RefreshMetrics(); },
+      {.not_ready_reason_ = [this] { return NotReadyReason(); },
+       .status_json_ = [this] { return Status(); },
+       .update_gauges_ = [this] { quarantine_.RefreshMetrics(); },
        .lift_quarantine_ =
            [this](const std::string& content) {
              const auto request = routing::RequestDigest::FromHex(content);
@@ -208,7 +208,7 @@
                        .on_refused_ =
                            [this](int status, const std::string& peer) {
                              process_.log().Write(
-                                 core::EventNumber::kCallerLimit,
+                                 core::EventNumber::kRequestLimitViolated,
                                  {{"status", std::to_string(status)},
                                   {"peer", peer}});
                            }},
@@ -240,12 +240,12 @@
 
 void DirectEntry::BeginStop() {
   mesh_.AnnounceLeaving();
-  caller_server_->CloseAfterAnswers();
-  process_.stop().OnWorkAccepted();
+  caller_server_->CloseAfterResponses();
+  process_.shutdown().OnWorkAccepted();
   stop_timer_.Once(kStopListeningDelay, [this] {
     caller_server_->StopAccepting();
     caller_server_->CloseIdle();
-    process_.stop().OnWorkFinished();
+    process_.shutdown().OnWorkFinished();
   });
 }
 
@@ -272,8 +272,8 @@
   const auto& active = rules_.rules().limits_;
   limits.header_bytes_ = active.header_bytes_;
   limits.body_bytes_ = active.body_bytes_;
-  limits.request_time_ = active.header_time_;
-  limits.idle_time_ = active.idle_time_;
+  limits.request_timeout_ = active.request_read_timeout_;
+  limits.idle_timeout_ = active.idle_timeout_;
   return limits;
 }
 
@@ -318,7 +318,7 @@
   if (!rules_.Accept(rules)) {
     return;
   }
-  process_.log().Write(core::EventNumber::kRulesInForce,
+  process_.log().Write(core::EventNumber::kRulesActivated,
                        {{"version", std::to_string(rules.version_)},
                         {"routes", std::to_string(rules.routes_.size())},
                         {"source", source}});
@@ -506,12 +506,12 @@
     return;
   }
   ++in_flight_;
-  process_.stop().OnWorkAccepted();
+  process_.shutdown().OnWorkAccepted();
   budget_.SetReserve(RetryReserveShare());
   std::make_shared<DirectRequest>(context_, exchange, std::move(request),
                                   [this] {
                                     --in_flight_;
-                                    process_.stop().OnWorkFinished();
+                                    process_.shutdown().OnWorkFinished();
                                   })
       ->Start();
 }
--- a/packages/daemon/src/daemon/direct/direct_request.cpp
+++ b/packages/daemon/src/daemon/direct/direct_request.cpp
@@ -59,7 +59,7 @@
       exchange_(std::move(exchange)),
       request_(std::move(request)),
       done_(std::move(done)),
-      tracker_({.repeatable_ = request_.route_.repeatable(),
+      tracker_({.repeatable_ = request_.route_.may_retry(),
                 .resumable_ =
                     request_.route_.streaming_ && request_.route_.resumable_,
                 .deadline_ = request_.deadline_,
@@ -140,7 +140,7 @@
   const auto& row = attempt_.choice_.row_;
   tried_endpoints_.push_back(row.id_);
   AttemptTerms terms;
-  terms.incarnation_ = row.id_;
+  terms.instance_id_ = row.id_;
   terms.weights_version_ =
       request_.engine_ ? row.weights_version_ : std::nullopt;
   terms.account_ = request_.account_;
@@ -154,11 +154,11 @@
     terms.resume_after_ = events_.last_id();
   }
   HttpSendOptions options;
-  options.keep_ = true;
-  options.max_rest_ =
-      request_.route_.repeatable() ? kMaxIdleTime : kMaxIdleTimeNotRepeatable;
+  options.keep_alive_ = true;
+  options.max_idle_time_ =
+      request_.route_.may_retry() ? kMaxIdleTime : kMaxIdleTimeNotRepeatable;
   options.connect_timeout_ = kConnectTimeout;
-  options.silence_ = request_.deadline_ - now + milliseconds(1000);
+  options.idle_timeout_ = request_.deadline_ - now + milliseconds(1000);
   // While the connection is being opened, the endpoint may be removed from the
   // list and the request may be quarantined. MayRetry() has already considered
   // the last attempt, so none is passed here.
@@ -168,7 +168,7 @@
                                                context_.loop_.Now()) &&
            context_.quarantine_.MaySend(request_.digest_, std::nullopt);
   };
-  options.is_ours_ = [this,
+  options.matches_request_ = [this,
                       self = shared_from_this()](const HttpHeaders& headers) {
     return context_.adapter_.requests_.matches_request_(headers,
                                                         request_.caller_.id_);
@@ -176,7 +176,7 @@
   const auto number = send.attempt_;
   auto http = context_.adapter_.requests_.write_attempt_(
       exchange_->request(), request_.caller_, terms);
-  if (context_.tracer_.exports()) {
+  if (context_.tracer_.exporting()) {
     // Makes the endpoint's span a child of the attempt's span.
     std::erase_if(http.headers_, [](const HttpHeader& header) {
       return header.first == kTraceparent;
@@ -186,7 +186,7 @@
   }
   const auto self = shared_from_this();
   HttpCallbacks callbacks{
-      .on_head_ =
+      .on_headers_ =
           [self, number](int status, const HttpHeaders& headers) {
             self->OnHead(number, status, headers);
           },
@@ -231,7 +231,7 @@
   if (attempt_.delivered_ || now - attempt_.sent_at_ < kTimeoutCheckInterval) {
     return false;
   }
-  attempt_.delivered_ = !attempt_.call_->undelivered();
+  attempt_.delivered_ = !attempt_.call_->has_unacknowledged_data();
   return !attempt_.delivered_ && !context_.endpoints_.AcceptsRequests(
                                      attempt_.choice_.row_.incarnation(), now);
 }
@@ -245,7 +245,7 @@
     OnResponseTimeout();
     return;
   }
-  if (!request_.route_.repeatable()) {
+  if (!request_.route_.may_retry()) {
     if (!attempt_.delivered_) {
       response_timer_.Once(kTimeoutCheckInterval, [self = shared_from_this()] {
         self->ArmFirstByteTimeout();
@@ -276,7 +276,7 @@
 }
 
 void DirectRequest::ArmEventTimeout() {
-  if (!request_.route_.repeatable() || !request_.route_.streaming_) {
+  if (!request_.route_.may_retry() || !request_.route_.streaming_) {
     response_timer_.Cancel();
     return;
   }
@@ -379,7 +379,7 @@
   } else if (end == HttpEnd::kBroken) {
     EndAttempt(routing::AttemptEnd::kLost, routing::EndpointOutcome::kFailed);
   } else {
-    attempt_.unframed_ = end == HttpEnd::kUnframed;
+    attempt_.unframed_ = end == HttpEnd::kCloseDelimited;
     EndResponse();
   }
 }
@@ -406,15 +406,15 @@
       return;
     case routing::AttemptEnd::kRefusedNotRun:
       if (attempt_.response_head_.mismatched_ &&
-          !attempt_.response_head_.incarnation_.empty() &&
-          attempt_.response_head_.incarnation_ != id) {
+          !attempt_.response_head_.instance_id_.empty() &&
+          attempt_.response_head_.instance_id_ != id) {
         context_.endpoints_.MarkReplaced(id,
-                                         attempt_.response_head_.incarnation_);
+                                         attempt_.response_head_.instance_id_);
       }
       EndAttempt(end, routing::EndpointOutcome::kRefused);
       return;
     case routing::AttemptEnd::kFailedRan:
-      last_failure_ = HttpResponse{.end_ = HttpEnd::kWhole,
+      last_failure_ = HttpResponse{.end_ = HttpEnd::kComplete,
                                    .status_ = attempt_.status_,
                                    .headers_ = attempt_.headers_,
                                    .body_ = attempt_.body_};
@@ -514,7 +514,7 @@
   if (ended_) {
     return;
   }
-  context_.log_.Write(core::EventNumber::kCallerGone,
+  context_.log_.Write(core::EventNumber::kCallerDisconnected,
                       {{"request", request_.caller_.id_},
                        {"attempt", std::to_string(attempt_.number_)}});
   Perform(tracker_.Abort());
@@ -566,7 +566,7 @@
   }
   // The endpoint gave no length, so its response may be cut off; the caller
   // gets it without a length, too.
-  exchange_->StartUnframed(attempt_.status_, headers);
+  exchange_->StartCloseDelimited(attempt_.status_, headers);
   exchange_->Write(attempt_.body_);
   exchange_->End(true);
 }
--- a/packages/daemon/src/daemon/direct/engine_facts.cpp
+++ b/packages/daemon/src/daemon/direct/engine_facts.cpp
@@ -128,12 +128,12 @@
         std::make_unique<PeerConnection>(loop_, ParseAddress(entry->address_));
   }
   requested_at_ = now;
-  call_ = connection->Ask(
+  call_ = connection->Fetch(
       std::string(kFactsPath), Pack(FactsRequest{service_, agents_digest_}),
       [this, peer = entry->id_.value()](PeerEnd end, int status,
                                         const std::string& body) {
         call_ = nullptr;
-        if (end == PeerEnd::kWhole && status == kOk) {
+        if (end == PeerEnd::kComplete && status == kOk) {
           const auto facts = Unpack<EngineFacts>(body, peer);
           agents_digest_ = facts.agents_digest_;
           done_(facts);
--- a/packages/daemon/src/daemon/direct/published_relay.cpp
+++ b/packages/daemon/src/daemon/direct/published_relay.cpp
@@ -77,11 +77,11 @@
     request.known_[static_cast<std::uint8_t>(section)] = stored.revision_;
   }
   request_pending_ = true;
-  connection->Ask(std::string(kPublishedPath), Pack(request),
+  connection->Fetch(std::string(kPublishedPath), Pack(request),
                   [this, peer = member.id_.value(), requested_at = loop_.Now()](
                       PeerEnd end, int status, const std::string& body) {
                     request_pending_ = false;
-                    if (end == PeerEnd::kWhole && status == kOk) {
+                    if (end == PeerEnd::kComplete && status == kOk) {
                       OnResponse(body, peer, requested_at);
                     }
                   });
--- a/packages/daemon/src/daemon/direct/quarantine_manager.cpp
+++ b/packages/daemon/src/daemon/direct/quarantine_manager.cpp
@@ -288,7 +288,7 @@
   const auto* record = quarantine_.Find(request);
   const auto until = quarantine_.QuarantinedUntil(request);
   log_.Write(
-      core::EventNumber::kRequestStanding,
+      core::EventNumber::kRequestSuspicionChanged,
       {{"content", request.ToHex()},
        {"standing", std::string(ToString(standing))},
        {"crashes", record == nullptr ? "" : Describe(*record, now)},
--- a/packages/daemon/src/daemon/direct/rules_exchange.cpp
+++ b/packages/daemon/src/daemon/direct/rules_exchange.cpp
@@ -123,10 +123,10 @@
     request.version_ = documents_.front().document_.version_;
     request.digest_ = ToBytes(documents_.front().digest_);
   }
-  connection->Ask(std::string(kRulesPath), Pack(request),
+  connection->Fetch(std::string(kRulesPath), Pack(request),
                   [this, done = std::move(done)](PeerEnd end, int status,
                                                  const std::string& body) {
-                    if (end != PeerEnd::kWhole || status != kOk) {
+                    if (end != PeerEnd::kComplete || status != kOk) {
                       done(std::nullopt);
                       return;
                     }
--- a/packages/daemon/src/daemon/direct/weights_manager.hpp
+++ b/packages/daemon/src/daemon/direct/weights_manager.hpp
@@ -15,7 +15,7 @@
 #include "chalkwell/swarm/chunk_set.hpp"
 #include "chalkwell/swarm/fetch_window.hpp"
 #include "chalkwell/swarm/manifest_search.hpp"
-#include "chalkwell/swarm/origin_progress.hpp"
+#include "chalkwell/swarm/availability_forecast.hpp"
 #include "chalkwell/swarm/planner.hpp"
 #include "daemon/direct/adapter.hpp"
 #include "daemon/direct/chunk_exchange.hpp"
@@ -166,7 +166,7 @@
   /// states the version.
   TargetVersion fetch_target_;
   OlderWeights older_;
-  swarm::OriginProgress progress_;
+  swarm::AvailabilityForecast progress_;
   /// When an older version was last considered.
   core::TimePoint older_considered_at_;
   /// Whether the engine refused an older version or its fetch took too long;
--- a/packages/daemon/src/daemon/direct/weights_manager_fetch.cpp
+++ b/packages/daemon/src/daemon/direct/weights_manager_fetch.cpp
@@ -258,7 +258,7 @@
     return;
   }
   // Logged when the request is sent.
-  process_.log().Write(core::EventNumber::kOriginFetched,
+  process_.log().Write(core::EventNumber::kOriginFetchStarted,
                        {{"piece", std::to_string(chunk)}});
   process_.metrics().Count("origin_pieces_total", {});
   client_.fetch_chunk_(*origin_, model_, fetch_target_.version_, chunk,
--- a/packages/daemon/src/daemon/entry.cpp
+++ b/packages/daemon/src/daemon/entry.cpp
@@ -19,8 +19,8 @@
 AgentLinkSettings MakeLinkSettings(const Process& process) {
   const auto& settings = process.settings();
   return {.domain_ = process.domain(),
-          .attach_ = settings.Number("routing", "attach"),
-          .attach_foreign_ = settings.Number("routing", "attach_foreign"),
+          .local_links_per_role_ = settings.Number("routing", "attach"),
+          .remote_links_per_role_ = settings.Number("routing", "attach_foreign"),
           .connection_ = process.connection_settings()};
 }
 
@@ -54,7 +54,7 @@
       id_prefix_((static_cast<std::uint64_t>(std::random_device{}()) << 32U) |
                  std::random_device{}()),
       disseminator_(process.loop(), MakeDisseminationSettings(process),
-                    process.config(), process.platform()),
+                    process.config(), process.store_reader()),
       expiry_timer_(process.loop()),
       request_reader_(process.config(), process.settings()),
       retry_after_(
@@ -70,11 +70,11 @@
           .address_ = ParseAddress(settings.Text("listen", "caller")),
           .max_body_bytes_ = settings.Number("requests", "max_body_bytes")},
       [this](const HttpExchangePtr& exchange) { OnRequest(exchange); });
-  admin_server_ = OpenAdmin(
+  admin_server_ = MakeAdminServer(
       loop, ParseAddress(settings.Text("listen", "admin")), process.metrics(),
-      {.not_ready_ = [this] { return NotReadyReason(); },
-       .status_ = [this] { return StatusJson(); },
-       .refresh_ =
+      {.not_ready_reason_ = [this] { return NotReadyReason(); },
+       .status_json_ = [this] { return StatusJson(); },
+       .update_gauges_ =
            [this] {
              process_.metrics().Set("requests_in_flight", {},
                                     static_cast<double>(InFlight()));
@@ -92,7 +92,7 @@
 void Entry::OnPeerCall(const PeerCallPtr& call) {
   try {
     if (call->path() == kSyncPath) {
-      const auto message = process_.AnswerSync(call);
+      const auto message = process_.HandleSync(call);
       disseminator_.OnPeerMessage(core::InstanceId(message.sender_),
                                   message.reaches_service_,
                                   process_.loop().Now());
@@ -100,7 +100,7 @@
       call->Respond(404, "an entry serves only " + std::string(kSyncPath));
     }
   } catch (const std::exception& error) {
-    process_.AnswerError(call, error);
+    process_.RespondError(call, error);
   }
 }
 
@@ -121,7 +121,7 @@
       "requests_total",
       {{"outcome",
         std::string(routing::ToString(routing::Outcome::kRefusedNotRun))}});
-  RespondProblem(exchange, {.status_ = status,
+  SendProblem(exchange, {.status_ = status,
                             .title_ = std::string(core::Describe(event).name_),
                             .detail_ = detail,
                             .event_ = event,
@@ -133,7 +133,7 @@
 
 void Entry::Admit(const HttpExchangePtr& exchange) {
   const auto& http = exchange->request();
-  const auto id = RequestReader::GivenId(http).value_or(
+  const auto id = RequestReader::ParseRequestId(http).value_or(
       std::to_string(id_prefix_) + "-" + std::to_string(++last_number_));
   if (const auto reason = NotReadyReason(); !reason.empty()) {
     Refuse(*exchange, kServiceUnavailableStatus,
@@ -154,9 +154,9 @@
 void Entry::RespondWithTicket(const HttpExchangePtr& exchange,
                               const core::Role& role) {
   const auto now = process_.loop().Now();
-  const auto candidates = CandidatesOf(links_.roster(), role, now, {});
+  const auto candidates = AvailableCandidates(links_.roster(), role, now, {});
   const auto endpoint = chooser_.Choose(candidates, "");
-  const auto ticket = endpoint ? links_.MintTicket(*endpoint) : std::nullopt;
+  const auto ticket = endpoint ? links_.IssueTicket(*endpoint) : std::nullopt;
   if (!ticket) {
     Refuse(*exchange, kServiceUnavailableStatus,
            core::EventNumber::kRequestRefused,
@@ -189,11 +189,11 @@
   exchange->OnAbort([this, number, &queue] {
     queue.Remove(number);
     if (waiting_.erase(number) != 0) {
-      process_.stop().OnWorkFinished();
+      process_.shutdown().OnWorkFinished();
     }
   });
   waiting_.emplace(number, WaitingRequest{exchange, std::move(request)});
-  process_.stop().OnWorkAccepted();
+  process_.shutdown().OnWorkAccepted();
   StartWaiting();
 }
 
@@ -230,7 +230,7 @@
     }
     auto waiting = waiting_.extract(next->request_);
     auto runner = std::make_shared<RequestRunner>(
-        RequestServices{process_.loop(), process_.id(), links_, chooser_,
+        RequestDependencies{process_.loop(), process_.id(), links_, chooser_,
                         retry_budget_, process_.log(), process_.metrics(),
                         process_.tracer()},
         waiting.mapped().exchange_, std::move(waiting.mapped().request_),
@@ -240,7 +240,7 @@
           if (outcome == routing::Outcome::kAnswered) {
             queue.OnServiceTime(end - now);
           }
-          process_.stop().OnWorkFinished();
+          process_.shutdown().OnWorkFinished();
           process_.loop().Post([this] { StartWaiting(); });
         });
     runner->Start();
@@ -252,7 +252,7 @@
   for (auto& [role, queue] : queues_) {
     for (const auto& expired : queue.TakeExpired(now)) {
       auto waiting = waiting_.extract(expired.request_);
-      process_.stop().OnWorkFinished();
+      process_.shutdown().OnWorkFinished();
       Refuse(*waiting.mapped().exchange_, kServiceUnavailableStatus,
              core::EventNumber::kRequestRefused,
              "the request can no longer meet its deadline",
@@ -291,7 +291,7 @@
          {"in_flight", endpoint.in_flight_}});
   }
   auto documents = nlohmann::json::object();
-  for (const auto& [key, stamp] : process_.config().documents().stamps()) {
+  for (const auto& [key, stamp] : process_.config().documents().versions()) {
     documents[key] = stamp.sequence_;
   }
   const auto* bundle = process_.config().documents().AcceptedBundle();
@@ -300,7 +300,7 @@
       {"domain", process_.domain().value()},
       {"ready", NotReadyReason().empty()},
       {"not_ready_reason", NotReadyReason()},
-      {"watching_platform", process_.platform().watching()},
+      {"watching_platform", process_.store_reader().watching()},
       {"bundle_version", bundle == nullptr ? 0 : bundle->version_},
       {"model", bundle == nullptr ? "" : bundle->model_},
       {"documents", documents},
--- a/packages/daemon/src/daemon/entry.hpp
+++ b/packages/daemon/src/daemon/entry.hpp
@@ -11,7 +11,7 @@
 #include "chalkwell/routing/fair_queue.hpp"
 #include "chalkwell/routing/retry_budget.hpp"
 #include "daemon/agent_links.hpp"
-#include "daemon/config_spreader.hpp"
+#include "daemon/config_dissemination.hpp"
 #include "daemon/problem.hpp"
 #include "daemon/process.hpp"
 #include "daemon/request_reader.hpp"
--- a/packages/daemon/src/daemon/h2_session.cpp
+++ b/packages/daemon/src/daemon/h2_session.cpp
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-TransportTotals& Totals() noexcept {
+TransportTotals& TotalTransportBytes() noexcept {
   static TransportTotals totals;
   return totals;
 }
@@ -225,7 +225,7 @@
   if (const auto handler = std::exchange(on_next_received_, nullptr)) {
     Guarded(handler);
   }
-  Totals().in_ += static_cast<std::uint64_t>(size);
+  TotalTransportBytes().received_bytes_ += static_cast<std::uint64_t>(size);
   const auto* bytes = reinterpret_cast<const std::uint8_t*>(data);
   receiving_ = true;
   const auto consumed =
@@ -258,7 +258,7 @@
       break;
     }
     queued_write_bytes_ += batch.size();
-    Totals().out_ += batch.size();
+    TotalTransportBytes().sent_bytes_ += batch.size();
     auto* write = new WriteRequest{{}, weak_from_this(), std::move(batch)};
     write->request_.data = write;
     const uv_buf_t buffer = uv_buf_init(
--- a/packages/daemon/src/daemon/h2_session.hpp
+++ b/packages/daemon/src/daemon/h2_session.hpp
@@ -53,10 +53,10 @@
 /// @brief Bytes received and sent by all sessions of this process since its
 /// start.
 struct TransportTotals {
-  std::uint64_t in_ = 0;
-  std::uint64_t out_ = 0;
+  std::uint64_t received_bytes_ = 0;
+  std::uint64_t sent_bytes_ = 0;
 };
-[[nodiscard]] TransportTotals& Totals() noexcept;
+[[nodiscard]] TransportTotals& TotalTransportBytes() noexcept;
 
 /// @brief Server or client side of one connection.
 class H2Session : public std::enable_shared_from_this<H2Session> {
--- a/packages/daemon/src/daemon/http1_server.cpp
+++ b/packages/daemon/src/daemon/http1_server.cpp
@@ -53,7 +53,7 @@
   void Begin() {
     peer_ip_ = stream_->PeerIp();
     parser_.OnBody([this](std::string_view bytes) { body_.append(bytes); });
-    timer_.Once(limits_.idle_time_, [this] { OnTimeout(); });
+    timer_.Once(limits_.idle_timeout_, [this] { OnTimeout(); });
     stream_->SetCallbacks(
         {.on_data_ = [this](std::string_view bytes) { OnData(bytes); },
          .on_end_ = [this](StreamEnd) { Disconnect(); },
@@ -155,7 +155,7 @@
     Finish(*connection, true);
   }
 
-  void StartUnframed(int status, const HttpHeaders& headers) override {
+  void StartCloseDelimited(int status, const HttpHeaders& headers) override {
     if (const auto connection = connection_.lock()) {
       connection->CloseAfterResponse();
       close_delimited_ = true;
@@ -283,7 +283,7 @@
       parser_.Next(limits_);
       body_.clear();
       continue_sent_ = false;
-      timer_.Once(limits_.request_time_, [this] { OnTimeout(); });
+      timer_.Once(limits_.request_timeout_, [this] { OnTimeout(); });
     }
     const auto input = std::exchange(buffered_input_, {});
     const auto taken = parser_.Feed(input);
@@ -355,7 +355,7 @@
     return;
   }
   stream_->SetReading(true);
-  timer_.Once(limits_.idle_time_, [this] { OnTimeout(); });
+  timer_.Once(limits_.idle_timeout_, [this] { OnTimeout(); });
   if (!buffered_input_.empty()) {
     server_.loop_.Post([weak = weak_from_this()] {
       if (const auto self = weak.lock()) {
--- a/packages/daemon/src/daemon/http1_server.hpp
+++ b/packages/daemon/src/daemon/http1_server.hpp
@@ -46,7 +46,7 @@
     return connections_.size();
   }
   /// @brief From now on closes each connection after its next response.
-  void CloseAfterAnswers() noexcept { closing_ = true; }
+  void CloseAfterResponses() noexcept { closing_ = true; }
   /// @brief Accepts no further connections.
   void StopAccepting() { listener_.Stop(); }
   /// @brief Closes connections without a request in progress.
--- a/packages/daemon/src/daemon/http_client.cpp
+++ b/packages/daemon/src/daemon/http_client.cpp
@@ -58,9 +58,9 @@
 
 std::string_view ToString(HttpEnd end) noexcept {
   switch (end) {
-    case HttpEnd::kWhole:
+    case HttpEnd::kComplete:
       return "whole answer";
-    case HttpEnd::kUnframed:
+    case HttpEnd::kCloseDelimited:
       return "answer without length";
     case HttpEnd::kNotSent:
       return "not opened";
@@ -122,7 +122,7 @@
     callbacks_ = std::move(callbacks);
     options_ = std::move(options);
     timer_.Cancel();
-    request_bytes_ = Serialize(address_, request, options_.keep_);
+    request_bytes_ = Serialize(address_, request, options_.keep_alive_);
     parser_.Next(HttpLimits{});
     if (request.method_ == "HEAD") {
       parser_.ExpectNoBody();
@@ -153,7 +153,7 @@
     Abandon();
   }
 
-  [[nodiscard]] bool undelivered() const override {
+  [[nodiscard]] bool has_unacknowledged_data() const override {
     const bool connecting = !request_bytes_.empty();
     return connecting ||
            (stream_ != nullptr && stream_->has_unacknowledged_data());
@@ -213,7 +213,7 @@
   }
 
   void StartReadTimeout() {
-    timer_.Once(options_.silence_.value_or(state_->io_timeout_),
+    timer_.Once(options_.idle_timeout_.value_or(state_->io_timeout_),
                 [this] { Finish(HttpEnd::kBroken); });
   }
 
@@ -261,8 +261,8 @@
   void DeliverHead() {
     head_delivered_ = true;
     const bool interim = parser_.status() < 200;
-    matches_request_ = !interim && (!options_.is_ours_ ||
-                                    options_.is_ours_(parser_.headers()));
+    matches_request_ = !interim && (!options_.matches_request_ ||
+                                    options_.matches_request_(parser_.headers()));
     parser_.OnBody([this](std::string_view body) {
       if (matches_request_ && callbacks_.on_data_) {
         Guarded([&] { callbacks_.on_data_(body); });
@@ -276,9 +276,9 @@
       keep_alive_timeout_ =
           std::chrono::duration_cast<core::Duration>(*time * kKeepAliveShare);
     }
-    if (callbacks_.on_head_) {
+    if (callbacks_.on_headers_) {
       Guarded(
-          [&] { callbacks_.on_head_(parser_.status(), parser_.headers()); });
+          [&] { callbacks_.on_headers_(parser_.status(), parser_.headers()); });
     }
     const auto body = std::exchange(early_body_, {});
     if (!body.empty() && callbacks_.on_data_) {
@@ -309,7 +309,7 @@
     const auto self = self_;
     const bool complete = end == StreamEnd::kClosed && head_delivered_ &&
                           matches_request_ && parser_.FeedEof();
-    Finish(complete ? HttpEnd::kUnframed : HttpEnd::kBroken);
+    Finish(complete ? HttpEnd::kCloseDelimited : HttpEnd::kBroken);
   }
 
   void FinishComplete(bool no_trailing_bytes) {
@@ -317,24 +317,24 @@
       Finish(HttpEnd::kBroken);
       return;
     }
-    const bool keep = no_trailing_bytes && options_.keep_ &&
+    const bool keep = no_trailing_bytes && options_.keep_alive_ &&
                       parser_.keep_alive() && stream_->open() &&
                       stream_->pending() == 0;
     if (!keep) {
-      Finish(HttpEnd::kWhole);
+      Finish(HttpEnd::kComplete);
       return;
     }
     timer_.Cancel();
     const auto self = std::move(self_);
     const auto done = std::move(callbacks_.on_end_);
-    const auto max_idle = options_.max_rest_;
+    const auto max_idle = options_.max_idle_time_;
     callbacks_ = {};
     options_ = {};
     stream_->SetReading(true);
     KeepForReuse(max_idle);
     state_->AddIdle(self);
     if (done) {
-      Guarded([&] { done(HttpEnd::kWhole); });
+      Guarded([&] { done(HttpEnd::kComplete); });
     }
   }
 
@@ -426,7 +426,7 @@
                                            HttpCallbacks callbacks,
                                            HttpSendOptions options) {
   auto connection =
-      options.keep_ ? state_->TakeIdle(address, options.max_rest_) : nullptr;
+      options.keep_alive_ ? state_->TakeIdle(address, options.max_idle_time_) : nullptr;
   if (connection == nullptr) {
     connection = std::make_shared<State::Connection>(state_, address);
   }
@@ -446,7 +446,7 @@
   auto response = std::make_shared<HttpResponse>();
   auto oversized = std::make_shared<bool>(false);
   HttpCallbacks callbacks;
-  callbacks.on_head_ = [response](int status, const HttpHeaders& headers) {
+  callbacks.on_headers_ = [response](int status, const HttpHeaders& headers) {
     response->status_ = status;
     response->headers_ = headers;
   };
--- a/packages/daemon/src/daemon/http_client.hpp
+++ b/packages/daemon/src/daemon/http_client.hpp
@@ -18,10 +18,10 @@
 /// @brief How a response ended.
 enum class HttpEnd : std::uint8_t {
   /// The complete response arrived, as its framing shows.
-  kWhole,
+  kComplete,
   /// The response had no length and its connection was closed, not reset. It is
   /// probably complete, but a server that crashes looks the same.
-  kUnframed,
+  kCloseDelimited,
   /// The connection could not be opened: nothing was sent.
   kNotSent,
   /// The connection broke or timed out after the request was sent, or the
@@ -35,7 +35,7 @@
 /// @brief Callbacks of one request.
 struct HttpCallbacks {
   /// Status and headers of the final response arrived.
-  std::function<void(int status, const HttpHeaders& headers)> on_head_;
+  std::function<void(int status, const HttpHeaders& headers)> on_headers_;
   /// A part of the body arrived.
   std::function<void(std::string_view bytes)> on_data_;
   /// Called exactly once, after all others, unless the request is cancelled.
@@ -46,21 +46,21 @@
 struct HttpSendOptions {
   /// Whether an idle connection may be reused and the connection kept
   /// afterwards.
-  bool keep_ = false;
+  bool keep_alive_ = false;
   /// A connection that was idle for longer is not reused: the server may be
   /// closing it, or the path may have broken without a reset.
-  core::Duration max_rest_ = std::chrono::seconds(2);
+  core::Duration max_idle_time_ = std::chrono::seconds(2);
   core::Duration connect_timeout_ = std::chrono::milliseconds(1000);
   /// Longest time without a byte from the server. Without a value, the client's
   /// `io_timeout`.
-  std::optional<core::Duration> silence_;
+  std::optional<core::Duration> idle_timeout_;
   /// Called once a new connection is open; the request is sent only if it
   /// returns true. Without it, the request is always sent.
   std::function<bool()> may_send_;
   /// Returns false for a response to an earlier request on the same connection:
   /// it is discarded and the next one awaited. Without it, every response is
   /// accepted.
-  std::function<bool(const HttpHeaders& headers)> is_ours_;
+  std::function<bool(const HttpHeaders& headers)> matches_request_;
 };
 
 /// @brief A request in flight; dropping it does not cancel it.
@@ -71,7 +71,7 @@
   virtual void Cancel() = 0;
   /// @brief Whether some of the request is not yet acknowledged by the server's
   /// TCP; false when the local system cannot tell.
-  [[nodiscard]] virtual bool undelivered() const { return false; }
+  [[nodiscard]] virtual bool has_unacknowledged_data() const { return false; }
   /// @brief Pauses or resumes reading the response, for a slow consumer. No
   /// timeout runs while paused.
   virtual void SetReading(bool /*reading*/) {}
@@ -86,7 +86,7 @@
 
   /// @brief Whether the response ended normally with a 2xx status.
   [[nodiscard]] bool ok() const noexcept {
-    return (end_ == HttpEnd::kWhole || end_ == HttpEnd::kUnframed) &&
+    return (end_ == HttpEnd::kComplete || end_ == HttpEnd::kCloseDelimited) &&
            status_ >= 200 && status_ < 300;
   }
 };
--- a/packages/daemon/src/daemon/http_parser.hpp
+++ b/packages/daemon/src/daemon/http_parser.hpp
@@ -18,9 +18,9 @@
   std::size_t header_bytes_ = std::size_t{16} << 10;
   std::size_t body_bytes_ = std::size_t{64} << 20;
   /// Time from the first byte of a request to the end of its body.
-  core::Duration request_time_ = std::chrono::seconds(10);
+  core::Duration request_timeout_ = std::chrono::seconds(10);
   /// A connection without a request for this long is closed.
-  core::Duration idle_time_ = std::chrono::seconds(60);
+  core::Duration idle_timeout_ = std::chrono::seconds(60);
 };
 
 /// @brief Why a message was rejected.
--- a/packages/daemon/src/daemon/http_server.hpp
+++ b/packages/daemon/src/daemon/http_server.hpp
@@ -49,7 +49,7 @@
   virtual void Start(int status, const HttpHeaders& headers) = 0;
   /// @brief Sends the head of a response of unknown length that is delimited by
   /// the close of the connection. Servers without support for that use Start.
-  virtual void StartUnframed(int status, const HttpHeaders& headers) {
+  virtual void StartCloseDelimited(int status, const HttpHeaders& headers) {
     Start(status, headers);
   }
   /// @brief Sends a part of the body of a streamed response.
--- a/packages/daemon/src/daemon/main.cpp
+++ b/packages/daemon/src/daemon/main.cpp
@@ -53,13 +53,13 @@
   if (is_entry) {
     static direct::DirectEntry entry(
         process,
-        chalkwell::platform::MakeAdapter(process.http(), store, std::nullopt));
+        chalkwell::platform::MakeAdapter(process.http_client(), store, std::nullopt));
     entry.Run();
   } else {
     const auto engine = ParseAddress(settings.Text("endpoint", "backend"));
     static direct::DirectAgent agent(
         process,
-        chalkwell::platform::MakeAdapter(process.http(), store, engine));
+        chalkwell::platform::MakeAdapter(process.http_client(), store, engine));
     agent.Run();
   }
 }
@@ -81,7 +81,7 @@
 
 int RunDaemon(const Options& options, bool is_entry) {
   using chalkwell::daemon::UsedBy;
-  chalkwell::daemon::ReportCrashes();
+  chalkwell::daemon::InstallCrashHandler();
   // SIGHUP must not end the process before the loop handles it.
   std::signal(SIGHUP, SIG_IGN);
   const bool has_adapter = !options.adapter_.empty();
--- a/packages/daemon/src/daemon/messages.cpp
+++ b/packages/daemon/src/daemon/messages.cpp
@@ -42,7 +42,7 @@
 }  // namespace
 
 std::map<std::string, StampMessage> ToMessage(
-    const config::AcceptedDocuments::Stamps& stamps) {
+    const config::AcceptedDocuments::Versions& stamps) {
   std::map<std::string, StampMessage> message;
   for (const auto& [key, stamp] : stamps) {
     message[key] = {stamp.sequence_, ToBytes(stamp.manifest_),
@@ -51,9 +51,9 @@
   return message;
 }
 
-config::AcceptedDocuments::Stamps FromMessage(
+config::AcceptedDocuments::Versions FromMessage(
     const std::map<std::string, StampMessage>& stamps) {
-  config::AcceptedDocuments::Stamps result;
+  config::AcceptedDocuments::Versions result;
   for (const auto& [key, stamp] : stamps) {
     result[key] = {stamp.sequence_, FromBytes(stamp.manifest_),
                    FromBytes(stamp.content_)};
@@ -83,7 +83,7 @@
   return documents;
 }
 
-std::uint64_t Fingerprint(const config::AcceptedDocuments::Stamps& stamps) {
+std::uint64_t Fingerprint(const config::AcceptedDocuments::Versions& stamps) {
   std::uint64_t sum = 0;
   for (const auto& [key, stamp] : stamps) {
     sum += core::RendezvousScore(
--- a/packages/daemon/src/daemon/messages.hpp
+++ b/packages/daemon/src/daemon/messages.hpp
@@ -248,8 +248,8 @@
 };
 
 [[nodiscard]] std::map<std::string, StampMessage> ToMessage(
-    const config::AcceptedDocuments::Stamps& stamps);
-[[nodiscard]] config::AcceptedDocuments::Stamps FromMessage(
+    const config::AcceptedDocuments::Versions& stamps);
+[[nodiscard]] config::AcceptedDocuments::Versions FromMessage(
     const std::map<std::string, StampMessage>& stamps);
 [[nodiscard]] std::vector<DocumentMessage> ToMessage(
     const std::vector<config::Document>& documents);
@@ -260,6 +260,6 @@
     const std::vector<DocumentMessage>& messages, const std::string& peer);
 /// @brief Fingerprint of all stamps; equal for equal documents.
 [[nodiscard]] std::uint64_t Fingerprint(
-    const config::AcceptedDocuments::Stamps& stamps);
+    const config::AcceptedDocuments::Versions& stamps);
 
 }  // namespace chalkwell::daemon
--- a/packages/daemon/src/daemon/peer_connection.cpp
+++ b/packages/daemon/src/daemon/peer_connection.cpp
@@ -157,7 +157,7 @@
 
 void PeerConnection::State::StartPinging() {
   timer_.Every(settings_.ping_interval_, [this] {
-    if (loop_.Now() - session_->last_received() > settings_.silence_) {
+    if (loop_.Now() - session_->last_received() > settings_.receive_timeout_) {
       Close();
       return;
     }
@@ -246,8 +246,8 @@
     const auto status = FindHeader(held->headers_, ":status");
     int number = 0;
     std::from_chars(status.data(), status.data() + status.size(), number);
-    if (call->callbacks_.on_head_) {
-      call->callbacks_.on_head_(number);
+    if (call->callbacks_.on_headers_) {
+      call->callbacks_.on_headers_(number);
     }
   };
   stream->on_data_ = [call](std::string_view bytes) {
@@ -262,7 +262,7 @@
     if (error == NGHTTP2_REFUSED_STREAM) {
       end = PeerEnd::kNotSent;
     } else if (error == NGHTTP2_NO_ERROR && *ended) {
-      end = PeerEnd::kWhole;
+      end = PeerEnd::kComplete;
     }
     EndCall(call, call->callbacks_, end);
   };
@@ -302,7 +302,7 @@
   return call;
 }
 
-OutgoingCallPtr PeerConnection::Ask(
+OutgoingCallPtr PeerConnection::Fetch(
     std::string path, std::string body,
     std::function<void(PeerEnd end, int status, std::string body)> done) {
   struct Response {
@@ -311,7 +311,7 @@
   };
   auto response = std::make_shared<Response>();
   PeerCallbacks callbacks;
-  callbacks.on_head_ = [response](int status) { response->status_ = status; };
+  callbacks.on_headers_ = [response](int status) { response->status_ = status; };
   callbacks.on_data_ = [response](std::string_view bytes) {
     response->body_.append(bytes);
   };
@@ -321,7 +321,7 @@
   return Call(std::move(path), std::move(body), std::move(callbacks));
 }
 
-void PeerConnection::OnProbe(std::function<void(bool unanswered)> observer) {
+void PeerConnection::OnPing(std::function<void(bool unanswered)> observer) {
   state_->on_probe_ = std::move(observer);
 }
 
--- a/packages/daemon/src/daemon/peer_connection.hpp
+++ b/packages/daemon/src/daemon/peer_connection.hpp
@@ -15,7 +15,7 @@
 /// @brief How a call to a peer ended.
 enum class PeerEnd : std::uint8_t {
   /// The complete response arrived.
-  kWhole,
+  kComplete,
   /// The request was not sent, or the peer refused the stream (REFUSED_STREAM),
   /// which means that it did not process the request.
   kNotSent,
@@ -27,7 +27,7 @@
 /// @brief Callbacks of one call.
 struct PeerCallbacks {
   /// The response headers arrived.
-  std::function<void(int status)> on_head_;
+  std::function<void(int status)> on_headers_;
   /// A part of the response body arrived.
   std::function<void(std::string_view bytes)> on_data_;
   /// A ping has been unanswered for the stall timeout. The call stays open, but
@@ -62,7 +62,7 @@
   core::Duration ping_interval_ = std::chrono::milliseconds(1000);
   /// The connection is closed when no byte arrives for this long; checked at
   /// every ping.
-  core::Duration silence_ = std::chrono::milliseconds(3000);
+  core::Duration receive_timeout_ = std::chrono::milliseconds(3000);
   /// A call sends a ping too when no byte arrived for this long.
   core::Duration ping_after_idle_ = std::chrono::milliseconds(100);
   /// `on_stalled_` is called for the calls in flight when a ping is unanswered
@@ -92,12 +92,12 @@
   /// @brief Sends a POST request and collects the response.
   /// @param done called once, unless cancelled. `status` is 0 when no headers
   /// arrived; `body` holds what arrived, whatever `end` is.
-  OutgoingCallPtr Ask(
+  OutgoingCallPtr Fetch(
       std::string path, std::string body,
       std::function<void(PeerEnd end, int status, std::string body)> done);
   /// @brief Sets the observer that is called with true when a ping is sent
   /// while none is outstanding, and with false when the next bytes arrive.
-  void OnProbe(std::function<void(bool unanswered)> observer);
+  void OnPing(std::function<void(bool unanswered)> observer);
   /// @brief Closes the connection: calls in flight end with kBroken, calls that
   /// wait for the connection with kNotSent.
   void Close();
--- a/packages/daemon/src/daemon/peer_server.cpp
+++ b/packages/daemon/src/daemon/peer_server.cpp
@@ -63,7 +63,7 @@
   }
 }
 
-void PeerCall::Break() {
+void PeerCall::Abort() {
   if (!*closed_) {
     session_->Reset(stream_, NGHTTP2_INTERNAL_ERROR);
   }
--- a/packages/daemon/src/daemon/peer_server.hpp
+++ b/packages/daemon/src/daemon/peer_server.hpp
@@ -42,7 +42,7 @@
   /// @brief Completes it.
   void End();
   /// @brief Resets the stream, so that the peer sees an incomplete response.
-  void Break();
+  void Abort();
   /// @brief Sets the handler that is called once when the stream closes, for
   /// any reason.
   void OnClosed(std::function<void()> handler);
--- a/packages/daemon/src/daemon/problem.cpp
+++ b/packages/daemon/src/daemon/problem.cpp
@@ -26,7 +26,7 @@
   return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-void RespondProblem(HttpExchange& exchange, const Problem& problem) {
+void SendProblem(HttpExchange& exchange, const Problem& problem) {
   HttpHeaders headers{{"content-type", "application/problem+json"},
                       {"x-request-id", problem.request_}};
   if (problem.retry_after_) {
--- a/packages/daemon/src/daemon/problem.hpp
+++ b/packages/daemon/src/daemon/problem.hpp
@@ -34,6 +34,6 @@
 [[nodiscard]] std::string ToJson(const Problem& problem);
 /// @brief Sends the problem document, with `Retry-After` in whole seconds,
 /// rounded up, when `retry_after_` is set.
-void RespondProblem(HttpExchange& exchange, const Problem& problem);
+void SendProblem(HttpExchange& exchange, const Problem& problem);
 
 }  // namespace chalkwell::daemon
--- a/packages/daemon/src/daemon/process.hpp
+++ b/packages/daemon/src/daemon/process.hpp
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "daemon/config_node.hpp"
+#include "daemon/config_replica.hpp"
 #include "daemon/peer_connection.hpp"
 #include "daemon/peer_server.hpp"
 #include "daemon/process_base.hpp"
@@ -19,20 +19,20 @@
   /// @param name name of the subcommand, `entry` or `agent`.
   Process(Loop& loop, const Settings& settings, std::string name);
 
-  [[nodiscard]] ConfigNode& config() noexcept { return config_; }
-  [[nodiscard]] StoreReader& platform() noexcept { return store_reader_; }
+  [[nodiscard]] ConfigReplica& config() noexcept { return config_; }
+  [[nodiscard]] StoreReader& store_reader() noexcept { return store_reader_; }
   [[nodiscard]] PeerConnectionSettings connection_settings() const;
 
   /// @brief Handles a /v1/sync call and responds to it.
   /// @return the request.
   /// @throws core::Error for a malformed body; the call then has no response.
-  SyncMessage AnswerSync(const PeerCallPtr& call);
+  SyncMessage HandleSync(const PeerCallPtr& call);
   /// @brief Responds to a malformed call with status 400 and the error, and
   /// logs the error.
-  void AnswerError(const PeerCallPtr& call, const std::exception& error);
+  void RespondError(const PeerCallPtr& call, const std::exception& error);
 
  private:
-  ConfigNode config_;
+  ConfigReplica config_;
   StoreReader store_reader_;
 };
 
--- a/packages/daemon/src/daemon/process_base.cpp
+++ b/packages/daemon/src/daemon/process_base.cpp
@@ -58,7 +58,7 @@
   loop_.OnResume([this](core::Duration suspended) {
     const auto suspended_ms =
         std::chrono::duration_cast<std::chrono::milliseconds>(suspended);
-    log_.Write(core::EventNumber::kResumed,
+    log_.Write(core::EventNumber::kMachineResumed,
                {{"suspended_ms", std::to_string(suspended_ms.count())}});
     if (on_resume_) {
       on_resume_();
--- a/packages/daemon/src/daemon/process_base.hpp
+++ b/packages/daemon/src/daemon/process_base.hpp
@@ -31,9 +31,9 @@
   }
   [[nodiscard]] EventLog& log() noexcept { return log_; }
   [[nodiscard]] Metrics& metrics() noexcept { return metrics_; }
-  [[nodiscard]] HttpClient& http() noexcept { return http_; }
+  [[nodiscard]] HttpClient& http_client() noexcept { return http_; }
   [[nodiscard]] Tracer& tracer() noexcept { return tracer_; }
-  [[nodiscard]] membership::GracefulShutdown& stop() noexcept {
+  [[nodiscard]] membership::GracefulShutdown& shutdown() noexcept {
     return shutdown_;
   }
   [[nodiscard]] bool stopping() const noexcept { return shutdown_.draining(); }
--- a/packages/daemon/src/daemon/request_runner.cpp
+++ b/packages/daemon/src/daemon/request_runner.cpp
@@ -43,8 +43,8 @@
 
 }  // namespace
 
-std::vector<routing::Candidate> CandidatesOf(
-    const membership::Roster& roster, const core::Role& role,
+std::vector<routing::Candidate> AvailableCandidates(
+    const membership::ListedEndpoints& roster, const core::Role& role,
     core::TimePoint now, const std::set<core::InstanceId>& excluded) {
   std::vector<routing::Candidate> candidates;
   std::vector<routing::Candidate> saturated;
@@ -53,7 +53,7 @@
       continue;
     }
     const bool below_share =
-        view->in_flight_ < membership::Roster::MaxInFlight(*view);
+        view->in_flight_ < membership::ListedEndpoints::MaxInFlight(*view);
     (below_share ? candidates : saturated)
         .push_back({.id_ = view->instance_.id_,
                     .domain_ = view->instance_.domain_,
@@ -64,7 +64,7 @@
   return candidates.empty() ? saturated : candidates;
 }
 
-RequestRunner::RequestRunner(RequestServices services, HttpExchangePtr exchange,
+RequestRunner::RequestRunner(RequestDependencies services, HttpExchangePtr exchange,
                              AdmittedRequest request,
                              std::function<void(routing::Outcome)> on_done)
     : services_(services),
@@ -122,7 +122,7 @@
                ? std::optional(request_.ticket_->endpoint_)
                : std::nullopt;
   }
-  auto candidates = CandidatesOf(roster, request_.role_, now, tried_endpoints_);
+  auto candidates = AvailableCandidates(roster, request_.role_, now, tried_endpoints_);
   if (same_weights && !events_forwarded_) {
     return std::nullopt;
   }
@@ -162,7 +162,7 @@
                                                : core::Digest{};
   ticket_ = request_.ticket_;
   if (!request_.repeatable_ && !ticket_) {
-    ticket_ = services_.links_.MintTicket(endpoint_);
+    ticket_ = services_.links_.IssueTicket(endpoint_);
   }
   const auto connection = services_.links_.Connection(endpoint_);
   roster.OnRequestSent(endpoint_, now);
@@ -419,7 +419,7 @@
     exchange_->End(false);
     return;
   }
-  RespondProblem(*exchange_, problem);
+  SendProblem(*exchange_, problem);
 }
 
 HttpHeaders RequestRunner::ResponseHeaders() const {
--- a/packages/daemon/src/daemon/request_runner.hpp
+++ b/packages/daemon/src/daemon/request_runner.hpp
@@ -21,7 +21,7 @@
 namespace chalkwell::daemon {
 
 /// @brief Objects that the requests of one entry share.
-struct RequestServices {
+struct RequestDependencies {
   Loop& loop_;
   const core::InstanceId& self_;
   AgentLinks& links_;
@@ -35,8 +35,8 @@
 /// @brief Endpoints of a role that may get new work now, except those in
 /// `excluded`. Endpoints at which this entry uses its whole share of the slots
 /// are returned only if there is no other.
-[[nodiscard]] std::vector<routing::Candidate> CandidatesOf(
-    const membership::Roster& roster, const core::Role& role,
+[[nodiscard]] std::vector<routing::Candidate> AvailableCandidates(
+    const membership::ListedEndpoints& roster, const core::Role& role,
     core::TimePoint now, const std::set<core::InstanceId>& excluded);
 
 /// @brief A request that passed admission.
@@ -68,7 +68,7 @@
 class RequestRunner : public std::enable_shared_from_this<RequestRunner> {
  public:
   /// @param on_done called once, when the outcome is decided.
-  RequestRunner(RequestServices services, HttpExchangePtr exchange,
+  RequestRunner(RequestDependencies services, HttpExchangePtr exchange,
                 AdmittedRequest request,
                 std::function<void(routing::Outcome)> on_done);
 
@@ -96,7 +96,7 @@
   [[nodiscard]] HttpHeaders ResponseHeaders() const;
   [[nodiscard]] std::string TicketText() const;
 
-  RequestServices services_;
+  RequestDependencies services_;
   HttpExchangePtr exchange_;
   AdmittedRequest request_;
   std::function<void(routing::Outcome)> on_done_;
--- a/packages/daemon/src/daemon/run_handler.cpp
+++ b/packages/daemon/src/daemon/run_handler.cpp
@@ -220,7 +220,7 @@
 
 void RunHandler::ForwardToBackend(const AttemptPtr& attempt) {
   const auto& message = attempt->message_;
-  process_.stop().OnWorkAccepted();
+  process_.shutdown().OnWorkAccepted();
   attempt->span_ =
       process_.tracer().Begin("agent " + message.path_, message.traceparent_);
   attempt->call_->OnClosed([this, attempt] {
@@ -251,7 +251,7 @@
                                   std::to_string(message.resume_from_));
   }
   HttpCallbacks callbacks;
-  callbacks.on_head_ = [this, attempt](int status, const HttpHeaders& headers) {
+  callbacks.on_headers_ = [this, attempt](int status, const HttpHeaders& headers) {
     OnResponseHead(attempt, status, headers);
   };
   callbacks.on_data_ = [this, attempt](std::string_view bytes) {
@@ -261,7 +261,7 @@
     OnResponseEnd(attempt, end);
   };
   attempt->backend_call_ =
-      process_.http().Send(backend_, request, std::move(callbacks));
+      process_.http_client().Send(backend_, request, std::move(callbacks));
 }
 
 void RunHandler::OnResponseHead(const AttemptPtr& attempt, int status,
@@ -351,7 +351,7 @@
   }
   process_.tracer().End(attempt->span_, complete);
   process_.loop().Post([attempt] { attempt->deadline_timer_.reset(); });
-  process_.stop().OnWorkFinished();
+  process_.shutdown().OnWorkFinished();
   StartQueued();
   if (slots_.in_use() == 0) {
     on_idle_();
--- a/packages/daemon/src/daemon/store_reader.cpp
+++ b/packages/daemon/src/daemon/store_reader.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 StoreReader::StoreReader(Loop& loop, HttpClient& client, Address address,
-                         core::Duration max_wait, ConfigNode& node,
+                         core::Duration max_wait, ConfigReplica& node,
                          EventLog& log, Metrics& metrics)
     : client_(client),
       address_(std::move(address)),
--- a/packages/daemon/src/daemon/store_reader.hpp
+++ b/packages/daemon/src/daemon/store_reader.hpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "daemon/address.hpp"
-#include "daemon/config_node.hpp"
+#include "daemon/config_replica.hpp"
 #include "daemon/http_client.hpp"
 #include "daemon/loop.hpp"
 
@@ -26,7 +26,7 @@
   /// @param max_wait how long the store may delay the response to a watch
   /// until something changes.
   StoreReader(Loop& loop, HttpClient& client, Address address,
-              core::Duration max_wait, ConfigNode& node, EventLog& log,
+              core::Duration max_wait, ConfigReplica& node, EventLog& log,
               Metrics& metrics);
 
   [[nodiscard]] bool watching() const noexcept { return watching_; }
@@ -50,7 +50,7 @@
   HttpClient& client_;
   Address address_;
   core::Duration max_wait_;
-  ConfigNode& node_;
+  ConfigReplica& node_;
   EventLog& log_;
   Metrics& metrics_;
   Timer timer_;
--- a/packages/daemon/src/daemon/swarm_links.cpp
+++ b/packages/daemon/src/daemon/swarm_links.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-SwarmLinks::SwarmLinks(Loop& loop, ConfigNode& node,
+SwarmLinks::SwarmLinks(Loop& loop, ConfigReplica& node,
                        PeerConnectionSettings settings, SwarmObserver observer)
     : loop_(loop),
       node_(node),
@@ -37,12 +37,12 @@
     auto existing = neighbours_.extract(instance.id_);
     auto& neighbour = next[instance.id_];
     const bool retained = !existing.empty() &&
-                          existing.mapped().instance_.peer_ == instance.peer_;
+                          existing.mapped().instance_.peer_address_ == instance.peer_address_;
     if (retained) {
       neighbour = std::move(existing.mapped());
     } else {
       neighbour.connection_ = std::make_shared<PeerConnection>(
-          loop_, ParseAddress(instance.peer_), settings_);
+          loop_, ParseAddress(instance.peer_address_), settings_);
       neighbour.retry_timer_ = std::make_shared<Timer>(loop_);
     }
     neighbour.instance_ = instance;
--- a/packages/daemon/src/daemon/swarm_links.hpp
+++ b/packages/daemon/src/daemon/swarm_links.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "chalkwell/swarm/chunk_set.hpp"
-#include "daemon/config_node.hpp"
+#include "daemon/config_replica.hpp"
 #include "daemon/loop.hpp"
 #include "daemon/peer_connection.hpp"
 #include "daemon/peer_server.hpp"
@@ -41,7 +41,7 @@
 /// A subscription whose stream ends is renewed after a delay.
 class SwarmLinks {
  public:
-  SwarmLinks(Loop& loop, ConfigNode& node, PeerConnectionSettings settings,
+  SwarmLinks(Loop& loop, ConfigReplica& node, PeerConnectionSettings settings,
              SwarmObserver observer);
 
   /// @brief Connection to a neighbour; null if `id` is not a neighbour.
@@ -90,7 +90,7 @@
   void AnnounceTo(Subscriber& subscriber);
 
   Loop& loop_;
-  ConfigNode& node_;
+  ConfigReplica& node_;
   PeerConnectionSettings settings_;
   SwarmObserver observer_;
   /// Manifest of the subscriptions, in hexadecimal; empty for none.
--- a/packages/daemon/src/daemon/weight_fetcher.cpp
+++ b/packages/daemon/src/daemon/weight_fetcher.cpp
@@ -209,7 +209,7 @@
                             .body_ = ""};
   const auto& address = from_store ? *weight_store_ : origin_;
   const std::string source = from_store ? "weight store" : "origin";
-  job->origin_fetches_[index] = process_.http().Fetch(
+  job->origin_fetches_[index] = process_.http_client().Fetch(
       address, request,
       [this, job, index, from_store, source](HttpResponse response) {
         origin_bytes_ += response.body_.size();
@@ -221,7 +221,7 @@
         job->origin_fetches_.erase(index);
         if (response.ok()) {
           process_.log().Write(
-              core::EventNumber::kOriginFetched,
+              core::EventNumber::kOriginFetchStarted,
               {{"chunk", std::to_string(index)}, {"source", source}});
           OnReceived(job, index, std::move(response.body_), source);
         } else if (from_store) {
@@ -243,14 +243,14 @@
   }
   const ChunkMessage message{.manifest_ = job->manifest_hex_,
                              .chunk_ = static_cast<std::uint32_t>(index)};
-  job->peer_fetches_[index] = connection->Ask(
+  job->peer_fetches_[index] = connection->Fetch(
       std::string(kChunkPath), Pack(message),
       [this, job, index, peer](PeerEnd end, int status, std::string body) {
         if (!IsCurrent(job)) {
           return;
         }
         job->peer_fetches_.erase(index);
-        if (end == PeerEnd::kWhole && status == 200) {
+        if (end == PeerEnd::kComplete && status == 200) {
           process_.metrics().Count("peer_bytes_total", {{"way", "in"}},
                                    static_cast<double>(body.size()));
           OnReceived(job, index, std::move(body), peer.value());
--- a/tests/bundle/signature_test.cpp
+++ b/tests/bundle/signature_test.cpp
@@ -18,7 +18,7 @@
   CHECK(trusted.Verify(envelope, kBundleContext) == SignatureVerdict::kValid);
   CHECK(trusted.Verify(envelope, kTrustContext) == SignatureVerdict::kInvalid);
   CHECK(trusted.Verify(Sign(other, kBundleContext, "payload"),
-                       kBundleContext) == SignatureVerdict::kUnknownKey);
+                       kBundleContext) == SignatureVerdict::kUntrustedKey);
   auto changed = envelope;
   changed.payload_ += " ";
   CHECK(trusted.Verify(changed, kBundleContext) == SignatureVerdict::kInvalid);
--- a/tests/cli/cli_test.cpp
+++ b/tests/cli/cli_test.cpp
@@ -48,7 +48,7 @@
   }
 
  private:
-  Scratch scratch_;
+  TemporaryFolder scratch_;
   std::string output_;
 };
 
@@ -127,7 +127,7 @@
 }
 
 TEST_CASE("a daemon with invalid settings exits with 2", "[cli]") {
-  const Scratch scratch;
+  const TemporaryFolder scratch;
   const auto path = scratch.path() + "/bad.ini";
   std::ofstream(path) << "[log]\nformat = xml\n";
   Child daemon({DaemonPath(), "agent", "--config", path},
--- a/tests/config/accepted_documents_test.cpp
+++ b/tests/config/accepted_documents_test.cpp
@@ -35,7 +35,7 @@
       GENERATE(Row{BundleOf(6, "w"), Verdict::kAccepted},
                Row{BundleOf(5, "w"), Verdict::kUnchanged},
                Row{BundleOf(4, "w"), Verdict::kOlder},
-               Row{BundleOf(9, "w", kNext), Verdict::kUnknownKey},
+               Row{BundleOf(9, "w", kNext), Verdict::kUntrustedSigningKey},
                Row{Document{kBundleKey, 9, "nonsense"}, Verdict::kMalformed},
                Row{Document{"bundles", 9, "{}"}, Verdict::kMalformed},
                Row{Routes(3, "/b"), Verdict::kAccepted},
@@ -45,9 +45,9 @@
   AcceptedDocuments documents({kKey.public_});
   REQUIRE(IsAccepted(documents.Apply(BundleOf(5, "w")).verdict_));
   REQUIRE(IsAccepted(documents.Apply(Routes(2, "/a")).verdict_));
-  const auto before = documents.stamps();
+  const auto before = documents.versions();
   CHECK(documents.Apply(row.offered_).verdict_ == row.verdict_);
-  CHECK((documents.stamps() == before) != IsAccepted(row.verdict_));
+  CHECK((documents.versions() == before) != IsAccepted(row.verdict_));
 }
 
 TEST_CASE("a document with a modified payload is refused", "[config]") {
@@ -67,7 +67,7 @@
   (void)left.Apply(BundleOf(5, "b"));
   (void)right.Apply(BundleOf(5, "b"));
   (void)right.Apply(BundleOf(5, "a"));
-  CHECK(left.stamps() == right.stamps());
+  CHECK(left.versions() == right.versions());
   CHECK(left.AcceptedBundle()->manifest_ == right.AcceptedBundle()->manifest_);
 }
 
@@ -76,13 +76,13 @@
       R"({"version":1,"keys":[")" + kNext.public_.ToHex() + R"("]})";
   AcceptedDocuments documents({kKey.public_});
   CHECK(documents.Apply(BundleOf(1, "w", kNext)).verdict_ ==
-        Verdict::kUnknownKey);
+        Verdict::kUntrustedSigningKey);
   const auto trust =
       bundle::Serialize(bundle::Sign(kKey, bundle::kTrustContext, list));
   CHECK(documents.Apply({kTrustKey, 1, trust}).verdict_ == Verdict::kAccepted);
   CHECK(documents.Apply(BundleOf(1, "w", kNext)).verdict_ ==
         Verdict::kAccepted);
-  CHECK(documents.Apply(BundleOf(2, "w")).verdict_ == Verdict::kUnknownKey);
+  CHECK(documents.Apply(BundleOf(2, "w")).verdict_ == Verdict::kUntrustedSigningKey);
   CHECK(documents.NewerThan({}).front().key_ == kTrustKey);
 }
 
@@ -92,9 +92,9 @@
   (void)ahead.Apply(BundleOf(2, "w"));
   (void)ahead.Apply(Routes(1, "/a"));
   (void)behind.Apply(Routes(1, "/a"));
-  CHECK(behind.IsBehind(ahead.stamps()));
-  CHECK_FALSE(ahead.IsBehind(behind.stamps()));
-  const auto newer = ahead.NewerThan(behind.stamps());
+  CHECK(behind.IsBehind(ahead.versions()));
+  CHECK_FALSE(ahead.IsBehind(behind.versions()));
+  const auto newer = ahead.NewerThan(behind.versions());
   REQUIRE(newer.size() == 1);
   CHECK(newer.front().key_ == kBundleKey);
 }
--- a/tests/daemon/http1_server_test.cpp
+++ b/tests/daemon/http1_server_test.cpp
@@ -23,8 +23,8 @@
                 std::move(handler)) {
     limits_.header_bytes_ = 1000;
     limits_.body_bytes_ = 100;
-    limits_.request_time_ = 60ms;
-    limits_.idle_time_ = 80ms;
+    limits_.request_timeout_ = 60ms;
+    limits_.idle_timeout_ = 80ms;
   }
 
   /// Runs the loop until the caller's thread has ended.
@@ -215,7 +215,7 @@
                    "", ""},
                Row{"without a length",
                    [](HttpExchange& exchange) {
-                     exchange.StartUnframed(200, {});
+                     exchange.StartCloseDelimited(200, {});
                      exchange.Write("abc");
                      exchange.End(true);
                    },
@@ -236,7 +236,7 @@
 TEST_CASE("a stopping server closes the connection after a response",
           "[daemon]") {
   Fixture fixture(Echo);
-  fixture.server_.CloseAfterAnswers();
+  fixture.server_.CloseAfterResponses();
   const auto response =
       fixture.SendAndReceive("GET / HTTP/1.1\r\nhost: a\r\n\r\n");
   CHECK(response.find("connection: close") != std::string::npos);
--- a/tests/daemon/http_client_test.cpp
+++ b/tests/daemon/http_client_test.cpp
@@ -28,10 +28,10 @@
   HttpResponse Fetch(const std::string& response_id = "",
                      core::Duration max_idle = 2s) {
     HttpSendOptions options;
-    options.keep_ = true;
-    options.max_rest_ = max_idle;
+    options.keep_alive_ = true;
+    options.max_idle_time_ = max_idle;
     if (!response_id.empty()) {
-      options.is_ours_ = [response_id](const HttpHeaders& headers) {
+      options.matches_request_ = [response_id](const HttpHeaders& headers) {
         return FindHeader(headers, "id") == response_id;
       };
     }
@@ -67,19 +67,19 @@
   };
   const auto row = GENERATE(
       Row{"by length", "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc", false,
-          HttpEnd::kWhole},
+          HttpEnd::kComplete},
       Row{"shorter than its length",
           "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nabc", false,
           HttpEnd::kBroken},
       Row{"by chunks",
           "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n"
           "0\r\n\r\n",
-          false, HttpEnd::kWhole},
+          false, HttpEnd::kComplete},
       Row{"ended between two chunks",
           "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n",
           false, HttpEnd::kBroken},
       Row{"without a length, closed", "HTTP/1.1 200 OK\r\n\r\nabc", false,
-          HttpEnd::kUnframed},
+          HttpEnd::kCloseDelimited},
       Row{"without a length, reset", "HTTP/1.1 200 OK\r\n\r\nabc", true,
           HttpEnd::kBroken},
       Row{"no response", "", false, HttpEnd::kBroken},
@@ -88,7 +88,7 @@
       Row{"an interim response first",
           "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\n"
           "content-length: 3\r\n\r\nabc",
-          false, HttpEnd::kWhole});
+          false, HttpEnd::kComplete});
   CAPTURE(row.name_);
   Fixture fixture;
   std::thread server([&] {
@@ -104,7 +104,7 @@
   const auto result = fixture.Fetch();
   server.join();
   CHECK(result.end_ == row.end_);
-  if (row.end_ == HttpEnd::kWhole) {
+  if (row.end_ == HttpEnd::kComplete) {
     CHECK(result.body_ == "abc");
   }
 }
@@ -123,7 +123,7 @@
   CHECK(fixture.Fetch("1").body_ == "one");
   const auto second = fixture.Fetch("2");
   server.join();
-  CHECK(second.end_ == HttpEnd::kWhole);
+  CHECK(second.end_ == HttpEnd::kComplete);
   CHECK(second.body_ == "two");
 }
 
@@ -152,7 +152,7 @@
   fixture.loop_.Run();
   fixture.RunBriefly();
   server.join();
-  CHECK(end == (may_send ? HttpEnd::kWhole : HttpEnd::kNotSent));
+  CHECK(end == (may_send ? HttpEnd::kComplete : HttpEnd::kNotSent));
   CHECK(received.empty() != may_send);
 }
 
@@ -177,7 +177,7 @@
                            {});
   fixture.RunBriefly();
   server.join();
-  CHECK(call->undelivered() == row.undelivered_);
+  CHECK(call->has_unacknowledged_data() == row.undelivered_);
   call->Cancel();
   fixture.RunBriefly();
 }
--- a/tests/daemon/http_test.cpp
+++ b/tests/daemon/http_test.cpp
@@ -99,14 +99,14 @@
     HttpEnd end_;
     std::string body_;
   };
-  const auto row = GENERATE(Row{"/whole", HttpEnd::kWhole, "answer"},
-                            Row{"/stream", HttpEnd::kWhole, "one two"},
+  const auto row = GENERATE(Row{"/whole", HttpEnd::kComplete, "answer"},
+                            Row{"/stream", HttpEnd::kComplete, "one two"},
                             Row{"/cut", HttpEnd::kBroken, "one two"});
   Fixture fixture;
   const auto result = fixture.Fetch(row.path_);
   CHECK(result.end_ == row.end_);
   CHECK(row.body_.starts_with(result.body_));
-  if (row.end_ == HttpEnd::kWhole) {
+  if (row.end_ == HttpEnd::kComplete) {
     CHECK(result.body_ == row.body_);
   }
 }
@@ -153,7 +153,7 @@
 TEST_CASE("a refused connection ends as not sent", "[daemon]") {
   Loop loop;
   HttpClient client(loop, 1s);
-  HttpEnd end = HttpEnd::kWhole;
+  HttpEnd end = HttpEnd::kComplete;
   client.Fetch({"127.0.0.1", 1}, {.method_ = "GET", .path_ = "/"},
                [&](const HttpResponse& response) {
                  end = response.end_;
--- a/tests/failure/config_test.cpp
+++ b/tests/failure/config_test.cpp
@@ -22,7 +22,7 @@
 }
 
 std::uint64_t ActiveVersion(const Node& node) {
-  const auto status = GetJson(node.admin_, "/status");
+  const auto status = GetJson(node.admin_address_, "/status");
   return status.is_object() ? status.value("bundle_version", std::uint64_t{0})
                             : 0;
 }
@@ -31,7 +31,7 @@
           "[config]") {
   Scenario scenario(
       {.domains_ = {"port-louis", "grand-baie"}, .entries_ = 2, .engines_ = 1});
-  scenario.GoLive();
+  scenario.StartAndWaitUntilLive();
   auto& fleet = scenario.fleet();
   fleet.Publish("bundle", MakeVersion(fleet, 2, 20));
   REQUIRE(fleet.WaitLive(2, 30s));
@@ -56,7 +56,7 @@
 TEST_CASE("a restarted fleet with a stale store orders no older version",
           "[config]") {
   Scenario scenario({.entries_ = 1, .engines_ = 1});
-  scenario.GoLive();
+  scenario.StartAndWaitUntilLive();
   auto& fleet = scenario.fleet();
   fleet.Publish("bundle", MakeVersion(fleet, 2, 20));
   REQUIRE(fleet.WaitLive(2, 30s));
@@ -64,7 +64,7 @@
   for (auto& node : fleet.nodes()) {
     node.process_.Kill();
   }
-  fleet.StartSystem();
+  fleet.StartNodes();
   // All processes restarted at once and only the stale store is left to tell
   // the version, but the engine itself remembers the version it was ordered to
   // load.
@@ -78,7 +78,7 @@
 TEST_CASE("the fleet serves while the store is down and catches up later",
           "[config]") {
   Scenario scenario({.entries_ = 2, .engines_ = 1, .services_ = 1});
-  scenario.GoLive();
+  scenario.StartAndWaitUntilLive();
   auto& fleet = scenario.fleet();
   (void)Post(fleet.platform(), "/control/down?on=1", "");
   fleet.Publish("bundle", MakeVersion(fleet, 2, 20));
@@ -100,7 +100,7 @@
           "[config]") {
   Scenario scenario(
       {.domains_ = {"port-louis", "grand-baie"}, .entries_ = 1, .engines_ = 2});
-  scenario.GoLive();
+  scenario.StartAndWaitUntilLive();
   auto& fleet = scenario.fleet();
   const auto first_document = MakeVersion(fleet, 2, 20);
   const auto second_document = MakeVersion(fleet, 2, 30);
@@ -112,7 +112,7 @@
     std::set<std::string> weights;
     for (const auto* engine : fleet.Engines()) {
       weights.insert(
-          GetJson(engine->backend_, "/v1/state").value("manifest", ""));
+          GetJson(engine->backend_address_, "/v1/state").value("manifest", ""));
     }
     return weights.size() == 1;
   };
@@ -128,12 +128,12 @@
        {"accounts", R"({"accounts":7})"},
        {"routes", R"({"routes":[{"prefix":"x","role":"chat"}]})"}}));
   Scenario scenario({.entries_ = 1, .engines_ = 1});
-  scenario.GoLive();
+  scenario.StartAndWaitUntilLive();
   auto& fleet = scenario.fleet();
   fleet.Publish(key, text);
   const auto& entry = *fleet.Entries().front();
   const auto is_refused = [&] {
-    return Get(entry.admin_, "/metrics").body_.find("document-refused") !=
+    return Get(entry.admin_address_, "/metrics").body_.find("document-refused") !=
            std::string::npos;
   };
   CHECK(Fleet::WaitFor(is_refused, 10s));
@@ -147,7 +147,7 @@
        .engines_ = 1,
        .services_ = 1,
        .entry_settings_ = {{"requests.max_body_bytes", "10000"}}});
-  scenario.GoLive();
+  scenario.StartAndWaitUntilLive();
   const auto& entry = *scenario.fleet().Entries().front();
   struct Row {
     std::string path_;
@@ -186,23 +186,23 @@
   for (const auto& row : rows) {
     CAPTURE(row.path_, row.error_);
     const auto response =
-        Post(entry.caller_, row.path_, row.body_, row.headers_);
+        Post(entry.caller_address_, row.path_, row.body_, row.headers_);
     CHECK(response.status_ == row.status_);
     CHECK(response.body_.find(row.error_) != std::string::npos);
   }
   const auto ticket =
-      Post(entry.caller_, "/v1/tickets/records/orders", "", {key});
+      Post(entry.caller_address_, "/v1/tickets/records/orders", "", {key});
   REQUIRE(ticket.status_ == 201);
   const auto text =
       nlohmann::json::parse(ticket.body_)["idempotency_key"].get<std::string>();
   const daemon::HttpHeaders once{
       key, {"idempotency-key", text}, {"x-request-id", "order-1"}};
-  const auto first = Post(entry.caller_, "/records/orders", "{}", once);
-  const auto second = Post(entry.caller_, "/records/orders", "{}", once);
+  const auto first = Post(entry.caller_address_, "/records/orders", "{}", once);
+  const auto second = Post(entry.caller_address_, "/records/orders", "{}", once);
   CHECK(first.status_ == 200);
   CHECK(second.body_ == first.body_);
   const auto record =
-      GetJson(scenario.fleet().Services().front()->backend_, "/control/record");
+      GetJson(scenario.fleet().Services().front()->backend_address_, "/control/record");
   CHECK(record["executed"]["order-1"] == 1);
 }
 
--- a/tests/failure/designated_reader_test.cpp
+++ b/tests/failure/designated_reader_test.cpp
@@ -19,7 +19,7 @@
   Scenario scenario(std::move(spec));
   auto& fleet = scenario.fleet();
   fleet.SetNodeSetting(reader_id, "platform.address", fleet.platform());
-  scenario.GoLive();
+  scenario.StartAndWaitUntilLive();
   fleet.Publish("bundle", fleet.MakeBundle(2, 20, 1 << 20, 256 << 10));
   CHECK(fleet.WaitLive(2, 40s));
 }
--- a/tests/failure/end_to_end_test.cpp
+++ b/tests/failure/end_to_end_test.cpp
@@ -13,25 +13,25 @@
 
 TEST_CASE("a bundle becomes live and serves a streamed completion",
           "[failure]") {
-  const Scratch scratch;
+  const TemporaryFolder scratch;
   Fleet fleet({.services_ = 1, .folder_ = scratch.path()});
-  fleet.StartOutside();
+  fleet.StartExternalServices();
   fleet.PublishFleet();
   fleet.Publish("bundle", fleet.MakeBundle(1, 7, 3 << 20, 1 << 20));
-  fleet.StartSystem();
+  fleet.StartNodes();
   REQUIRE(fleet.WaitLive(1, 30s));
   REQUIRE(fleet.WaitEntriesReady(10s));
 
   const auto& entry = *fleet.Entries().front();
   const auto response =
-      Post(entry.caller_, "/v1/chat/completions",
+      Post(entry.caller_address_, "/v1/chat/completions",
            R"({"prompt":"hello","max_tokens":4,"stream":true})",
            {{"authorization", "Bearer " + Fleet::CallerKey()}});
   CHECK(response.status_ == 200);
   CHECK(response.body_.ends_with("data: [DONE]\n\n"));
   const auto weights =
       daemon::FindHeader(response.headers_, "x-chalkwell-weights");
-  const auto engine = GetJson(fleet.Engines().front()->backend_, "/v1/state");
+  const auto engine = GetJson(fleet.Engines().front()->backend_address_, "/v1/state");
   CHECK(engine.value("manifest", "") == weights);
 }
 
--- a/tests/failure/load_invariants.hpp
+++ b/tests/failure/load_invariants.hpp
@@ -13,8 +13,8 @@
 inline void CheckLoadInvariants(const LoadResult& result) {
   CHECK(result.sent_ > 0);
   CHECK(result.wrong_ == 0);
-  CHECK(result.doubled_ == 0);
-  CHECK(result.invented_ == 0);
+  CHECK(result.executed_repeatedly_ == 0);
+  CHECK(result.never_executed_ == 0);
 }
 
 }  // namespace chalkwell::fleet
--- a/tests/failure/partition_test.cpp
+++ b/tests/failure/partition_test.cpp
@@ -25,7 +25,7 @@
 
 bool AllServeVersion(const std::vector<Node*>& engines, std::uint64_t version) {
   return std::ranges::all_of(engines, [version](const Node* node) {
-    const auto status = GetJson(node->admin_, "/status");
+    const auto status = GetJson(node->admin_address_, "/status");
     return status.is_object() && status.value("ready", false) &&
            status.value("version", std::uint64_t{0}) == version;
   });
@@ -58,12 +58,12 @@
                      .entries_ = 2,
                      .engines_ = 2,
                      .services_ = 1,
-                     .relayed_ = true});
-  scenario.GoLive();
+                     .uses_relays_ = true});
+  scenario.StartAndWaitUntilLive();
   auto& fleet = scenario.fleet();
   scenario.StartLoad();
   std::this_thread::sleep_for(1s);
-  fleet.CutOff(kIsolatedDomain);
+  fleet.Isolate(kIsolatedDomain);
   std::this_thread::sleep_for(1s);
   row.inject_faults_(fleet);
   fleet.Publish("bundle", fleet.MakeBundle(2, 20, 1 << 20, 256 << 10));
--- a/tests/failure/requests_test.cpp
+++ b/tests/failure/requests_test.cpp
@@ -82,7 +82,7 @@
       Row{"STOP_ENTRY", StopEntry}, Row{"KILL_ENTRY", KillEntry, true, true},
       Row{"KILL_AGENT_PLATFORM_DOWN", KillAgentWithStoreDown});
   Scenario scenario(TwoOfEach());
-  scenario.GoLive();
+  scenario.StartAndWaitUntilLive();
   scenario.StartLoad();
   std::this_thread::sleep_for(1s);
   row.inject_fault_(scenario.fleet());
@@ -106,7 +106,7 @@
 
 TEST_CASE("a planned stop breaks no long stream", "[requests]") {
   Scenario scenario(TwoOfEach());
-  scenario.GoLive();
+  scenario.StartAndWaitUntilLive();
   scenario.StartLoad(
       {.requests_per_second_ = 8, .service_share_ = 0, .tokens_ = 400});
   std::this_thread::sleep_for(1500ms);
@@ -134,12 +134,12 @@
   // 1 of 336 planned stops it accepted a caller's retry while the process
   // ended, and the retry broke off.
   Scenario scenario({.entries_ = 1, .engines_ = 1});
-  scenario.GoLive();
+  scenario.StartAndWaitUntilLive();
   auto& entry = *scenario.fleet().Entries().front();
   entry.process_.Signal(SIGTERM);
   REQUIRE(Fleet::WaitFor(
       [&] { return LogContains(entry.log_path_, " stopped "); }, 20s));
-  CHECK(Get(entry.caller_, "/").end_ == daemon::HttpEnd::kNotSent);
+  CHECK(Get(entry.caller_address_, "/").end_ == daemon::HttpEnd::kNotSent);
   CHECK(entry.process_.Wait(20s) == 0);
 }
 
--- a/tests/failure/rollout_test.cpp
+++ b/tests/failure/rollout_test.cpp
@@ -33,9 +33,9 @@
   replacement.domain_ = original.domain_;
   replacement.role_ = original.role_;
   replacement.is_engine_ = true;
-  replacement.backend_ = original.backend_;
-  replacement.admin_ = "127.0.0.1:" + std::to_string(FreePort());
-  replacement.peer_ = "127.0.0.1:" + std::to_string(FreePort());
+  replacement.backend_address_ = original.backend_address_;
+  replacement.admin_address_ = "127.0.0.1:" + std::to_string(FreePort());
+  replacement.peer_address_ = "127.0.0.1:" + std::to_string(FreePort());
   replacement.settings_path_ = original.settings_path_ + ".new";
   replacement.log_path_ = original.log_path_ + ".new";
   fleet.nodes().push_back(std::move(replacement));
@@ -47,7 +47,7 @@
   auto& original = *fleet.Engines().front();
   original.process_.Signal(SIGSTOP);
   auto& replacement = AddReplacement(fleet, original);
-  original.listed_ = false;
+  original.published_ = false;
   fleet.StartNode(replacement);
   fleet.PublishInstances();
   PublishVersion(fleet, 2);
@@ -57,7 +57,7 @@
 
 void KillEngineWhileLoading(Fleet& fleet) {
   auto& engine = *fleet.Engines().front();
-  (void)Post(engine.backend_, "/control/switches?load_ms=2000", "");
+  (void)Post(engine.backend_address_, "/control/switches?load_ms=2000", "");
   PublishVersion(fleet, 2);
   std::this_thread::sleep_for(1500ms);
   engine.backend_process_.Kill();
@@ -94,10 +94,10 @@
 
 void FailLoads(Fleet& fleet) {
   auto& engine = *fleet.Engines().front();
-  (void)Post(engine.backend_, "/control/switches?fails_loads=1", "");
+  (void)Post(engine.backend_address_, "/control/switches?fails_loads=1", "");
   PublishVersion(fleet, 2);
   std::this_thread::sleep_for(2s);
-  (void)Post(engine.backend_, "/control/switches?fails_loads=0", "");
+  (void)Post(engine.backend_address_, "/control/switches?fails_loads=0", "");
 }
 
 struct Row {
@@ -124,7 +124,7 @@
     spec.engine_arguments_ = {"--ignore-fencing"};
   }
   Scenario scenario(std::move(spec));
-  scenario.GoLive();
+  scenario.StartAndWaitUntilLive();
   scenario.StartLoad({.requests_per_second_ = 25});
   std::this_thread::sleep_for(500ms);
   auto& fleet = scenario.fleet();
@@ -134,10 +134,10 @@
   const auto result = scenario.StopLoad();
   CAPTURE(result.raw_.dump().substr(0, 400));
   CHECK(result.wrong_ == 0);
-  CHECK(result.doubled_ == 0);
+  CHECK(result.executed_repeatedly_ == 0);
   CHECK(result.lost_ == 0);
   for (const auto* engine : fleet.Engines()) {
-    const auto record = GetJson(engine->backend_, "/control/record");
+    const auto record = GetJson(engine->backend_address_, "/control/record");
     CHECK(record.value("mixed", 1) == 0);
     CHECK(record.value("bad_orders", 1) == 0);
     CHECK(record["activations"].back().get<std::string>().starts_with("2:"));
@@ -147,7 +147,7 @@
 TEST_CASE("a manifest with another digest than the bundle's is not activated",
           "[rollout]") {
   Scenario scenario({.entries_ = 1, .engines_ = 1});
-  scenario.GoLive();
+  scenario.StartAndWaitUntilLive();
   auto& fleet = scenario.fleet();
   const auto document = MakeVersion(fleet, 2);
   const auto payload = bundle::ParseEnvelope(document).payload_;
--- a/tests/fleet/child.cpp
+++ b/tests/fleet/child.cpp
@@ -187,7 +187,7 @@
   }
 }
 
-void KillChildrenWhenEnded() {
+void KillChildrenOnSignal() {
   for (const int signal : {SIGINT, SIGTERM, SIGHUP}) {
     std::signal(signal, KillChildren);
   }
--- a/tests/fleet/child.hpp
+++ b/tests/fleet/child.hpp
@@ -47,7 +47,7 @@
 
 /// @brief Installs handlers of SIGINT, SIGTERM and SIGHUP that kill all
 /// children before this process ends; they would keep running otherwise.
-void KillChildrenWhenEnded();
+void KillChildrenOnSignal();
 
 /// @brief Paths of the programs under test.
 [[nodiscard]] std::string DaemonPath();
--- a/tests/fleet/fleet.cpp
+++ b/tests/fleet/fleet.cpp
@@ -67,7 +67,7 @@
       origin_(NewAddress()) {
   std::filesystem::create_directories(spec_.folder_ + "/blobs");
   AddNodes();
-  if (spec_.relayed_) {
+  if (spec_.uses_relays_) {
     AddRelay();
   }
 }
@@ -86,10 +86,10 @@
                       .to_ = ""});
     for (auto& node : nodes_) {
       if (node.domain_ == domain) {
-        node.peer_ = DomainIp(i) + node.peer_.substr(node.peer_.find(':'));
+        node.peer_address_ = DomainIp(i) + node.peer_address_.substr(node.peer_address_.find(':'));
         node.listed_peer_ = NewAddress();
         routes.push_back({.listen_ = node.listed_peer_,
-                          .target_ = node.peer_,
+                          .target_ = node.peer_address_,
                           .from_ = "",
                           .to_ = domain});
         SetNodeSetting(node.id_, "listen.advertised", node.listed_peer_);
@@ -100,7 +100,7 @@
   relay_ = std::make_unique<Relay>(std::move(routes), std::move(domain_of_ip));
 }
 
-void Fleet::CutOff(const std::string& domain) { relay_->CutOff(domain); }
+void Fleet::Isolate(const std::string& domain) { relay_->Isolate(domain); }
 
 void Fleet::Heal() { relay_->Heal(); }
 
@@ -119,10 +119,10 @@
     node.is_entry_ = kind == "entry";
     node.is_engine_ = kind == "engine";
     node.role_ = node.is_engine_ ? "chat" : "records";
-    node.admin_ = NewAddress();
-    node.peer_ = NewAddress();
-    node.listed_peer_ = node.peer_;
-    (node.is_entry_ ? node.caller_ : node.backend_) = NewAddress();
+    node.admin_address_ = NewAddress();
+    node.peer_address_ = NewAddress();
+    node.listed_peer_ = node.peer_address_;
+    (node.is_entry_ ? node.caller_address_ : node.backend_address_) = NewAddress();
     node.settings_path_ = spec_.folder_ + "/" + node.id_ + ".ini";
     node.log_path_ = LogPath(node.id_);
     nodes_.push_back(std::move(node));
@@ -181,16 +181,16 @@
 void Fleet::WriteSettings(const Node& node) const {
   ExtraSettings values{{"instance.id", node.id_},
                        {"instance.domain", node.domain_},
-                       {"listen.admin", node.admin_},
-                       {"listen.peer", node.peer_},
+                       {"listen.admin", node.admin_address_},
+                       {"listen.peer", node.peer_address_},
                        {"platform.address", platform_},
                        {"bundle.trusted_keys", key_.public_.ToHex()}};
   const auto& extra =
       node.is_entry_ ? spec_.entry_settings_ : spec_.agent_settings_;
   if (node.is_entry_) {
-    values["listen.caller"] = node.caller_;
+    values["listen.caller"] = node.caller_address_;
   } else {
-    values["endpoint.backend"] = node.backend_;
+    values["endpoint.backend"] = node.backend_address_;
     values["endpoint.kind"] = node.is_engine_ ? "engine" : "service";
     values["endpoint.role"] = node.role_;
     values["weights.store"] = store_;
@@ -217,7 +217,7 @@
   }
 }
 
-void Fleet::StartOutside() {
+void Fleet::StartExternalServices() {
   platform_process_ =
       Child({StandinPath(), "platform", "--listen", platform_, "--list-lag-ms",
              std::to_string(spec_.list_lag_ms_)},
@@ -260,7 +260,7 @@
     if (!node.is_entry_) {
       auto& arguments =
           node.is_engine_ ? engines[next++ % kSharedEngineProcesses] : services;
-      arguments.insert(arguments.end(), {"--listen", node.backend_});
+      arguments.insert(arguments.end(), {"--listen", node.backend_address_});
     }
   }
   for (std::size_t i = 0; i < std::min(next, kSharedEngineProcesses); ++i) {
@@ -275,7 +275,7 @@
 void Fleet::StartBackend(Node& node) {
   std::vector<std::string> arguments{StandinPath(),
                                      node.is_engine_ ? "engine" : "service",
-                                     "--listen", node.backend_};
+                                     "--listen", node.backend_address_};
   if (node.is_engine_) {
     arguments.insert(arguments.end(), spec_.engine_arguments_.begin(),
                      spec_.engine_arguments_.end());
@@ -295,7 +295,7 @@
                         node.log_path_);
 }
 
-void Fleet::StartSystem() {
+void Fleet::StartNodes() {
   for (auto& node : nodes_) {
     StartNode(node);
   }
@@ -311,14 +311,14 @@
 void Fleet::PublishInstances() {
   auto instances = nlohmann::json::array();
   for (const auto& node : nodes_) {
-    if (!node.listed_) {
+    if (!node.published_) {
       continue;
     }
     nlohmann::json row{{"id", node.id_},
                        {"kind", node.is_entry_ ? "entry" : "endpoint"},
                        {"domain", node.domain_},
                        {"peer", node.listed_peer_},
-                       {"leaving", node.leaving_}};
+                       {"leaving", node.draining_}};
     if (!node.is_entry_) {
       row["role"] = node.role_;
       row["backend"] = node.is_engine_ ? "engine" : "service";
@@ -371,10 +371,10 @@
 std::size_t Fleet::CountServing(std::uint64_t version) {
   std::size_t serving = 0;
   for (auto* node : Engines()) {
-    if (!node->listed_) {
+    if (!node->published_) {
       continue;
     }
-    const auto status = GetJson(node->admin_, "/status");
+    const auto status = GetJson(node->admin_address_, "/status");
     const bool serves = status.is_object() && status.value("ready", false) &&
                         status.value("version", std::uint64_t{0}) == version;
     serving += serves ? 1 : 0;
@@ -397,17 +397,17 @@
 bool Fleet::WaitLive(std::uint64_t version, std::chrono::milliseconds limit) {
   const auto engines = Engines();
   const auto listed = static_cast<std::size_t>(std::ranges::count_if(
-      engines, [](const Node* node) { return node->listed_; }));
+      engines, [](const Node* node) { return node->published_; }));
   return WaitFor([&] { return CountServing(version) == listed; }, limit);
 }
 
 bool Fleet::WaitEntriesReady(std::chrono::milliseconds limit) {
   const auto expected = std::ranges::count_if(
-      nodes_, [](const Node& node) { return !node.is_entry_ && node.listed_; });
+      nodes_, [](const Node& node) { return !node.is_entry_ && node.published_; });
   return WaitFor(
       [&] {
         return std::ranges::all_of(Entries(), [&](Node* entry) {
-          const auto status = GetJson(entry->admin_, "/status");
+          const auto status = GetJson(entry->admin_address_, "/status");
           if (!status.is_object() || !status.value("ready", false)) {
             return false;
           }
--- a/tests/fleet/fleet.hpp
+++ b/tests/fleet/fleet.hpp
@@ -40,7 +40,7 @@
   bool shared_backends_ = false;
   /// Whether peers and the configuration store are reached through relays, so
   /// that failure domains can be isolated.
-  bool relayed_ = false;
+  bool uses_relays_ = false;
   /// Settings of single nodes, by id; they override the others.
   std::map<std::string, ExtraSettings> node_settings_;
 };
@@ -52,18 +52,18 @@
   std::string role_;
   bool is_entry_ = false;
   bool is_engine_ = false;
-  std::string caller_;
-  std::string admin_;
-  std::string peer_;
+  std::string caller_address_;
+  std::string admin_address_;
+  std::string peer_address_;
   /// Published peer address: that of the relay, if there is one.
   std::string listed_peer_;
-  std::string backend_;
+  std::string backend_address_;
   std::string settings_path_;
   std::string log_path_;
   /// Whether its row is published.
-  bool listed_ = true;
+  bool published_ = true;
   /// Whether its row says that it is draining.
-  bool leaving_ = false;
+  bool draining_ = false;
   Child process_;
   Child backend_process_;
 };
@@ -93,9 +93,9 @@
   /// @brief Starts the configuration store, the weights store, the origin and
   /// the backends, and waits until the first three listen.
   /// @throws std::runtime_error if one of them does not listen within 10 s.
-  void StartOutside();
+  void StartExternalServices();
   /// @brief Starts all entries and agents.
-  void StartSystem();
+  void StartNodes();
   void StartNode(Node& node);
   /// @brief Overrides a setting of one node; takes effect at its next start.
   void SetNodeSetting(const std::string& id, const std::string& name,
@@ -103,7 +103,7 @@
   void StartBackend(Node& node);
   /// @brief Isolates a failure domain from the others and from the
   /// configuration store. Requires FleetSpec::relayed_.
-  void CutOff(const std::string& domain);
+  void Isolate(const std::string& domain);
   /// @brief Ends all isolations.
   void Heal();
   /// @brief Publishes instances, accounts and routes.
--- a/tests/fleet/relay.cpp
+++ b/tests/fleet/relay.cpp
@@ -113,7 +113,7 @@
   }
 }
 
-void Relay::CutOff(const std::string& domain) {
+void Relay::Isolate(const std::string& domain) {
   const std::lock_guard lock(mutex_);
   isolated_.insert(domain);
 }
@@ -124,12 +124,12 @@
   held_.clear();
 }
 
-void Relay::Silence(const std::string& listen, Way way) {
+void Relay::Hold(const std::string& listen, Way way) {
   const std::lock_guard lock(mutex_);
   held_[listen] = way;
 }
 
-void Relay::Restore(const std::string& listen) {
+void Relay::Release(const std::string& listen) {
   const std::lock_guard lock(mutex_);
   held_.erase(listen);
 }
@@ -145,7 +145,7 @@
   if (found == held_.end()) {
     return false;
   }
-  const auto held = side == 0 ? Way::kToTarget : Way::kBack;
+  const auto held = side == 0 ? Way::kToTarget : Way::kFromTarget;
   return found->second == Way::kBoth || found->second == held;
 }
 
--- a/tests/fleet/relay.hpp
+++ b/tests/fleet/relay.hpp
@@ -27,7 +27,7 @@
 };
 
 /// @brief Directions of a route whose data is held.
-enum class Way : std::uint8_t { kBoth, kToTarget, kBack };
+enum class Direction : std::uint8_t { kBoth, kToTarget, kFromTarget };
 
 /// @brief Relays on its own thread until it is destroyed; callable from any
 /// thread.
@@ -42,13 +42,13 @@
   Relay& operator=(const Relay&) = delete;
 
   /// @brief Holds all data between a failure domain and the others from now on.
-  void CutOff(const std::string& domain);
+  void Isolate(const std::string& domain);
   /// @brief Holds the data of one route from now on.
   /// @param listen listening address of the route.
-  void Silence(const std::string& listen, Way way);
+  void Hold(const std::string& listen, Way way);
   /// @brief Delivers the held data of one route, except for connections that a
   /// side has reset: its operating system would not send their data any more.
-  void Restore(const std::string& listen);
+  void Release(const std::string& listen);
   /// @brief Resets all connections of one route.
   void ResetAll(const std::string& listen);
   /// @brief Ends all isolations and holds.
--- a/tests/fleet/scenario.cpp
+++ b/tests/fleet/scenario.cpp
@@ -30,11 +30,11 @@
   fleet_ = std::make_unique<Fleet>(std::move(spec));
 }
 
-void Scenario::GoLive() {
-  fleet_->StartOutside();
+void Scenario::StartAndWaitUntilLive() {
+  fleet_->StartExternalServices();
   fleet_->PublishFleet();
   fleet_->Publish("bundle", fleet_->MakeBundle(1, 1, kModelBytes, kChunkBytes));
-  fleet_->StartSystem();
+  fleet_->StartNodes();
   if (!fleet_->WaitLive(1, 40s) || !fleet_->WaitEntriesReady(20s)) {
     throw std::runtime_error(
         "engines and entries did not become ready with version 1");
@@ -52,8 +52,8 @@
       "--seed",          std::to_string(options.seed_),
       "--out",           result_path_};
   for (const auto* entry : fleet_->Entries()) {
-    if (entry->listed_) {
-      command.insert(command.end(), {"--entry", entry->caller_});
+    if (entry->published_) {
+      command.insert(command.end(), {"--entry", entry->caller_address_});
     }
   }
   load_ = Child(command, fleet_->folder() + "/load.log");
@@ -90,10 +90,10 @@
     }
   }
   for (const auto& [id, executions] : executed) {
-    result.doubled_ += executions > 1 ? 1 : 0;
+    result.executed_repeatedly_ += executions > 1 ? 1 : 0;
   }
   for (const auto& id : result.raw_.at("service_answered")) {
-    result.invented_ += executed.contains(id.get<std::string>()) ? 0 : 1;
+    result.never_executed_ += executed.contains(id.get<std::string>()) ? 0 : 1;
   }
   return result;
 }
--- a/tests/fleet/scenario.hpp
+++ b/tests/fleet/scenario.hpp
@@ -25,9 +25,9 @@
   /// Responses that ended before the final outcome.
   std::uint64_t broken_ = 0;
   /// Orders executed more than once, by the services' logs.
-  std::uint64_t doubled_ = 0;
+  std::uint64_t executed_repeatedly_ = 0;
   /// Orders with a successful response that no service executed.
-  std::uint64_t invented_ = 0;
+  std::uint64_t never_executed_ = 0;
   /// Result of the load process.
   nlohmann::json raw_;
 
@@ -58,7 +58,7 @@
   /// @brief Starts all processes, publishes version 1 and waits until engines
   /// and entries are ready.
   /// @throws std::runtime_error if they are not in time.
-  void GoLive();
+  void StartAndWaitUntilLive();
   /// @brief Starts the load process on all listed entries.
   void StartLoad(const LoadOptions& options = {});
   /// @brief Stops the load process and evaluates its result.
@@ -66,7 +66,7 @@
   [[nodiscard]] LoadResult StopLoad();
 
  private:
-  Scratch scratch_;
+  TemporaryFolder scratch_;
   std::unique_ptr<Fleet> fleet_;
   Child load_;
   std::string result_path_;
--- a/tests/fleet/scratch.cpp
+++ b/tests/fleet/scratch.cpp
@@ -8,7 +8,7 @@
 
 namespace chalkwell::fleet {
 
-Scratch::Scratch()
+TemporaryFolder::TemporaryFolder()
     : path_((std::filesystem::temp_directory_path() / "chalkwell-XXXXXX")
                 .string()) {
   if (::mkdtemp(path_.data()) == nullptr) {
@@ -16,7 +16,7 @@
   }
 }
 
-Scratch::~Scratch() {
+TemporaryFolder::~TemporaryFolder() {
   if (std::getenv("CHALKWELL_KEEP") != nullptr) {
     std::cout << "kept: " << path_ << "\n";
     return;
--- a/tests/fleet/scratch.hpp
+++ b/tests/fleet/scratch.hpp
@@ -7,12 +7,12 @@
 
 /// @brief Temporary folder; the destructor removes it, unless CHALKWELL_KEEP is
 /// set, which test_main does when a check fails.
-class Scratch {
+class TemporaryFolder {
  public:
-  Scratch();
-  ~Scratch();
-  Scratch(const Scratch&) = delete;
-  Scratch& operator=(const Scratch&) = delete;
+  TemporaryFolder();
+  ~TemporaryFolder();
+  TemporaryFolder(const TemporaryFolder&) = delete;
+  TemporaryFolder& operator=(const TemporaryFolder&) = delete;
 
   [[nodiscard]] const std::string& path() const noexcept { return path_; }
 
--- a/tests/fleet/suspension.cpp
+++ b/tests/fleet/suspension.cpp
@@ -36,7 +36,7 @@
           "CHALKWELL_SUSPENDED=" + file_.string()};
 }
 
-void Suspension::Add(std::chrono::nanoseconds duration) {
+void Suspension::AddSuspendedTime(std::chrono::nanoseconds duration) {
   std::atomic_ref<std::int64_t>(*suspended_ns_) += duration.count();
 }
 
--- a/tests/fleet/suspension.hpp
+++ b/tests/fleet/suspension.hpp
@@ -26,7 +26,7 @@
   ///
   /// The children should be paused by SIGSTOP meanwhile, as on a suspended
   /// machine.
-  void Add(std::chrono::nanoseconds duration);
+  void AddSuspendedTime(std::chrono::nanoseconds duration);
 
  private:
   std::filesystem::path file_;
--- a/tests/fuzz/mutants.cpp
+++ b/tests/fuzz/mutants.cpp
@@ -64,7 +64,7 @@
        {.guard_ = {.accept_unknown_issuers_ = true}}},
       {"route to a draining endpoint",
        kNoWorkWhileDraining,
-       {.roster_ = {.ignore_leaving_ = true}}},
+       {.roster_ = {.ignore_draining_ = true}}},
       {"accept work while draining",
        kNoWorkWhileDraining,
        {.shutdown_ = {.accept_while_draining_ = true}}},
--- a/tests/fuzz/simulation.cpp
+++ b/tests/fuzz/simulation.cpp
@@ -205,7 +205,7 @@
   (void)documents.Apply(document);
   if (const auto* bundle = documents.AcceptedBundle()) {
     oracle_.OnBundleActive(
-        process, documents.stamps().at(config::kBundleKey),
+        process, documents.versions().at(config::kBundleKey),
         published_.IsSigned(bundle->version_, bundle->manifest_));
   }
 }
@@ -266,12 +266,12 @@
   std::vector<config::DocumentVersion> stamps;
   for (const auto& agent : agents_) {
     if (agent->alive_) {
-      stamps.push_back(agent->documents_.stamps().at(config::kBundleKey));
+      stamps.push_back(agent->documents_.versions().at(config::kBundleKey));
     }
   }
   for (const auto& entry : entries_) {
     if (entry->alive_) {
-      stamps.push_back(entry->documents_.stamps().at(config::kBundleKey));
+      stamps.push_back(entry->documents_.versions().at(config::kBundleKey));
     }
   }
   oracle_.OnSettled(stamps);
--- a/tests/fuzz/simulation.hpp
+++ b/tests/fuzz/simulation.hpp
@@ -16,7 +16,7 @@
 
 #include "chalkwell/config/accepted_documents.hpp"
 #include "chalkwell/membership/graceful_shutdown.hpp"
-#include "chalkwell/membership/roster.hpp"
+#include "chalkwell/membership/listed_endpoints.hpp"
 #include "chalkwell/rollout/activation.hpp"
 #include "chalkwell/routing/execution_guard.hpp"
 #include "chalkwell/routing/request_tracker.hpp"
@@ -34,7 +34,7 @@
   routing::GuardFaults guard_;
   swarm::AssemblyFaults assembly_;
   membership::ShutdownFaults shutdown_;
-  membership::RosterFaults roster_;
+  membership::ListedEndpointsFaults roster_;
 };
 
 /// @brief One run of a simulated deployment in virtual time.
--- a/tests/fuzz/simulation_messages.cpp
+++ b/tests/fuzz/simulation_messages.cpp
@@ -140,7 +140,7 @@
       Perform(receiver, receiver->activation_.OnEngineState(
                             message.state_, message.queried_at_, now_));
     } else if (message.kind_ == Kind::kOrderReply) {
-      Perform(receiver, receiver->activation_.OnOrderAnswered(now_));
+      Perform(receiver, receiver->activation_.OnOrderReply(now_));
     } else if (message.kind_ == Kind::kChunk && receiver->assembly_ &&
                receiver->fetch_target_ == message.target_) {
       if (receiver->assembly_->VerifyAndAdd(message.chunk_, message.bytes_)) {
--- a/tests/fuzz/simulation_types.hpp
+++ b/tests/fuzz/simulation_types.hpp
@@ -114,7 +114,7 @@
 
   int id_ = 0;
   config::AcceptedDocuments documents_;
-  membership::Roster roster_;
+  membership::ListedEndpoints roster_;
   membership::GracefulShutdown shutdown_;
   bool alive_ = true;
   bool suspended_ = false;
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -5,7 +5,7 @@
 
 #include "chalkwell/membership/graceful_shutdown.hpp"
 #include "chalkwell/membership/role_assignment.hpp"
-#include "chalkwell/membership/roster.hpp"
+#include "chalkwell/membership/listed_endpoints.hpp"
 
 namespace chalkwell::membership {
 namespace {
@@ -20,7 +20,7 @@
   config::Instance instance;
   instance.id_ = kId;
   instance.role_ = kRole;
-  instance.peer_ = "p";
+  instance.peer_address_ = "p";
   instance.leaving_ = leaving;
   return instance;
 }
@@ -40,7 +40,7 @@
                             Row{true, true, true, false, 0s, false},
                             Row{true, true, false, true, 0s, false},
                             Row{true, true, false, false, 4s, false});
-  Roster roster({.lease_ = 3s});
+  ListedEndpoints roster({.lease_ = 3s});
   roster.SetInstances({Listed(row.listed_leaving_)});
   roster.OnConnected(kId, kStart);
   REQUIRE(roster.OnReport(
@@ -66,7 +66,7 @@
       Row{true, false, true, 299ms, true}, Row{true, false, true, 301ms, false},
       Row{true, true, true, 301ms, true}, Row{false, false, true, 301ms, true},
       Row{true, false, false, 301ms, true});
-  Roster roster({.probe_timeout_ = 300ms});
+  ListedEndpoints roster({.probe_timeout_ = 300ms});
   auto other = Listed(false);
   other.id_ = core::InstanceId("b");
   roster.SetInstances({Listed(false), other});
@@ -103,7 +103,7 @@
   const auto row =
       GENERATE(Row{3, 1, 999ms, 2}, Row{3, 1, 1000ms, 3}, Row{4, 1, 0ms, 3},
                Row{4, 2, 0ms, 4}, Row{1, 1, 0ms, 1}, Row{5, 2, 0ms, 3});
-  Roster roster({.breaker_failures_ = 1000, .trial_period_ = 1s});
+  ListedEndpoints roster({.breaker_failures_ = 1000, .trial_period_ = 1s});
   std::vector<config::Instance> listed;
   for (int i = 0; i < row.endpoints_; ++i) {
     listed.push_back(Listed(false));
@@ -132,7 +132,7 @@
   const auto row = GENERATE(Row{8, 1, 0, 10}, Row{8, 2, 0, 5}, Row{8, 2, 3, 2},
                             Row{8, 2, 7, 0}, Row{12, 9, 0, 2}, Row{1, 9, 0, 1},
                             Row{8, 0, 0, 10});
-  Roster roster;
+  ListedEndpoints roster;
   CHECK_FALSE(roster.RemainingRequests(kRole, kStart).has_value());
   roster.SetInstances({Listed(false)});
   roster.OnConnected(kId, kStart);
@@ -147,7 +147,7 @@
 }
 
 TEST_CASE("reports of a replaced process are refused", "[membership]") {
-  Roster roster;
+  ListedEndpoints roster;
   roster.SetInstances({Listed(false)});
   roster.OnConnected(kId, kStart);
   CHECK(roster.OnReport(kId, {.incarnation_ = 2, .ready_ = false}, kStart));
@@ -158,7 +158,7 @@
 
 TEST_CASE("consecutive failures open the circuit breaker for a while",
           "[membership]") {
-  Roster roster({.lease_ = 1h, .breaker_failures_ = 2, .breaker_time_ = 2s});
+  ListedEndpoints roster({.lease_ = 1h, .breaker_failures_ = 2, .breaker_time_ = 2s});
   roster.SetInstances({Listed(false)});
   roster.OnConnected(kId, kStart);
   REQUIRE(roster.OnReport(kId, {.ready_ = true}, kStart));
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -67,7 +67,7 @@
                                          {"x-other", "kept"}},
                             .body_ = "body"};
   daemon::direct::AttemptTerms terms;
-  terms.incarnation_ = core::InstanceId("i-1");
+  terms.instance_id_ = core::InstanceId("i-1");
   terms.weights_version_ = 7;
   terms.account_ = core::ClientAccountId("acct");
   terms.time_left_ = 1234ms;
@@ -164,7 +164,7 @@
   REQUIRE(rules.routes_.size() == 1);
   const auto& route = rules.routes_.front();
   CHECK(route.streaming_);
-  CHECK(route.repeatable());
+  CHECK(route.may_retry());
   CHECK(route.timeout_ == 6000ms);
   CHECK(route.target_gap_ == 300ms);
   CHECK(route.services_.size() == 2);
--- a/tests/platform/crashing_request_test.cpp
+++ b/tests/platform/crashing_request_test.cpp
@@ -174,7 +174,7 @@
   Deployment deployment;
   CrashingEndpoints endpoints(deployment);
   for (auto& endpoint : endpoints.all()) {
-    endpoint.SetWork(50ms);
+    endpoint.SetRunDelay(50ms);
   }
   const auto entry = deployment.StartEntry("e1", deployment.store_.address());
   REQUIRE(Eventually([&] { return entry.Ready(); }));
--- a/tests/platform/leaving_test.cpp
+++ b/tests/platform/leaving_test.cpp
@@ -35,7 +35,7 @@
   const auto advertised = LocalAddress(FreePort());
   const auto actual = deployment.first_.address();
   fleet::Relay relay({{advertised, actual, "", ""}}, {});
-  deployment.first_.SetNamed(advertised);
+  deployment.first_.SetAdvertisedAddress(advertised);
   deployment.store_.Put("servers/i-first",
                         deployment.first_.Row("plain", "z1"));
   const auto entry = deployment.StartEntry("e1", deployment.store_.address());
@@ -52,14 +52,14 @@
     }
     return deployment.second_.runs() == runs;
   }));
-  relay.Silence(advertised, fleet::Way::kBoth);
+  relay.Hold(advertised, fleet::Way::kBoth);
   REQUIRE(Eventually([&] {
     (void)SendRequest(entry, RequestText(path));
     const auto log = deployment.Log("e1");
     return log.find("end=\"lost\"") != std::string::npos ||
            log.find("past_deadline=\"yes\"") != std::string::npos;
   }));
-  relay.Restore(advertised);
+  relay.Release(advertised);
   // Whatever the path still delivers arrives before the response to a later
   // request.
   const auto before = deployment.first_.runs();
@@ -120,7 +120,7 @@
   // The listener does not read: its receive buffer takes only a part of the
   // request.
   const daemon::RawListener silent;
-  deployment.first_.SetNamed(LocalAddress(silent.port()));
+  deployment.first_.SetAdvertisedAddress(LocalAddress(silent.port()));
   deployment.store_.Put("servers/i-first",
                         deployment.first_.Row("plain", "z1"));
   const auto entry = deployment.StartEntry("e1", deployment.store_.address());
--- a/tests/platform/path_test.cpp
+++ b/tests/platform/path_test.cpp
@@ -374,8 +374,8 @@
   standins::EndpointStandin second{deployment.thread_, "i-engine-2"};
   const auto first_address = deployment.engine_.address();
   const auto second_address = second.address();
-  deployment.engine_.SetNamed("127.0.0.2:7001");
-  second.SetNamed("127.0.0.3:7001");
+  deployment.engine_.SetAdvertisedAddress("127.0.0.2:7001");
+  second.SetAdvertisedAddress("127.0.0.3:7001");
   deployment.PutRows();
   const auto entry = deployment.StartEntry("e1", deployment.store_.address());
   REQUIRE(Eventually([&] { return entry.Ready(); }));
--- a/tests/platform/standins.cpp
+++ b/tests/platform/standins.cpp
@@ -32,7 +32,7 @@
     LoopThread& thread, daemon::HttpHandler handler,
     const daemon::Address& listen = kAnyPort) {
   std::unique_ptr<daemon::Http1Server> server;
-  thread.Do([&] {
+  thread.RunAndWait([&] {
     server = std::make_unique<daemon::Http1Server>(
         thread.loop(), listen,
         daemon::Http1ServerHooks{.limits_ = [] { return HttpLimits{}; },
@@ -106,7 +106,7 @@
   thread_.join();
 }
 
-void LoopThread::Do(const std::function<void()>& task) {
+void LoopThread::RunAndWait(const std::function<void()>& task) {
   std::promise<void> done;
   {
     const std::lock_guard lock(mutex_);
@@ -133,7 +133,7 @@
 // A caller may disconnect concurrently and its abort handler runs on the loop:
 // whatever the handlers use is destroyed on the loop too.
 StoreStandin::~StoreStandin() {
-  thread_.Do([this] {
+  thread_.RunAndWait([this] {
     server_.reset();
     watches_.clear();
     dropped_watches_.clear();
@@ -144,14 +144,14 @@
 std::string StoreStandin::address() const { return AddressOf(*server_); }
 
 void StoreStandin::Put(const std::string& key, const nlohmann::json& value) {
-  thread_.Do([&] {
+  thread_.RunAndWait([&] {
     items_[key] = {value.dump(), ++revision_};
     NotifyWatches();
   });
 }
 
 void StoreStandin::Remove(const std::string& key) {
-  thread_.Do([&] {
+  thread_.RunAndWait([&] {
     items_.erase(key);
     ++revision_;
   });
@@ -159,7 +159,7 @@
 
 int StoreStandin::ResponsesWithValues(const std::string& prefix) const {
   int count = 0;
-  thread_.Do([&] {
+  thread_.RunAndWait([&] {
     const auto found = responses_with_values_.find(prefix);
     count = found == responses_with_values_.end() ? 0 : found->second;
   });
@@ -168,7 +168,7 @@
 
 int StoreStandin::WaitingWatches(const std::string& prefix) const {
   std::ptrdiff_t count = 0;
-  thread_.Do(
+  thread_.RunAndWait(
       [&] { count = std::ranges::count(watches_, prefix, &Watch::prefix_); });
   return static_cast<int>(count);
 }
@@ -279,7 +279,7 @@
 
 EndpointStandin::~EndpointStandin() {
   Stop();
-  thread_.Do([this] { alive_.reset(); });
+  thread_.RunAndWait([this] { alive_.reset(); });
 }
 
 void EndpointStandin::Start() {
@@ -290,7 +290,7 @@
 }
 
 void EndpointStandin::Stop() {
-  thread_.Do([this] {
+  thread_.RunAndWait([this] {
     server_.reset();
     hanging_.clear();
   });
@@ -298,22 +298,22 @@
 
 bool EndpointStandin::running() {
   bool running = false;
-  thread_.Do([&] { running = server_ != nullptr; });
+  thread_.RunAndWait([&] { running = server_ != nullptr; });
   return running;
 }
 
 void EndpointStandin::OnArrival(
     std::function<void(const std::string& request)> handler) {
-  thread_.Do([&] { on_arrival_ = std::move(handler); });
+  thread_.RunAndWait([&] { on_arrival_ = std::move(handler); });
 }
 
 void EndpointStandin::CrashOn(const std::string& text) {
-  thread_.Do([&] { crash_text_ = text; });
+  thread_.RunAndWait([&] { crash_text_ = text; });
 }
 
 void EndpointStandin::OnCrash(
     std::function<void(const std::string& request)> handler) {
-  thread_.Do([&] { on_crash_ = std::move(handler); });
+  thread_.RunAndWait([&] { on_crash_ = std::move(handler); });
 }
 
 std::string EndpointStandin::address() const {
@@ -321,7 +321,7 @@
 }
 
 void EndpointStandin::SetId(const std::string& id) {
-  thread_.Do([&] { id_ = id; });
+  thread_.RunAndWait([&] { id_ = id; });
 }
 
 nlohmann::json EndpointStandin::Row(const std::string& service,
@@ -546,14 +546,14 @@
       })) {}
 
 OriginStandin::~OriginStandin() {
-  thread_.Do([this] { server_.reset(); });
+  thread_.RunAndWait([this] { server_.reset(); });
 }
 
 std::string OriginStandin::address() const { return AddressOf(*server_); }
 
 std::size_t OriginStandin::connections() {
   std::size_t open = 0;
-  thread_.Do([&] { open = server_->connections(); });
+  thread_.RunAndWait([&] { open = server_->connections(); });
   return open;
 }
 
--- a/tests/platform/suspension_test.cpp
+++ b/tests/platform/suspension_test.cpp
@@ -40,7 +40,7 @@
         [&] { response = SendRequest(entry, RequestText("/safe/waiting")); });
   }
   std::this_thread::sleep_for(100ms);
-  suspension.Add(6s);
+  suspension.AddSuspendedTime(6s);
   entry.child_.Signal(SIGCONT);
   for (auto& caller : callers) {
     caller.join();
@@ -75,7 +75,7 @@
   REQUIRE(Eventually([&] {
     return deployment.first_.runs() + deployment.second_.runs() > 0;
   }));
-  suspension.Add(400s);
+  suspension.AddSuspendedTime(400s);
   const bool responded_in_time = Eventually([&] { return responded.load(); });
   entry.child_.Kill();
   caller.join();
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -34,7 +34,7 @@
       Find<SendClaim>(activation.OnEngineState(state, kStart, kStart));
   REQUIRE(claim.has_value());
   state.fence_ = claim->fence_;
-  (void)activation.OnOrderAnswered(kStart);
+  (void)activation.OnOrderReply(kStart);
   (void)activation.OnEngineState(state, kStart, kStart);
   CHECK_FALSE(activation.accepting(kStart));
   (void)activation.OnEngineState(state, kStart + 2s, kStart + 2s);
@@ -55,7 +55,7 @@
   const auto order = Find<SendOrder>(activation.OnDrained(now));
   REQUIRE(order.has_value());
   CHECK(order->fence_ > fence);
-  CHECK(Find<QueryEngine>(activation.OnOrderAnswered(now)).has_value());
+  CHECK(Find<QueryEngine>(activation.OnOrderReply(now)).has_value());
   const EngineState confirmed{2, kSecond.manifest_, order->fence_, 0};
   const auto announcement =
       Find<Announce>(activation.OnEngineState(confirmed, now, now));
@@ -72,7 +72,7 @@
   (void)activation.OnStaged(kSecond.manifest_, now);
   (void)activation.OnRolloutSlot();
   (void)activation.OnDrained(now);
-  (void)activation.OnOrderAnswered(now + 100ms);
+  (void)activation.OnOrderReply(now + 100ms);
   const EngineState before{1, kFirst.manifest_, fence, 0};
   CHECK(activation.OnEngineState(before, now, now + 200ms).empty());
   CHECK_FALSE(activation.accepting(now + 200ms));
@@ -99,7 +99,7 @@
   if (row.replaced_again_) {
     now += 8s;
     (void)activation.OnEngineState(taken, now, now);
-    (void)activation.OnOrderAnswered(now);
+    (void)activation.OnOrderReply(now);
     taken.fence_ += 1U << 27U;
     (void)activation.OnEngineState(taken, now, now);
     REQUIRE(activation.phase() == Phase::kReplaced);
@@ -111,7 +111,7 @@
   if (claim) {
     CHECK(claim->fence_ > taken.fence_);
     taken.fence_ = claim->fence_;
-    (void)activation.OnOrderAnswered(now);
+    (void)activation.OnOrderReply(now);
     (void)activation.OnEngineState(taken, now, now);
     CHECK_FALSE(activation.accepting(now));
     (void)activation.OnEngineState(taken, now + 1s, now + 1s);
--- a/tests/soak/callers.cpp
+++ b/tests/soak/callers.cpp
@@ -39,7 +39,7 @@
       random_(static_cast<std::minstd_rand::result_type>(seed)),
       checker_(checker),
       started_at_(std::chrono::steady_clock::now()) {
-  thread_.Do([this] {
+  thread_.RunAndWait([this] {
     http_ = std::make_unique<daemon::HttpClient>(thread_.loop(), kTimeout);
     timer_ = std::make_unique<daemon::Timer>(thread_.loop());
     timer_->Every(kTick, [this] { SendDue(); });
@@ -47,7 +47,7 @@
 }
 
 Callers::~Callers() {
-  thread_.Do([this] {
+  thread_.RunAndWait([this] {
     timer_.reset();
     http_.reset();
   });
@@ -64,7 +64,7 @@
 }
 
 void Callers::StartCrashingSeries(std::chrono::milliseconds duration) {
-  thread_.Do([&] {
+  thread_.RunAndWait([&] {
     const auto now = std::chrono::steady_clock::now();
     const auto* path = random_() % 2 == 0 ? "/stream/" : "/safe/";
     series_.push_back({kCrashMark + std::to_string(++series_started_), path,
@@ -112,11 +112,11 @@
                       {"token-counts", "800,40"}};
   request.body_ = body;
   daemon::HttpSendOptions options;
-  options.keep_ = true;
+  options.keep_alive_ = true;
   http_->Fetch(
       daemon::ParseAddress(target.address_), request,
       [this, id](const daemon::HttpResponse& response) {
-        const bool complete = response.end_ == daemon::HttpEnd::kWhole;
+        const bool complete = response.end_ == daemon::HttpEnd::kComplete;
         checker_.OnResponse(id, complete ? response.status_ : 0,
                             response.body_);
       },
--- a/tests/soak/deployment.cpp
+++ b/tests/soak/deployment.cpp
@@ -118,8 +118,8 @@
                                     : actual;
       host.endpoint_ = std::make_unique<standins::EndpointStandin>(
           thread_, "", daemon::ParseAddress(actual));
-      host.endpoint_->SetNamed(host.address_);
-      host.endpoint_->SetWork(kEndpointRunDelay);
+      host.endpoint_->SetAdvertisedAddress(host.address_);
+      host.endpoint_->SetRunDelay(kEndpointRunDelay);
       if (host.relayed_) {
         routes_.push_back({host.address_, actual, "", ""});
       }
@@ -168,7 +168,7 @@
                    "-" + std::to_string(host.incarnation_));
   }
   const auto now = std::chrono::system_clock::now().time_since_epoch();
-  endpoint.SetBorn(static_cast<std::uint64_t>(
+  endpoint.SetStartTime(static_cast<std::uint64_t>(
       std::chrono::duration_cast<milliseconds>(now).count()));
   endpoint.OnArrival([this, id = endpoint.id()](const std::string& request) {
     checker_.OnArrival(id, request);
--- a/tests/soak/fault_injector.cpp
+++ b/tests/soak/fault_injector.cpp
@@ -59,9 +59,9 @@
       {"kill", [this] { RestartEntry(SIGKILL); }},
       {"stop", [this] { RestartEntry(SIGTERM); }},
       {"store-held", [this] { HoldStorePath(fleet::Way::kBoth); }},
-      {"store-held-back", [this] { HoldStorePath(fleet::Way::kBack); }},
+      {"store-held-back", [this] { HoldStorePath(fleet::Way::kFromTarget); }},
       {"path-held", [this] { HoldEndpointPath(fleet::Way::kBoth); }},
-      {"path-held-back", [this] { HoldEndpointPath(fleet::Way::kBack); }},
+      {"path-held-back", [this] { HoldEndpointPath(fleet::Way::kFromTarget); }},
       {"path-reset", [this] { ResetEndpointConnections(); }},
       {"store-fails-some",
        [this] { RejectStoreCalls(150, DrawBetween(2000, 8000)); }},
@@ -223,7 +223,7 @@
   const auto duration = DrawBetween(300, 4000);
   Schedule(duration, [this, &entry, suspended, duration] {
     if (suspended) {
-      entry.suspension_->Add(duration);
+      entry.suspension_->AddSuspendedTime(duration);
     }
     entry.child_.Signal(SIGCONT);
     entry.stopped_ = false;
@@ -294,9 +294,9 @@
     return;
   }
   checker_.OnDisturbed(entry->name_);
-  deployment_.relay().Silence(entry->store_address_, way);
+  deployment_.relay().Hold(entry->store_address_, way);
   Schedule(DrawBetween(300, 4000), [this, entry] {
-    deployment_.relay().Restore(entry->store_address_);
+    deployment_.relay().Release(entry->store_address_);
     checker_.OnDisturbed(entry->name_);
   });
 }
@@ -317,9 +317,9 @@
                              milliseconds duration) {
   const auto id = host.endpoint_->id();
   checker_.OnPathHeld(id);
-  deployment_.relay().Silence(host.address_, way);
+  deployment_.relay().Hold(host.address_, way);
   Schedule(duration, [this, &host, id] {
-    deployment_.relay().Restore(host.address_);
+    deployment_.relay().Release(host.address_);
     checker_.OnPathReleased(id);
   });
 }
@@ -335,13 +335,13 @@
 // A store that rejects only some calls does not count as a disturbance.
 void FaultInjector::RejectStoreCalls(unsigned per_mille,
                                      milliseconds duration) {
-  deployment_.store().SetBusyShare(per_mille);
+  deployment_.store().SetRejectedPerMille(per_mille);
   const bool down = per_mille == 1000;
   if (down) {
     checker_.OnDisturbed("");
   }
   Schedule(duration, [this, down] {
-    deployment_.store().SetBusyShare(0);
+    deployment_.store().SetRejectedPerMille(0);
     if (down) {
       checker_.OnDisturbed("");
     }
--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -9,7 +9,7 @@
 #include "soak/soak.hpp"
 
 int main(int argument_count, char** arguments) {
-  chalkwell::fleet::KillChildrenWhenEnded();
+  chalkwell::fleet::KillChildrenOnSignal();
   // The reader of the output may close the pipe early.
   std::signal(SIGPIPE, SIG_IGN);
   const std::string seed = argument_count > 1 ? arguments[1] : "1";
--- a/tests/swarm/older_version_chunks_test.cpp
+++ b/tests/swarm/older_version_chunks_test.cpp
@@ -4,7 +4,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "chalkwell/swarm/origin_progress.hpp"
+#include "chalkwell/swarm/availability_forecast.hpp"
 
 namespace chalkwell::swarm {
 namespace {
@@ -53,7 +53,7 @@
   // Ten of 100 chunks become available per second.
   const auto row =
       GENERATE(Row{0, std::nullopt}, Row{10, 9s}, Row{50, 5s}, Row{100, 0s});
-  OriginProgress progress;
+  AvailabilityForecast progress;
   core::TimePoint now{1h};
   progress.Start(100, now);
   progress.OnAvailable(0, now);
@@ -73,7 +73,7 @@
 
 TEST_CASE("there is no estimate before the observation is long enough",
           "[swarm]") {
-  OriginProgress progress;
+  AvailabilityForecast progress;
   const core::TimePoint now{1h};
   progress.Start(0, now);
   CHECK_FALSE(progress.HasRate(now + 900ms));
