--- a/bench/burst.cpp
+++ b/bench/burst.cpp
@@ -1,9 +1,10 @@
 // Measures the distribution of new weights to N instances while streams run
 // over the same links: time against the limit of the links, copies fetched from
 // the origin, capacity that stays ready, latency of the streams. Without faults
-// it runs the baseline transfers of baseline.hpp too. Usage: bench_burst N
-// POLICY [faults]; POLICY `origin` lets one copy of each chunk be fetched from
-// the origin, `time` three.
+// it runs the baseline transfers of baseline.hpp too.
+//
+// Usage: bench_burst N POLICY [faults]. With the POLICY `origin` one member
+// is assigned to fetch each chunk from the origin, with `time` three.
 #include <algorithm>
 #include <csignal>
 #include <fstream>
--- a/bench/requests.cpp
+++ b/bench/requests.cpp
@@ -1,7 +1,8 @@
 // Measures how entries handle requests: goodput and fairness under overload,
 // extra attempts while endpoints fail calls, and latency and losses that
-// callers see when an endpoint is killed, freezes or stops. Usage:
-// bench_requests [overload|retries|gone]...; all parts by default.
+// callers see when an endpoint is killed, freezes or stops.
+//
+// Usage: bench_requests [overload|retries|gone]...; all parts by default.
 #include <algorithm>
 #include <csignal>
 #include <fstream>
