--- a/packages/chalkwell/src/chalkwell/routing/affinity_chooser.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/affinity_chooser.hpp
@@ -40,15 +40,18 @@
   double spillover_load_ = 1.0;
 };
 
-/// @brief Chooses by prefix affinity and load. The direct path uses
-/// EndpointTable::Choose instead, which chooses by predicted cost.
+/// @brief Chooses by prefix affinity and load. Entries that send requests
+/// straight to endpoints, not through agents, use EndpointTable::Choose
+/// instead, which chooses by predicted cost.
 class AffinityChooser {
  public:
   AffinityChooser(core::FailureDomainId local_domain,
                   AffinityChooserSettings settings, std::uint64_t seed);
 
+  /// @brief Chooses one of the candidates.
   /// @param prefix prompt prefix that keys the backend's prefix cache; may be
   /// empty.
+  /// @return none if there are no candidates.
   [[nodiscard]] std::optional<core::InstanceId> Choose(
       std::span<const Candidate> candidates, std::string_view prefix);
 
--- a/packages/chalkwell/src/chalkwell/routing/crash_detector.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/crash_detector.cpp
@@ -25,8 +25,7 @@
 
 void CrashDetector::Expire(core::TimePoint now) {
   std::erase_if(records_, [&](const Record& record) {
-    return now - record.crash_.first_loss_at_ >=
-           settings_.confirmation_timeout_;
+    return now - record.crash_.first_loss_at_ >= settings_.record_retention_;
   });
 }
 
--- a/packages/chalkwell/src/chalkwell/routing/crash_detector.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/crash_detector.hpp
@@ -26,10 +26,11 @@
   kCrashed,
 };
 
-/// @brief An attempt whose connection broke.
+/// @brief An attempt that may have run and ended without a complete response,
+/// as when its connection broke.
 struct LostAttempt {
   RequestDigest request_;
-  /// Time from sending it to the loss.
+  /// Time from sending it to its end.
   core::Duration elapsed_{};
 };
 
@@ -46,10 +47,11 @@
 
 /// @brief Settings of CrashDetector.
 struct CrashDetectorSettings {
-  /// How long a record is kept after its first loss, whether the crash is
-  /// confirmed or not. A restarted endpoint is in the published list with its
-  /// new incarnation within a few seconds.
-  core::Duration confirmation_timeout_ = std::chrono::seconds(10);
+  /// Time from the first loss at an incarnation until its record is removed,
+  /// whether the crash is confirmed or not; it can be confirmed only within
+  /// this time. A restarted endpoint is in the published list with its new
+  /// incarnation within a few seconds.
+  core::Duration record_retention_ = std::chrono::seconds(10);
   /// Endpoint incarnations held, crashed or suspected; the first added is
   /// evicted.
   std::size_t max_endpoints_ = 256;
@@ -92,8 +94,8 @@
   void Expire(core::TimePoint now);
 
   CrashDetectorSettings settings_;
-  /// In order of insertion. A record that is restarted after an inconclusive
-  /// probe keeps its position.
+  /// In order of insertion. A record whose endpoint is probed again after an
+  /// inconclusive probe keeps its position.
   std::deque<Record> records_;
 };
 
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_choice.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_choice.cpp
@@ -16,8 +16,8 @@
 /// Requests in flight assumed per request of this entry while there is no
 /// recent report, because other entries send requests too.
 constexpr std::uint32_t kUnreportedFactor = 3;
-/// Smallest upper limit of the random cost, in milliseconds; used for plain
-/// services and late requests.
+/// Lower bound of RandomCostLimitMs, in milliseconds; the limit itself for
+/// services without weights and for late requests.
 constexpr double kMinRandomCostLimitMs = 2;
 
 /// Mean interval at which slots become free at a full engine, in milliseconds.
@@ -28,10 +28,11 @@
 }
 
 /// Upper limit of the random addition to each cost, in milliseconds. All
-/// entries see the same reports, whose age is about the interval at which slots
-/// become free. If each entry chose the lowest cost, they would overload one
-/// engine together. The higher limit does not apply to late streams, which it
-/// would spread over more engines.
+/// entries see the same reports, and if each chose the lowest cost, they would
+/// overload one engine together. The reports are about as old as the interval
+/// at which slots become free, so smaller differences in cost are not
+/// significant. Late requests get the small limit: they should go to the
+/// engines with free slots, not spread over more engines.
 double RandomCostLimitMs(const ChoiceRequest& request) {
   return request.engine_ == nullptr || !request.on_time_
              ? kMinRandomCostLimitMs
@@ -104,9 +105,10 @@
       now - endpoint.reported_at_ < settings_.max_link_report_age_;
   // A late request also waits for on-time requests that arrive after it.
   const bool start_known = link_known && request.on_time_;
-  const auto start =
-      start_known ? time_to_first_byte
-                  : std::max(time_to_first_byte, settings_.unreported_delay_);
+  const auto start = start_known
+                         ? time_to_first_byte
+                         : std::max(time_to_first_byte,
+                                    settings_.min_unpredicted_start_delay_);
   return now + start >= request.version_constraint_.next_min_at_;
 }
 
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_subset.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_subset.cpp
@@ -50,18 +50,19 @@
   std::ranges::sort(ranked, std::ranges::greater{}, &SubsetCandidate::score_);
   Candidates local;
   Candidates remote;
-  Candidates local_warming;
-  Candidates remote_warming;
+  Candidates local_without_weights;
+  Candidates remote_without_weights;
   for (const auto& candidate : ranked) {
     const bool is_local = candidate.domain_ == domain;
     if (candidate.can_serve_) {
       (is_local ? local : remote).push_back(candidate);
     } else {
-      (is_local ? local_warming : remote_warming).push_back(candidate);
+      (is_local ? local_without_weights : remote_without_weights)
+          .push_back(candidate);
     }
   }
   remote = InterleaveDomains(remote);
-  remote_warming = InterleaveDomains(remote_warming);
+  remote_without_weights = InterleaveDomains(remote_without_weights);
   std::vector<core::InstanceId> subset;
   const auto reserved_for_remote =
       settings.max_serving_ -
@@ -71,10 +72,10 @@
       std::min(local.size(), settings.max_serving_ - remote_count);
   Append(local, local_count, subset);
   Append(remote, settings.max_serving_ - local_count, subset);
-  Append(local_warming, settings.max_warming_, subset);
+  Append(local_without_weights, settings.max_without_weights_, subset);
   const auto unused =
       settings.max_serving_ - std::min(settings.max_serving_, subset.size());
-  Append(remote_warming, unused, subset);
+  Append(remote_without_weights, unused, subset);
   return subset;
 }
 
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_subset.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_subset.hpp
@@ -1,9 +1,9 @@
 // Deterministic subsetting: for each service, an entry uses a few endpoints of
 // the local failure domain and fewer remote ones, by rendezvous hashing.
-// Between reports, the load of an endpoint then depends on few entries; if
-// every entry used every endpoint, all would choose the same idle one at once.
-// It also bounds the load reports by the sizes of the subsets rather than by
-// entries times endpoints.
+// Only a few entries then send to an endpoint before its next load report; if
+// every entry used every endpoint, all would choose the one that was last
+// reported idle. The number of load reports is then the sum of the sizes of the
+// subsets rather than entries times endpoints.
 #pragma once
 
 #include <cstdint>
@@ -14,21 +14,22 @@
 
 namespace chalkwell::routing {
 
-/// @brief Size limits of a subset.
+/// @brief Size limits of a subset, in endpoints.
 struct EndpointSubsetSettings {
-  /// Places of `max_serving_` reserved for serving endpoints of the local
-  /// failure domain. Local ones also take places that remote ones leave free.
-  /// The least loaded of ten, by recent reports, is hardly worse than the least
-  /// loaded of all.
+  /// Of the `max_serving_` endpoints that can serve, this many are local if
+  /// available, and more if there are too few remote ones. Ten suffice: by
+  /// recent reports, the least loaded of ten is hardly more loaded than the
+  /// least loaded of all.
   std::size_t reserved_local_ = 10;
-  /// Serving endpoints of all failure domains. Remote ones fill the places that
-  /// local ones do not need and take the load when the local domain loses its
+  /// Maximum number of endpoints that can serve, of all failure domains. The
+  /// remote ones among them take the load when the local domain loses its
   /// endpoints.
   std::size_t max_serving_ = 16;
-  /// Local endpoints that hold no weights yet, in addition, so that the entry
-  /// knows at once when they become able to serve. Remote endpoints without
-  /// weights are added only while the subset is smaller than `max_serving_`.
-  std::size_t max_warming_ = 6;
+  /// Maximum number of local endpoints that hold no weights yet, in addition,
+  /// so that the entry knows at once when they become able to serve. Remote
+  /// endpoints without weights are added only while the subset is smaller than
+  /// `max_serving_`.
+  std::size_t max_without_weights_ = 6;
 };
 
 /// @brief A candidate for the subset.
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_table.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_table.cpp
@@ -14,8 +14,8 @@
 constexpr double kWaitWeight = 0.2;
 /// Weight of a new sample in the failure rate.
 constexpr double kFailureWeight = 0.3;
-/// Removed or draining incarnations remembered; those of several minutes in a
-/// large deployment.
+/// Maximum number of removed, and of draining, incarnations remembered; enough
+/// for several minutes in a large deployment.
 constexpr std::size_t kMaxRemembered = 512;
 /// Earlier incarnations of one id that delayed messages may still refer to.
 constexpr std::size_t kMaxPreviousStarts = 8;
@@ -71,31 +71,33 @@
     next.previous_starts_.pop_front();
   }
   if (row.started_) {
-    // A report may correct a delayed row.
+    // A delayed row may have made an earlier incarnation the current one. If a
+    // report then shows that this one is current, it is not a previous one.
     std::erase(next.previous_starts_, *row.started_);
   }
   next.row_ = std::move(row);
   next.row_.leaving_ =
-      next.row_.leaving_ || HasAnnouncedLeaving(next.row_.incarnation());
+      next.row_.leaving_ || HasAnnouncedDraining(next.row_.incarnation());
   endpoint = std::move(next);
 }
 
-void EndpointTable::RememberLeaving(const EndpointIncarnation& incarnation) {
-  if (HasAnnouncedLeaving(incarnation)) {
+void EndpointTable::RememberDraining(const EndpointIncarnation& incarnation) {
+  if (HasAnnouncedDraining(incarnation)) {
     return;
   }
-  leaving_.push_back(incarnation);
-  if (leaving_.size() > kMaxRemembered) {
-    leaving_.pop_front();
+  draining_.push_back(incarnation);
+  if (draining_.size() > kMaxRemembered) {
+    draining_.pop_front();
   }
 }
 
-bool EndpointTable::HasAnnouncedLeaving(
+bool EndpointTable::HasAnnouncedDraining(
     const EndpointIncarnation& incarnation) const {
-  return std::ranges::any_of(leaving_, [&](const EndpointIncarnation& leaving) {
-    return leaving.id_ == incarnation.id_ &&
-           leaving.started_ == incarnation.started_;
-  });
+  return std::ranges::any_of(draining_,
+                             [&](const EndpointIncarnation& draining) {
+                               return draining.id_ == incarnation.id_ &&
+                                      draining.started_ == incarnation.started_;
+                             });
 }
 
 bool EndpointTable::IsLeavingOrRemoved(
@@ -103,7 +105,7 @@
   const auto same = [&](const EndpointIncarnation& other) {
     return MayBeSameIncarnation(other, incarnation);
   };
-  return std::ranges::any_of(leaving_, same) ||
+  return std::ranges::any_of(draining_, same) ||
          std::ranges::any_of(removed_, same);
 }
 
@@ -122,10 +124,10 @@
     return MayBeSameIncarnation(removed, row.incarnation());
   });
   if (row.leaving_) {
-    RememberLeaving(row.incarnation());
+    RememberDraining(row.incarnation());
   }
   if (endpoint.IsPreviousStart(row.started_)) {
-    // The next incarnation was announced before this row was written.
+    // The row is that of an earlier incarnation: a later one is already known.
     return;
   }
   incarnations_.OnRow(row.address_, row.incarnation(), row.created_revision_);
@@ -134,10 +136,10 @@
     return;
   }
   // An incarnation that is draining does not become available again.
-  const bool leaving = endpoint.row_.leaving_ || row.leaving_;
+  const bool draining = endpoint.row_.leaving_ || row.leaving_;
   const auto started = row.started_ ? row.started_ : endpoint.row_.started_;
   endpoint.row_ = std::move(row);
-  endpoint.row_.leaving_ = leaving;
+  endpoint.row_.leaving_ = draining;
   endpoint.row_.started_ = started;
 }
 
@@ -238,7 +240,7 @@
   }
   auto& added = endpoints_[row.id_];
   added.row_ = std::move(row);
-  added.row_.leaving_ = HasAnnouncedLeaving(incarnation);
+  added.row_.leaving_ = HasAnnouncedDraining(incarnation);
   added.announced_at_ = now;
   added.announced_until_ = now + settings_.announced_grace_;
 }
@@ -301,11 +303,11 @@
 }
 
 void EndpointTable::MarkLeaving(const EndpointIncarnation& incarnation) {
-  RememberLeaving(incarnation);
+  RememberDraining(incarnation);
   auto* endpoint = Find(incarnation.id_);
   if (endpoint != nullptr &&
       MayBeSameIncarnation(endpoint->row_.incarnation(), incarnation)) {
-    RememberLeaving(endpoint->row_.incarnation());
+    RememberDraining(endpoint->row_.incarnation());
     endpoint->row_.leaving_ = true;
     subset_outdated_ = true;
   }
--- a/packages/chalkwell/src/chalkwell/routing/endpoint_table.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/endpoint_table.hpp
@@ -33,10 +33,12 @@
   /// "ip:port".
   std::string address_;
   core::FailureDomainId domain_;
+  /// Concurrent requests that the endpoint serves.
   std::uint32_t slots_ = 1;
+  /// Whether the endpoint is draining: it accepts no new requests.
   bool leaving_ = false;
-  /// Version of the weights that the engine has loaded in all its layers; none
-  /// for plain services and engines that cannot serve yet.
+  /// Version of the weights that all layers of the engine's model have; none
+  /// while the engine cannot serve yet and for services without weights.
   std::optional<std::uint64_t> weights_version_;
   /// List revision at which the row was created; 0 if unknown.
   std::uint64_t created_revision_ = 0;
@@ -49,6 +51,7 @@
 
 /// @brief Difference between two revisions of the published list.
 struct EndpointListChange {
+  /// Revisions of the list; the change applies to lists of `from_` or later.
   std::uint64_t from_ = 0;
   std::uint64_t to_ = 0;
   /// Rows that were added or changed.
@@ -67,6 +70,7 @@
 
 /// @brief Load report of an endpoint.
 struct LoadReport {
+  /// Running and waiting requests of all entries.
   std::uint32_t active_ = 0;
   std::uint32_t queued_ = 0;
   /// False while it loads weights and accepts no new requests.
@@ -100,12 +104,14 @@
   /// again as it has been silent. Agents report at least every 500 ms. Without
   /// this rule, an engine on a suspended machine appears to become idle.
   core::Duration unresponsive_after_ = std::chrono::milliseconds(700);
-  /// The check of the version constraint assumes that a request starts no
-  /// sooner than this if it is late or the last report is older than
-  /// `max_link_report_age_`: the link may delay it by more than a second.
-  core::Duration unreported_delay_ = std::chrono::milliseconds(2500);
-  /// An older last report may be due to a degraded link: agents report at least
-  /// every 500 ms, and a degraded link drops their datagrams.
+  /// Minimum time until a request starts that the check of the version
+  /// constraint assumes if the start can't be predicted: the request is late
+  /// (see ChoiceRequest) and also waits for on-time requests that arrive after
+  /// it, or the last report is older than `max_link_report_age_`, so that the
+  /// link may delay the request by more than a second.
+  core::Duration min_unpredicted_start_delay_ = std::chrono::milliseconds(2500);
+  /// If the last report is older than this, the link may be degraded: agents
+  /// report at least every 500 ms, and a degraded link drops their datagrams.
   core::Duration max_link_report_age_ = std::chrono::milliseconds(700);
   /// Added to the cost of remote endpoints: the minimum gain that justifies
   /// traffic between failure domains.
@@ -154,7 +160,7 @@
 /// @brief Constraints on the endpoint of a request.
 struct ChoiceRequest {
   std::string service_;
-  /// Profile of the engines; null for a plain service, which has no weights.
+  /// Profile of the engines; null for a service without weights.
   const config::EngineProfile* engine_ = nullptr;
   double prompt_tokens_ = 0;
   /// False for late requests (see stream_admission.hpp), which engines serve
@@ -201,7 +207,8 @@
   /// @return false if the change starts after the known revision, so that the
   /// list must be read.
   bool ApplyChange(const EndpointListChange& change, core::TimePoint now);
-  /// @brief Records that the known list includes everything published by then.
+  /// @brief Records that the known list was still up to date at `as_of`: it
+  /// includes everything published before that time.
   void ConfirmAsOf(core::TimePoint as_of) noexcept {
     as_of_ = std::max(as_of_, as_of);
   }
@@ -226,6 +233,7 @@
   void MarkTerminated(const EndpointIncarnation& incarnation);
   /// @brief Records that another incarnation responded at the endpoint's
   /// address.
+  /// @param current id of the incarnation that responded.
   void MarkReplaced(const core::InstanceId& id,
                     const core::InstanceId& current);
   /// @brief Records the weights version that the endpoint announced; none if it
@@ -252,7 +260,9 @@
                core::TimePoint sent_at, bool first_byte_received,
                EndpointOutcome outcome, core::TimePoint now);
 
-  /// @brief Chooses an endpoint for a request by predicted cost.
+  /// @brief Chooses an endpoint for a request by predicted cost, from the
+  /// subset if any endpoint there is usable.
+  /// @return none if no known endpoint is usable.
   [[nodiscard]] std::optional<EndpointChoice> Choose(
       const ChoiceRequest& request, core::TimePoint now);
 
@@ -327,7 +337,8 @@
     /// Decaying failure rate, 0 to 1, as of `failure_rate_updated_`.
     double failure_rate_ = 0;
     core::TimePoint failure_rate_updated_;
-    /// Exponentially smoothed time to first byte; used for plain services only.
+    /// Exponentially smoothed time to first byte; used for services without
+    /// weights only.
     core::Duration mean_wait_{};
     std::optional<core::TimePoint> missing_since_;
     /// When its agent announced it, and until when it need not be listed.
@@ -429,8 +440,8 @@
   /// @brief Resets the state that belongs to one incarnation, because another
   /// one begins.
   void BeginIncarnation(Endpoint& endpoint, EndpointRow row);
-  void RememberLeaving(const EndpointIncarnation& incarnation);
-  [[nodiscard]] bool HasAnnouncedLeaving(
+  void RememberDraining(const EndpointIncarnation& incarnation);
+  [[nodiscard]] bool HasAnnouncedDraining(
       const EndpointIncarnation& incarnation) const;
   void ApplyRow(EndpointRow row);
   void EraseMissing(core::Duration grace, core::TimePoint now);
@@ -451,7 +462,7 @@
   /// Incarnations that announced that they are draining, newest last; at most
   /// kMaxRemembered. Kept apart from the rows, because early or delayed
   /// messages of another incarnation may replace a row for a while.
-  std::deque<EndpointIncarnation> leaving_;
+  std::deque<EndpointIncarnation> draining_;
   /// Revision of the known list; never decreases.
   std::uint64_t revision_ = 0;
   /// Never decreases.
--- a/packages/chalkwell/src/chalkwell/routing/execution_guard.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/execution_guard.hpp
@@ -30,7 +30,8 @@
   kOutsideWindow,
 };
 
-/// @brief Injected faults, by which tests verify that their checks detect them.
+/// @brief Faults that tests inject to show that the tests' checks detect them;
+/// all off in production.
 struct GuardFaults {
   bool ignore_incarnation_ = false;
   bool ignore_used_tickets_ = false;
--- a/packages/chalkwell/src/chalkwell/routing/fair_queue.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/fair_queue.hpp
@@ -49,6 +49,7 @@
     return service_time_p90_;
   }
 
+  /// @brief Appends a request to the queue of its account.
   /// @return false when the request must be refused: its account's queue is
   /// full, or its deadline would pass in the queue or during service.
   [[nodiscard]] bool Offer(const QueuedRequest& request, core::TimePoint now);
@@ -58,7 +59,8 @@
   [[nodiscard]] std::vector<QueuedRequest> TakeExpired(core::TimePoint now);
   /// @brief Removes a waiting request whose caller disconnected.
   void Remove(std::uint64_t request);
-  /// @brief Frees the place of a started request that has ended.
+  /// @brief Records that a started request has ended, so that another may
+  /// start.
   void Release(core::TimePoint now);
   /// @brief Adds a sample of the service time, from the start of a request to
   /// the end of its response.
--- a/packages/chalkwell/src/chalkwell/routing/first_byte_timeout.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/first_byte_timeout.cpp
@@ -16,8 +16,8 @@
 constexpr auto kMinTimeout = milliseconds(1200);
 /// The timeout as a multiple of the predicted time to first byte.
 constexpr int kPredictionMultiple = 2;
-/// Minimum timeout of an attempt that is not on time: it queues behind those
-/// that are. Its caller disconnects before this.
+/// Minimum timeout of a late attempt: it queues behind those that are on time.
+/// Callers disconnect sooner.
 constexpr auto kLateMinTimeout = milliseconds(2500);
 /// Timeout at an unresponsive endpoint: its machine is suspended or
 /// disconnected, and the attempt at a second endpoint needs time, too.
--- a/packages/chalkwell/src/chalkwell/routing/incarnation_table.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/incarnation_table.hpp
@@ -17,9 +17,9 @@
 /// endpoints announce.
 ///
 /// After a simultaneous restart of all endpoints, their old rows stay listed
-/// for 3.6 s. Without this table, 360 of 700 attempts within 1.2 s were refused
-/// by another incarnation, and half of the load reports were attributed to
-/// terminated incarnations.
+/// for 3.6 s. In such a restart without this table, 360 of the 700 attempts
+/// within 1.2 s were refused by another incarnation, and half of the load
+/// reports were attributed to terminated incarnations.
 class IncarnationTable {
  public:
   /// @brief Processes a row of the published list.
--- a/packages/chalkwell/src/chalkwell/routing/list_history.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/list_history.cpp
@@ -1,7 +1,7 @@
 // While reads are incomplete, a change spans back to the last complete ones,
 // since no removals were published in between. A change contains every row that
-// differs in any read of the span, because any of them may be the last one that
-// a receiver got.
+// differs in any read of the span, because any of these reads may be the last
+// one whose change a receiver got.
 #include "chalkwell/routing/list_history.hpp"
 
 #include <map>
@@ -12,7 +12,7 @@
 namespace {
 
 /// Complete reads that a change spans at most. A receiver that lost one or two
-/// messages catches up with the next one and need not read the list itself.
+/// messages catches up with the next one without reading the list itself.
 constexpr std::ptrdiff_t kSpan = 3;
 /// Reads kept while the configuration store is intermittently unavailable; 24 s
 /// of them. A row that only a dropped read contained is removed by receivers at
--- a/packages/chalkwell/src/chalkwell/routing/list_history.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/list_history.hpp
@@ -13,15 +13,17 @@
 
 namespace chalkwell::routing {
 
-/// @brief The most recent reads of the list by this process.
+/// @brief Keeps the most recent reads of the list by this process and builds
+/// the changes to publish.
 class ListHistory {
  public:
   /// @brief Adds a read.
   ///
   /// After an incomplete read, missing rows are published as removed only once
   /// a complete list lacks them too. Incomplete reads are published as well:
-  /// otherwise every process reads the list itself for 2.5 s after each start
-  /// and each outage (600 calls by 149 members).
+  /// otherwise every process would read the list itself while reads are
+  /// incomplete, 2.5 s after each start and each outage of the configuration
+  /// store (600 reads by 149 processes).
   /// @param complete false if leases may have lapsed during an outage of the
   /// configuration store.
   /// @return the change to publish; the full list if the last read was longer
@@ -42,8 +44,8 @@
   /// Oldest first; a change spans all of them. Starts with an empty read at
   /// revision 0.
   std::deque<Read> reads_{Read{}};
-  /// Complete reads since the last incomplete one or the last gap; compared
-  /// with a signed span.
+  /// Complete reads since the last incomplete one or the last gap. Signed
+  /// because it is compared with the distance of iterators of `reads_`.
   std::ptrdiff_t consecutive_complete_reads_ = 0;
   core::TimePoint last_read_;
 };
--- a/packages/chalkwell/src/chalkwell/routing/request_age_estimator.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_age_estimator.cpp
@@ -18,8 +18,10 @@
 /// Bins between zero and the longest time; ages below the width of a bin are
 /// reported as zero.
 constexpr std::int64_t kBins = 12;
-/// A bin with less than this fraction of the mean count of the dense bins with
-/// longer times is not dense: it holds no first attempts.
+/// The bins from that of the longest times onwards are dense, until one has
+/// less than this fraction of the mean count of those before it. In AgeByBin, a
+/// bin with less than this fraction of the mean count of the dense bins is
+/// taken to hold only retries.
 constexpr double kDenseFraction = 0.6;
 /// Maximum number of routes; when it is exceeded, all are discarded.
 constexpr std::size_t kMaxRoutes = 4096;
@@ -29,7 +31,7 @@
 /// @brief Requests in one bin.
 struct Bin {
   std::uint32_t count_ = 0;
-  /// Those of them whose time is frequent.
+  /// Those of them whose time occurs at least kFrequent times.
   std::uint32_t frequent_ = 0;
   /// Shortest time in the bin; its upper edge if it is empty.
   std::int64_t shortest_ms_ = 0;
@@ -68,9 +70,9 @@
   return total / static_cast<double>(bins);
 }
 
-/// Age where all callers of a kind set the same time; none if no time of at
-/// least `left_ms` is frequent. Callers of different kinds may share a route,
-/// so the age is measured from the next longer frequent time.
+/// Age where callers use a few fixed timeouts; none if no time of at least
+/// `left_ms` is frequent. Several timeouts may occur on one route, so the age
+/// is measured from the shortest frequent time that is not below `left_ms`.
 std::optional<std::int64_t> AgeByValue(const Counts& counts,
                                        std::int64_t left_ms) {
   for (auto next = counts.lower_bound(left_ms); next != counts.end(); ++next) {
@@ -119,8 +121,8 @@
         AgeByValue(history.counts_, left_ms).value_or(longest - left_ms));
   }
   const auto first = BinAt(history.counts_, 0);
-  // By value if at least half of the requests with the longest times have a
-  // frequent one.
+  // Uses AgeByValue if at least half of the requests in the first bin, that of
+  // the longest times, have a time that kFrequent or more requests share.
   const bool repeats = 2 * first.frequent_ >= first.count_;
   return std::chrono::milliseconds(
       repeats ? AgeByValue(history.counts_, left_ms).value_or(0)
--- a/packages/chalkwell/src/chalkwell/routing/request_age_estimator.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_age_estimator.hpp
@@ -1,5 +1,6 @@
-// Estimates the time since a caller's first attempt from the time to its
-// deadline.
+// Estimates how long ago a caller first sent a request, from the time left to
+// its deadline. Attempts and retries are those of the caller here, not those of
+// the entry.
 #pragma once
 
 #include <chrono>
@@ -18,18 +19,22 @@
 ///
 /// The age is the usual time to the deadline of first attempts minus the time
 /// left. That usual time is found as follows:
-/// - If callers set one fixed timeout, first attempts have equal times to the
-///   deadline, and retries have shorter, differing ones: a frequent value is
-///   that of first attempts. The next longer frequent value is used.
+/// - If callers set a fixed timeout, first attempts have equal times to the
+///   deadline, and retries have shorter, differing ones: a value that several
+///   requests share is that of first attempts. The smallest such value that is
+///   not below the request's time left is used.
 /// - If timeouts vary within a range, a histogram of the times is used: retries
-///   fall into sparser bins below the range. Their age is known only up to the
-///   width of the range, and its lower bound is returned.
-/// - While few requests were seen, the next longer frequent value is used, or
-///   else the longest.
+///   fall into sparser bins below the range. Their age can be determined only
+///   with an uncertainty of the width of the range; the smallest possible age
+///   is returned.
+/// - While few requests were seen, a shared value is used, as for fixed
+///   timeouts, or else the longest time seen.
 class RequestAgeEstimator {
  public:
-  /// @brief Adds a request and returns its estimated age; zero for a first
-  /// attempt or when not known.
+  /// @brief Adds a request and estimates its age.
+  /// @param time_left time to the request's deadline.
+  /// @return time since the caller's first attempt; zero for a first attempt or
+  /// when not known.
   core::Duration AddAndEstimate(const std::string& route,
                                 core::Duration time_left);
 
--- a/packages/chalkwell/src/chalkwell/routing/request_quarantine.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_quarantine.cpp
@@ -108,7 +108,7 @@
   if (!Insert(row, added)) {
     return false;
   }
-  row.sampled_ = 0;
+  row.times_selected_ = 0;
   row.trial_until_ = {};
   return true;
 }
@@ -137,7 +137,7 @@
     crash.cleared_ = true;
   }
   if (attributed) {
-    found->second.sampled_ = 0;
+    found->second.times_selected_ = 0;
     found->second.trial_until_ = {};
   }
   return attributed;
@@ -264,7 +264,7 @@
   for (auto& [request, row] : table_) {
     const bool clear =
         AttributedCrashes(request) < settings_.suspected_crashes_;
-    if (!clear || row.sampled_ < settings_.max_clear_samples_) {
+    if (!clear || row.times_selected_ < settings_.max_clear_sends_) {
       order.push_back({&row, clear});
     }
   }
@@ -272,12 +272,12 @@
   std::ranges::partial_sort(
       order, order.begin() + static_cast<std::ptrdiff_t>(count), {},
       [](const Candidate& candidate) {
-        return std::pair(candidate.clear_, candidate.row_->sampled_);
+        return std::pair(candidate.clear_, candidate.row_->times_selected_);
       });
   std::vector<CrashRecord> records;
   records.reserve(count);
   for (std::size_t i = 0; i < count; ++i) {
-    ++order[i].row_->sampled_;
+    ++order[i].row_->times_selected_;
     records.push_back(order[i].row_->record_);
   }
   return records;
--- a/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_quarantine.hpp
@@ -56,13 +56,14 @@
 
 /// @brief Settings of RequestQuarantine.
 struct QuarantineSettings {
-  /// Attributed crashes from which a request is suspected or quarantined.
+  /// Numbers of attributed crashes at which a request becomes suspected, and
+  /// quarantined.
   std::size_t suspected_crashes_ = 2;
   std::size_t quarantined_crashes_ = 3;
   /// A crash within this time of the last counted one is not counted, unless
   /// the request was sent after that one and ran for `min_run_time_`: endpoints
   /// that fail together have a common cause, and a frequent request is in
-  /// flight at many of them. A request is also quarantined only if its first
+  /// flight at many of them. In addition, quarantine requires that the first
   /// and last counted crash are at least this far apart.
   core::Duration same_cause_window_ = std::chrono::milliseconds(250);
   /// Within `same_cause_window_`, minimum time from sending a request to a
@@ -82,9 +83,10 @@
   std::size_t max_records_ = 1024;
   /// Crashes kept per request; the oldest are evicted.
   std::size_t max_crashes_ = 8;
-  /// How many times Sample returns the record of a clear request after a
-  /// change: by then every entry has received it.
-  unsigned max_clear_samples_ = 6;
+  /// How many times the changed record of a clear request is selected for
+  /// sending to other entries. An entry whose own record it changes sends it as
+  /// often in turn, so that every entry receives it.
+  unsigned max_clear_sends_ = 6;
   /// How long a completion is kept, to clear its request of earlier crashes
   /// that are confirmed only afterwards, and the maximum number kept.
   core::Duration completion_retention_ = std::chrono::seconds(15);
@@ -146,7 +148,7 @@
   [[nodiscard]] std::vector<CrashRecord> Records() const;
   /// @brief Selects records to send to other entries: those of suspected and
   /// quarantined requests first, each group by ascending number of times
-  /// selected. Those of clear requests are selected `max_clear_samples_` times.
+  /// selected. Those of clear requests are selected `max_clear_sends_` times.
   [[nodiscard]] std::vector<CrashRecord> Sample(std::size_t max_count);
   [[nodiscard]] std::size_t size() const noexcept { return table_.size(); }
 
@@ -155,8 +157,8 @@
     CrashRecord record_;
     /// Time until which a trial may be in flight at another entry.
     core::TimePoint trial_until_;
-    /// Number of times Sample returned it since its last change.
-    unsigned sampled_ = 0;
+    /// Number of times it was selected for sending since its last change.
+    unsigned times_selected_ = 0;
   };
 
   bool Insert(Row& row, const EndpointCrash& crash);
--- a/packages/chalkwell/src/chalkwell/routing/request_tracker.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_tracker.cpp
@@ -108,8 +108,10 @@
   may_have_run_ = may_have_run_ || (end == AttemptEnd::kLost &&
                                     !faults_.report_lost_as_not_run_);
   if (end == AttemptEnd::kRefusedNotRun && traits_.may_have_run_before_) {
-    // The agent reports "not run" only on the first use of a ticket and marks
-    // it as used: no execution took place with it, and none can follow.
+    // The attempt carried the caller's ticket. The agent reports "not run" only
+    // if the ticket was unused, and marks it as used: no earlier request ran
+    // with it, and none can later. No earlier attempt of this request was lost,
+    // since RequestRunner sends a request with a caller's ticket only once.
     may_have_run_ = false;
   }
   if (end == AttemptEnd::kComplete) {
--- a/packages/chalkwell/src/chalkwell/routing/request_tracker.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/request_tracker.hpp
@@ -36,7 +36,8 @@
   kNeverSent,
   /// The agent refused it before forwarding it to the backend.
   kRefusedNotRun,
-  /// The backend executed it and failed, or responded with other weights.
+  /// The backend executed it and failed, or responded with weights other than
+  /// those pinned for the attempt.
   kFailedRan,
   /// It ended without a complete response from the endpoint: it may have been
   /// executed.
@@ -57,6 +58,7 @@
   /// were pinned for it may resume it.
   bool same_weights_ = false;
 };
+/// @brief Send the request to the endpoint.
 struct SendAttempt {
   AttemptNumber attempt_ = 0;
   core::InstanceId endpoint_;
@@ -79,7 +81,8 @@
     std::variant<ChooseEndpoint, SendAttempt, CancelAttempt, FinishRequest>;
 using RequestActions = std::vector<RequestAction>;
 
-/// @brief Injected faults, by which tests verify that their checks detect them.
+/// @brief Faults that tests inject to show that the tests' checks detect them;
+/// all off in production.
 struct RequestFaults {
   bool retry_after_send_ = false;
   /// Forwards responses of attempts that have ended, too.
@@ -90,7 +93,7 @@
   bool complete_on_loss_ = false;
   /// Only the last attempt counts as having run or possibly run.
   bool ignore_earlier_attempts_ = false;
-  /// Responses that use other weights are forwarded.
+  /// Responses that use weights other than the pinned ones are forwarded.
   bool ignore_other_weights_ = false;
   /// Ignores RequestTraits::may_have_run_before_ at the start.
   bool ignore_earlier_requests_ = false;
@@ -124,7 +127,11 @@
   /// @brief Whether bytes of a response were forwarded to the caller.
   [[nodiscard]] bool forwarded() const noexcept { return forwarded_; }
 
+  /// @brief Begins the request.
+  /// @return the first actions, as of the other functions below; empty if there
+  /// is nothing to do.
   [[nodiscard]] RequestActions Start(core::TimePoint now);
+  /// @brief The endpoint of a ChooseEndpoint action was chosen.
   /// @param endpoint none if no endpoint can accept the request.
   [[nodiscard]] RequestActions OnChosen(
       const std::optional<core::InstanceId>& endpoint, core::TimePoint now);
@@ -140,6 +147,7 @@
   /// can be resumed.
   [[nodiscard]] bool AcceptResponseBytes(AttemptNumber attempt,
                                          std::uint64_t events = 1);
+  /// @brief The attempt ended; ignored unless it is the current one.
   [[nodiscard]] RequestActions OnEnded(AttemptNumber attempt, AttemptEnd end,
                                        core::TimePoint now);
   /// @brief Ends the request and cancels its attempt in flight, because the
--- a/packages/chalkwell/src/chalkwell/routing/retry_budget.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/retry_budget.hpp
@@ -43,9 +43,10 @@
   [[nodiscard]] double Available(RetryKind kind,
                                  core::TimePoint now) const noexcept;
 
+  /// @brief Counts a request in the window.
   void OnRequest(core::TimePoint now) noexcept;
-  /// @brief Changes the reserve, as when the number of entries sharing it
-  /// changes.
+  /// @brief Sets this entry's part of a reserve that is divided between the
+  /// entries; it changes with their number.
   void SetReserve(double reserve) noexcept { settings_.reserve_ = reserve; }
   /// @brief Consumes one retry if the budget allows it.
   [[nodiscard]] bool TryConsume(RetryKind kind, core::TimePoint now) noexcept;
--- a/packages/chalkwell/src/chalkwell/routing/retry_jitter.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/retry_jitter.hpp
@@ -1,7 +1,8 @@
-// Jitter for Retry-After. With a constant value, callers refused at the same
-// time retry at the same time and with equal remaining times to their
-// deadlines. RequestAgeEstimator treats frequent times as those of first
-// attempts and would mistake such retries for them.
+// Jitter for Retry-After. With a constant value, callers that set the same
+// timeout and are refused together retry together, with the same time left to
+// the deadline. RequestAgeEstimator takes a time left that many requests share
+// for that of first attempts, so it would take these retries for first
+// attempts.
 #pragma once
 
 #include <cstdint>
--- a/packages/chalkwell/src/chalkwell/routing/slot_queue.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/slot_queue.hpp
@@ -47,6 +47,8 @@
   /// @brief Number of recently active entries; at least 1.
   [[nodiscard]] std::size_t active_entries(core::TimePoint now) const;
 
+  /// @brief Assigns a slot to an attempt or queues it.
+  /// @param entry the entry that sent it.
   [[nodiscard]] SlotDecision Offer(std::uint64_t attempt,
                                    const core::InstanceId& entry,
                                    core::TimePoint now);
--- a/packages/chalkwell/src/chalkwell/routing/stream_admission.cpp
+++ b/packages/chalkwell/src/chalkwell/routing/stream_admission.cpp
@@ -17,13 +17,15 @@
 /// would delay the prefill of streams that are on time.
 constexpr double kLateSlotFraction = 0.8;
 /// Retry delay of a late stream that found too few free slots. The backlog of
-/// an outage is served within about two seconds, and callers wait for at most a
-/// third of the time they have left.
+/// an outage is served within about 2 s. The delay may exceed the time that a
+/// caller has left: callers cap their wait at a third of that time.
 constexpr auto kLateRetryDelay = milliseconds(2000);
-/// Added to the priority of late streams. Platforms have ten priorities, of
-/// which routes use the first few.
+/// Added to the priority of late streams. Engines have ten priorities, from 0,
+/// the most urgent, to 9; routes use only the most urgent few.
 constexpr std::uint32_t kLatePriorityOffset = 5;
-/// Priority of a request that gives none; the middle of the ten.
+/// Priority assumed for a late request without one; the middle of the ten. The
+/// sum with kLatePriorityOffset may exceed 9; the platform's request codec
+/// limits it.
 constexpr std::uint32_t kDefaultPriority = 5;
 /// Retry delay when no endpoint accepts work and it is unknown when one will.
 constexpr auto kNoEndpointRetryDelay = milliseconds(500);
--- a/packages/chalkwell/src/chalkwell/routing/stream_admission.hpp
+++ b/packages/chalkwell/src/chalkwell/routing/stream_admission.hpp
@@ -3,9 +3,9 @@
 // After an outage, or while engines switch weights, retries and first attempts
 // together exceed the capacity of the engines. Served in order of arrival, all
 // of them would miss their target latency. A stream is on time, and goes first,
-// if less than its target latency has passed since the caller's first attempt
-// and the predicted time from now to its first event is within a fixed fraction
-// of the target. The others are late and get the slots that are left.
+// if less than its target latency has passed since the caller first sent the
+// request and the predicted time from now to its first event is within a fixed
+// fraction of the target. The others are late and get the slots that are left.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
 struct StreamRequest {
   /// Target latency of the first event.
   core::Duration target_{};
-  /// Time since the caller's first attempt.
+  /// Time since the caller's first attempt, see RequestAgeEstimator.
   core::Duration age_{};
 };
 
@@ -60,7 +60,8 @@
 
 /// @brief Whether few enough requests are ahead for a late stream to be
 /// admitted: less than a fixed fraction of the engine's slots.
-/// @param requests_ahead see EndpointChoice, of the engine it would be sent to.
+/// @param requests_ahead running and queued requests ahead of the stream at the
+/// engine, see EndpointChoice::requests_ahead_.
 [[nodiscard]] bool AdmitsLate(const config::EngineProfile& engine,
                               std::uint32_t requests_ahead);
 
--- a/tests/routing/request_quarantine_test.cpp
+++ b/tests/routing/request_quarantine_test.cpp
@@ -225,7 +225,7 @@
   }
   (void)quarantine.AddCrash(Request("x"), Crash(1, 0s));
   (void)quarantine.AddCrash(Request("x"), Crash(2, 1s));
-  for (unsigned i = 0; i < 6 * settings.max_clear_samples_; ++i) {
+  for (unsigned i = 0; i < 6 * settings.max_clear_sends_; ++i) {
     const auto sample = quarantine.Sample(2);
     REQUIRE_FALSE(sample.empty());
     CHECK(sample.front().request_ == Request("x"));
