--- a/bench/burst.cpp
+++ b/bench/burst.cpp
@@ -312,7 +312,8 @@
   PrintFigure(name + "wrong_answers" + suffix, burst_load.value("wrong", -1.0));
   double bad_activations = 0;
   for (const auto* engine : engines) {
-    const auto record = fleet::GetJson(engine->backend_address_, "/control/record");
+    const auto record =
+        fleet::GetJson(engine->backend_address_, "/control/record");
     bad_activations +=
         record.value("bad_orders", 1.0) + record.value("mixed", 1.0);
   }
--- a/bench/requests.cpp
+++ b/bench/requests.cpp
@@ -197,7 +197,8 @@
 double ReadCancelledRuns(Fleet& fleet) {
   double sum = 0;
   for (const auto* engine : fleet.Engines()) {
-    const auto record = fleet::GetJson(engine->backend_address_, "/control/record");
+    const auto record =
+        fleet::GetJson(engine->backend_address_, "/control/record");
     sum += record.value("cancelled", 0.0);
   }
   return sum;
@@ -256,7 +257,8 @@
 double ReadOfferedRuns(Fleet& fleet) {
   double sum = 0;
   for (const auto* engine : fleet.Engines()) {
-    const auto record = fleet::GetJson(engine->backend_address_, "/control/record");
+    const auto record =
+        fleet::GetJson(engine->backend_address_, "/control/record");
     sum += record.value("offered", 0.0);
   }
   return sum;
--- a/packages/chalkwell/src/chalkwell/core/event.cpp
+++ b/packages/chalkwell/src/chalkwell/core/event.cpp
@@ -26,7 +26,7 @@
     {kLogDropped, kWarning, "log-dropped",
      "Log lines were dropped by the rate limit or because of a full pipe.",
      "Find what floods the log; metrics still count every event."},
-    {kResumed, kWarning, "resumed",
+    {kMachineResumed, kWarning, "resumed",
      "The machine was suspended and has resumed; overdue timers run now.",
      "None, if the machine is meant to be suspended."},
     {kDocumentAccepted, kInfo, "document-accepted",
--- a/packages/chalkwell/src/chalkwell/membership/listed_endpoints.cpp
+++ b/packages/chalkwell/src/chalkwell/membership/listed_endpoints.cpp
@@ -16,7 +16,8 @@
 
 }  // namespace
 
-ListedEndpoints::ListedEndpoints(ListedEndpointsSettings settings, ListedEndpointsFaults faults)
+ListedEndpoints::ListedEndpoints(ListedEndpointsSettings settings,
+                                 ListedEndpointsFaults faults)
     : settings_(settings), faults_(faults) {}
 
 const EndpointView* ListedEndpoints::Find(const core::InstanceId& id) const {
@@ -24,7 +25,8 @@
   return found == endpoints_.end() ? nullptr : &found->second;
 }
 
-bool ListedEndpoints::MayTakeWork(const EndpointView& view, core::TimePoint now) const {
+bool ListedEndpoints::MayTakeWork(const EndpointView& view,
+                                  core::TimePoint now) const {
   const bool within_lease = view.connected_ && view.report_ &&
                             now - view.last_report_at_ <= settings_.lease_;
   const bool leaving =
@@ -35,8 +37,8 @@
   return within_lease && view.report_->ready_ && now >= view.open_until_;
 }
 
-std::vector<const EndpointView*> ListedEndpoints::Available(const core::Role& role,
-                                                   core::TimePoint now) const {
+std::vector<const EndpointView*> ListedEndpoints::Available(
+    const core::Role& role, core::TimePoint now) const {
   std::vector<const EndpointView*> available;
   std::vector<const EndpointView*> unresponsive;
   for (const auto& [id, view] : endpoints_) {
@@ -58,16 +60,18 @@
   return available;
 }
 
-bool ListedEndpoints::HasHighFailureRate(const EndpointView& view) const noexcept {
+bool ListedEndpoints::HasHighFailureRate(
+    const EndpointView& view) const noexcept {
   return view.failure_rate_ >= settings_.high_failure_rate_;
 }
 
 bool ListedEndpoints::IsUnresponsive(const EndpointView& view,
-                            core::TimePoint now) const noexcept {
+                                     core::TimePoint now) const noexcept {
   return view.probed_at_ && now - *view.probed_at_ > settings_.probe_timeout_;
 }
 
-void ListedEndpoints::OnProbed(const core::InstanceId& id, core::TimePoint now) {
+void ListedEndpoints::OnProbed(const core::InstanceId& id,
+                               core::TimePoint now) {
   const auto found = endpoints_.find(id);
   if (found != endpoints_.end() && !found->second.probed_at_) {
     found->second.probed_at_ = now;
@@ -85,7 +89,8 @@
   if (!view.report_) {
     return 1;
   }
-  const auto sharers = std::max<std::uint64_t>(1, view.report_->active_entries_);
+  const auto sharers =
+      std::max<std::uint64_t>(1, view.report_->active_entries_);
   const auto numerator = view.report_->capacity_ * kInFlightPercent;
   const auto denominator = 100 * sharers;
   return std::max<std::uint64_t>(1,
@@ -107,7 +112,7 @@
 }
 
 void ListedEndpoints::OnLoad(const core::InstanceId& id, std::uint64_t load,
-                    std::uint64_t sharers) {
+                             std::uint64_t sharers) {
   const auto found = endpoints_.find(id);
   if (found != endpoints_.end() && found->second.report_ && sharers > 0) {
     found->second.report_->load_ = load;
@@ -115,7 +120,8 @@
   }
 }
 
-void ListedEndpoints::SetInstances(const std::vector<config::Instance>& instances) {
+void ListedEndpoints::SetInstances(
+    const std::vector<config::Instance>& instances) {
   std::map<core::InstanceId, EndpointView> next;
   for (const auto& instance : instances) {
     if (instance.kind_ != config::InstanceKind::kEndpoint) {
@@ -123,7 +129,8 @@
     }
     auto known = endpoints_.extract(instance.id_);
     auto& view = next[instance.id_];
-    if (!known.empty() && known.mapped().instance_.peer_address_ == instance.peer_address_) {
+    if (!known.empty() &&
+        known.mapped().instance_.peer_address_ == instance.peer_address_) {
       view = std::move(known.mapped());
     }
     view.instance_ = instance;
@@ -131,7 +138,8 @@
   endpoints_ = std::move(next);
 }
 
-void ListedEndpoints::OnConnected(const core::InstanceId& id, core::TimePoint now) {
+void ListedEndpoints::OnConnected(const core::InstanceId& id,
+                                  core::TimePoint now) {
   const auto found = endpoints_.find(id);
   if (found != endpoints_.end()) {
     found->second.connected_ = true;
@@ -147,8 +155,9 @@
   }
 }
 
-bool ListedEndpoints::OnReport(const core::InstanceId& id, const EndpointReport& report,
-                      core::TimePoint now) {
+bool ListedEndpoints::OnReport(const core::InstanceId& id,
+                               const EndpointReport& report,
+                               core::TimePoint now) {
   const auto found = endpoints_.find(id);
   if (found == endpoints_.end()) {
     return false;
@@ -168,7 +177,8 @@
   return true;
 }
 
-void ListedEndpoints::OnRequestSent(const core::InstanceId& id, core::TimePoint now) {
+void ListedEndpoints::OnRequestSent(const core::InstanceId& id,
+                                    core::TimePoint now) {
   const auto found = endpoints_.find(id);
   if (found != endpoints_.end()) {
     ++found->second.in_flight_;
@@ -177,7 +187,7 @@
 }
 
 void ListedEndpoints::OnRequestEnded(const core::InstanceId& id, bool failed,
-                            core::TimePoint now) {
+                                     core::TimePoint now) {
   const auto found = endpoints_.find(id);
   if (found == endpoints_.end()) {
     return;
--- a/packages/chalkwell/src/chalkwell/membership/listed_endpoints.hpp
+++ b/packages/chalkwell/src/chalkwell/membership/listed_endpoints.hpp
@@ -82,7 +82,8 @@
 /// @brief Endpoints as known to one entry.
 class ListedEndpoints {
  public:
-  explicit ListedEndpoints(ListedEndpointsSettings settings = {}, ListedEndpointsFaults faults = {});
+  explicit ListedEndpoints(ListedEndpointsSettings settings = {},
+                           ListedEndpointsFaults faults = {});
 
   [[nodiscard]] const EndpointView* Find(const core::InstanceId& id) const;
   [[nodiscard]] const std::map<core::InstanceId, EndpointView>& endpoints()
--- a/packages/chalkwell/src/chalkwell/swarm/availability_forecast.cpp
+++ b/packages/chalkwell/src/chalkwell/swarm/availability_forecast.cpp
@@ -18,7 +18,8 @@
   samples_.clear();
 }
 
-void AvailabilityForecast::OnAvailable(std::size_t available, core::TimePoint now) {
+void AvailabilityForecast::OnAvailable(std::size_t available,
+                                       core::TimePoint now) {
   if (samples_.empty() || available != samples_.back().available_) {
     samples_.push_back({now, available});
   }
--- a/packages/daemon/src/daemon/admin.cpp
+++ b/packages/daemon/src/daemon/admin.cpp
@@ -35,7 +35,8 @@
 }  // namespace
 
 std::unique_ptr<HttpServer> MakeAdminServer(Loop& loop, const Address& address,
-                                      Metrics& metrics, AdminHooks hooks) {
+                                            Metrics& metrics,
+                                            AdminHooks hooks) {
   auto handler = [&metrics,
                   hooks = std::move(hooks)](const HttpExchangePtr& exchange) {
     const auto& path = exchange->request().path_;
@@ -52,10 +53,12 @@
     } else if (path == "/metrics") {
       metrics.Set("resident_bytes", {}, ResidentBytes());
       metrics.Set("cpu_seconds", {}, CpuSeconds());
-      metrics.Set("peer_transport_bytes", {{"way", "in"}},
-                  static_cast<double>(internal::TotalTransportBytes().received_bytes_));
-      metrics.Set("peer_transport_bytes", {{"way", "out"}},
-                  static_cast<double>(internal::TotalTransportBytes().sent_bytes_));
+      metrics.Set(
+          "peer_transport_bytes", {{"way", "in"}},
+          static_cast<double>(internal::TotalTransportBytes().received_bytes_));
+      metrics.Set(
+          "peer_transport_bytes", {{"way", "out"}},
+          static_cast<double>(internal::TotalTransportBytes().sent_bytes_));
       hooks.update_gauges_();
       exchange->Respond(200, {{"content-type", "text/plain; version=0.0.4"}},
                         metrics.Render());
--- a/packages/daemon/src/daemon/admin.hpp
+++ b/packages/daemon/src/daemon/admin.hpp
@@ -27,9 +27,7 @@
 
 /// @brief Starts the admin server.
 /// @throws core::Error if the address cannot be bound.
-[[nodiscard]] std::unique_ptr<HttpServer> MakeAdminServer(Loop& loop,
-                                                    const Address& address,
-                                                    Metrics& metrics,
-                                                    AdminHooks hooks);
+[[nodiscard]] std::unique_ptr<HttpServer> MakeAdminServer(
+    Loop& loop, const Address& address, Metrics& metrics, AdminHooks hooks);
 
 }  // namespace chalkwell::daemon
--- a/packages/daemon/src/daemon/agent.cpp
+++ b/packages/daemon/src/daemon/agent.cpp
@@ -83,21 +83,21 @@
       process_.loop(), ParseAddress(settings.Text("listen", "peer")),
       settings.Number("endpoint", "max_body_bytes"),
       [this](const PeerCallPtr& call) { OnPeerCall(call); });
-  admin_server_ =
-      MakeAdminServer(process_.loop(), ParseAddress(settings.Text("listen", "admin")),
-                process_.metrics(),
-                {.not_ready_reason_ =
-                     [this] {
-                       return CurrentState().accepting_ ? std::string{}
-                                                        : "accepts no work";
-                     },
-                 .status_json_ = [this] { return StatusJson(); },
-                 .update_gauges_ =
-                     [this] {
-                       process_.metrics().Set(
-                           "requests_in_flight", {},
-                           static_cast<double>(run_handler_->in_flight()));
-                     }});
+  admin_server_ = MakeAdminServer(
+      process_.loop(), ParseAddress(settings.Text("listen", "admin")),
+      process_.metrics(),
+      {.not_ready_reason_ =
+           [this] {
+             return CurrentState().accepting_ ? std::string{}
+                                              : "accepts no work";
+           },
+       .status_json_ = [this] { return StatusJson(); },
+       .update_gauges_ =
+           [this] {
+             process_.metrics().Set(
+                 "requests_in_flight", {},
+                 static_cast<double>(run_handler_->in_flight()));
+           }});
   process_.log().Write(core::EventNumber::kListening,
                        {{"peer", settings.Text("listen", "peer")}});
   process_.config().OnChange(
--- a/packages/daemon/src/daemon/agent_links.cpp
+++ b/packages/daemon/src/daemon/agent_links.cpp
@@ -22,8 +22,8 @@
 
 }  // namespace
 
-AgentLinks::AgentLinks(Loop& loop, AgentLinkSettings settings, ConfigReplica& node,
-                       EventLog& log)
+AgentLinks::AgentLinks(Loop& loop, AgentLinkSettings settings,
+                       ConfigReplica& node, EventLog& log)
     : loop_(loop),
       settings_(std::move(settings)),
       node_(node),
@@ -70,8 +70,8 @@
   }
   std::set<core::InstanceId> selected_ids;
   for (const auto& [group, ids] : groups) {
-    const auto limit =
-        group.second ? settings_.local_links_per_role_ : settings_.remote_links_per_role_;
+    const auto limit = group.second ? settings_.local_links_per_role_
+                                    : settings_.remote_links_per_role_;
     for (auto& id :
          membership::HighestRanked(node_.self().value(), ids, limit)) {
       selected_ids.insert(std::move(id));
--- a/packages/daemon/src/daemon/agent_links.hpp
+++ b/packages/daemon/src/daemon/agent_links.hpp
@@ -38,7 +38,9 @@
   AgentLinks(Loop& loop, AgentLinkSettings settings, ConfigReplica& node,
              EventLog& log);
 
-  [[nodiscard]] membership::ListedEndpoints& roster() noexcept { return roster_; }
+  [[nodiscard]] membership::ListedEndpoints& roster() noexcept {
+    return roster_;
+  }
   /// @brief Connection to an agent; null if the agent is not selected.
   [[nodiscard]] std::shared_ptr<PeerConnection> Connection(
       const core::InstanceId& id) const;
--- a/packages/daemon/src/daemon/config_dissemination.cpp
+++ b/packages/daemon/src/daemon/config_dissemination.cpp
@@ -33,24 +33,24 @@
               const OnResponse& on_response) {
   // Handling the response may remove this peer and its connection.
   const std::weak_ptr<PeerConnection> weak = connection;
-  connection->Fetch(std::string(kSyncPath), Pack(request),
-                  [weak, follow_up, on_response](PeerEnd end, int status,
-                                                 const std::string& body) {
-                    const auto target = weak.lock();
-                    if (!target || end != PeerEnd::kComplete || status != 200) {
-                      return;
-                    }
-                    const auto response =
-                        Unpack<SyncMessage>(body, target->address().ToString());
-                    if (on_response) {
-                      on_response(response);
-                    }
-                    const auto second =
-                        follow_up ? follow_up(response) : std::nullopt;
-                    if (second && target->connected()) {
-                      SendSync(target, *second, nullptr, on_response);
-                    }
-                  });
+  connection->Fetch(
+      std::string(kSyncPath), Pack(request),
+      [weak, follow_up, on_response](PeerEnd end, int status,
+                                     const std::string& body) {
+        const auto target = weak.lock();
+        if (!target || end != PeerEnd::kComplete || status != 200) {
+          return;
+        }
+        const auto response =
+            Unpack<SyncMessage>(body, target->address().ToString());
+        if (on_response) {
+          on_response(response);
+        }
+        const auto second = follow_up ? follow_up(response) : std::nullopt;
+        if (second && target->connected()) {
+          SendSync(target, *second, nullptr, on_response);
+        }
+      });
 }
 
 }  // namespace
@@ -134,7 +134,8 @@
     }
     auto known = peers_.extract(instance.id_);
     auto& peer = updated[instance.id_];
-    if (!known.empty() && known.mapped().instance_.peer_address_ == instance.peer_address_) {
+    if (!known.empty() &&
+        known.mapped().instance_.peer_address_ == instance.peer_address_) {
       peer = std::move(known.mapped());
     } else {
       peer.connection_ = std::make_shared<PeerConnection>(
--- a/packages/daemon/src/daemon/config_replica.cpp
+++ b/packages/daemon/src/daemon/config_replica.cpp
@@ -7,8 +7,8 @@
 
 namespace chalkwell::daemon {
 ConfigReplica::ConfigReplica(core::InstanceId self,
-                       const std::vector<bundle::PublicKey>& trusted,
-                       EventLog& log, Metrics& metrics)
+                             const std::vector<bundle::PublicKey>& trusted,
+                             EventLog& log, Metrics& metrics)
     : self_(std::move(self)),
       log_(log),
       metrics_(metrics),
@@ -53,8 +53,8 @@
 }
 
 void ConfigReplica::LogVerdict(const config::Document& document,
-                            const config::Acceptance& acceptance,
-                            const std::string& source) {
+                               const config::Acceptance& acceptance,
+                               const std::string& source) {
   using enum config::Verdict;
   const auto verdict = acceptance.verdict_;
   if (verdict == kUnchanged || verdict == kOlder) {
@@ -76,7 +76,7 @@
 }
 
 void ConfigReplica::Apply(const std::vector<config::Document>& documents,
-                       const std::string& source) {
+                          const std::string& source) {
   std::vector<std::string> changed;
   for (const auto& document : documents) {
     const auto acceptance = documents_.Apply(document);
--- a/packages/daemon/src/daemon/config_replica.hpp
+++ b/packages/daemon/src/daemon/config_replica.hpp
@@ -33,8 +33,8 @@
   /// @param trusted trusted keys from the settings: the root of trust for
   /// signed documents.
   ConfigReplica(core::InstanceId self,
-             const std::vector<bundle::PublicKey>& trusted, EventLog& log,
-             Metrics& metrics);
+                const std::vector<bundle::PublicKey>& trusted, EventLog& log,
+                Metrics& metrics);
 
   [[nodiscard]] const core::InstanceId& self() const noexcept { return self_; }
   [[nodiscard]] const config::AcceptedDocuments& documents() const noexcept {
--- a/packages/daemon/src/daemon/direct/direct_request.cpp
+++ b/packages/daemon/src/daemon/direct/direct_request.cpp
@@ -168,11 +168,11 @@
                                                context_.loop_.Now()) &&
            context_.quarantine_.MaySend(request_.digest_, std::nullopt);
   };
-  options.matches_request_ = [this,
-                      self = shared_from_this()](const HttpHeaders& headers) {
-    return context_.adapter_.requests_.matches_request_(headers,
-                                                        request_.caller_.id_);
-  };
+  options.matches_request_ =
+      [this, self = shared_from_this()](const HttpHeaders& headers) {
+        return context_.adapter_.requests_.matches_request_(
+            headers, request_.caller_.id_);
+      };
   const auto number = send.attempt_;
   auto http = context_.adapter_.requests_.write_attempt_(
       exchange_->request(), request_.caller_, terms);
--- a/packages/daemon/src/daemon/direct/published_relay.cpp
+++ b/packages/daemon/src/daemon/direct/published_relay.cpp
@@ -77,14 +77,15 @@
     request.known_[static_cast<std::uint8_t>(section)] = stored.revision_;
   }
   request_pending_ = true;
-  connection->Fetch(std::string(kPublishedPath), Pack(request),
-                  [this, peer = member.id_.value(), requested_at = loop_.Now()](
-                      PeerEnd end, int status, const std::string& body) {
-                    request_pending_ = false;
-                    if (end == PeerEnd::kComplete && status == kOk) {
-                      OnResponse(body, peer, requested_at);
-                    }
-                  });
+  connection->Fetch(
+      std::string(kPublishedPath), Pack(request),
+      [this, peer = member.id_.value(), requested_at = loop_.Now()](
+          PeerEnd end, int status, const std::string& body) {
+        request_pending_ = false;
+        if (end == PeerEnd::kComplete && status == kOk) {
+          OnResponse(body, peer, requested_at);
+        }
+      });
 }
 
 void PublishedRelay::OnResponse(const std::string& body,
--- a/packages/daemon/src/daemon/direct/rules_exchange.cpp
+++ b/packages/daemon/src/daemon/direct/rules_exchange.cpp
@@ -124,16 +124,16 @@
     request.digest_ = ToBytes(documents_.front().digest_);
   }
   connection->Fetch(std::string(kRulesPath), Pack(request),
-                  [this, done = std::move(done)](PeerEnd end, int status,
-                                                 const std::string& body) {
-                    if (end != PeerEnd::kComplete || status != kOk) {
-                      done(std::nullopt);
-                      return;
-                    }
-                    metrics_.Count("rules_peer_bytes_total", {{"way", "in"}},
-                                   static_cast<double>(body.size()));
-                    done(Apply(Unpack<RulesResponse>(body, "peer")));
-                  });
+                    [this, done = std::move(done)](PeerEnd end, int status,
+                                                   const std::string& body) {
+                      if (end != PeerEnd::kComplete || status != kOk) {
+                        done(std::nullopt);
+                        return;
+                      }
+                      metrics_.Count("rules_peer_bytes_total", {{"way", "in"}},
+                                     static_cast<double>(body.size()));
+                      done(Apply(Unpack<RulesResponse>(body, "peer")));
+                    });
 }
 
 std::optional<RulesDocument> RulesExchange::Apply(
--- a/packages/daemon/src/daemon/entry.cpp
+++ b/packages/daemon/src/daemon/entry.cpp
@@ -18,10 +18,11 @@
 
 AgentLinkSettings MakeLinkSettings(const Process& process) {
   const auto& settings = process.settings();
-  return {.domain_ = process.domain(),
-          .local_links_per_role_ = settings.Number("routing", "attach"),
-          .remote_links_per_role_ = settings.Number("routing", "attach_foreign"),
-          .connection_ = process.connection_settings()};
+  return {
+      .domain_ = process.domain(),
+      .local_links_per_role_ = settings.Number("routing", "attach"),
+      .remote_links_per_role_ = settings.Number("routing", "attach_foreign"),
+      .connection_ = process.connection_settings()};
 }
 
 DisseminationSettings MakeDisseminationSettings(const Process& process) {
@@ -122,13 +123,13 @@
       {{"outcome",
         std::string(routing::ToString(routing::Outcome::kRefusedNotRun))}});
   SendProblem(exchange, {.status_ = status,
-                            .title_ = std::string(core::Describe(event).name_),
-                            .detail_ = detail,
-                            .event_ = event,
-                            .outcome_ = routing::Outcome::kRefusedNotRun,
-                            .retry_after_ = retry_after,
-                            .request_ = request,
-                            .ticket_ = ""});
+                         .title_ = std::string(core::Describe(event).name_),
+                         .detail_ = detail,
+                         .event_ = event,
+                         .outcome_ = routing::Outcome::kRefusedNotRun,
+                         .retry_after_ = retry_after,
+                         .request_ = request,
+                         .ticket_ = ""});
 }
 
 void Entry::Admit(const HttpExchangePtr& exchange) {
@@ -231,8 +232,8 @@
     auto waiting = waiting_.extract(next->request_);
     auto runner = std::make_shared<RequestRunner>(
         RequestDependencies{process_.loop(), process_.id(), links_, chooser_,
-                        retry_budget_, process_.log(), process_.metrics(),
-                        process_.tracer()},
+                            retry_budget_, process_.log(), process_.metrics(),
+                            process_.tracer()},
         waiting.mapped().exchange_, std::move(waiting.mapped().request_),
         [this, &queue, now](routing::Outcome outcome) {
           const auto end = process_.loop().Now();
--- a/packages/daemon/src/daemon/http_client.cpp
+++ b/packages/daemon/src/daemon/http_client.cpp
@@ -261,8 +261,9 @@
   void DeliverHead() {
     head_delivered_ = true;
     const bool interim = parser_.status() < 200;
-    matches_request_ = !interim && (!options_.matches_request_ ||
-                                    options_.matches_request_(parser_.headers()));
+    matches_request_ =
+        !interim && (!options_.matches_request_ ||
+                     options_.matches_request_(parser_.headers()));
     parser_.OnBody([this](std::string_view body) {
       if (matches_request_ && callbacks_.on_data_) {
         Guarded([&] { callbacks_.on_data_(body); });
@@ -425,8 +426,9 @@
                                            const HttpRequest& request,
                                            HttpCallbacks callbacks,
                                            HttpSendOptions options) {
-  auto connection =
-      options.keep_alive_ ? state_->TakeIdle(address, options.max_idle_time_) : nullptr;
+  auto connection = options.keep_alive_
+                        ? state_->TakeIdle(address, options.max_idle_time_)
+                        : nullptr;
   if (connection == nullptr) {
     connection = std::make_shared<State::Connection>(state_, address);
   }
--- a/packages/daemon/src/daemon/main.cpp
+++ b/packages/daemon/src/daemon/main.cpp
@@ -52,8 +52,8 @@
   const auto store = ParseAddress(settings.Text("platform", "address"));
   if (is_entry) {
     static direct::DirectEntry entry(
-        process,
-        chalkwell::platform::MakeAdapter(process.http_client(), store, std::nullopt));
+        process, chalkwell::platform::MakeAdapter(process.http_client(), store,
+                                                  std::nullopt));
     entry.Run();
   } else {
     const auto engine = ParseAddress(settings.Text("endpoint", "backend"));
--- a/packages/daemon/src/daemon/peer_connection.cpp
+++ b/packages/daemon/src/daemon/peer_connection.cpp
@@ -311,7 +311,9 @@
   };
   auto response = std::make_shared<Response>();
   PeerCallbacks callbacks;
-  callbacks.on_headers_ = [response](int status) { response->status_ = status; };
+  callbacks.on_headers_ = [response](int status) {
+    response->status_ = status;
+  };
   callbacks.on_data_ = [response](std::string_view bytes) {
     response->body_.append(bytes);
   };
--- a/packages/daemon/src/daemon/process.cpp
+++ b/packages/daemon/src/daemon/process.cpp
@@ -39,7 +39,7 @@
 }
 
 void Process::RespondError(const PeerCallPtr& call,
-                          const std::exception& error) {
+                           const std::exception& error) {
   log().Write(core::EventNumber::kPeerProtocol,
               {{"path", std::string(call->path())}, {"error", error.what()}});
   call->Respond(400, error.what());
--- a/packages/daemon/src/daemon/request_reader.cpp
+++ b/packages/daemon/src/daemon/request_reader.cpp
@@ -60,7 +60,8 @@
 
 }  // namespace
 
-RequestReader::RequestReader(const ConfigReplica& config, const Settings& settings)
+RequestReader::RequestReader(const ConfigReplica& config,
+                             const Settings& settings)
     : config_(config),
       default_deadline_(
           settings.Milliseconds("requests", "default_deadline_ms")),
@@ -69,7 +70,8 @@
       max_attempts_(static_cast<routing::AttemptNumber>(
           settings.Number("requests", "max_attempts"))) {}
 
-std::optional<std::string> RequestReader::ParseRequestId(const HttpRequest& http) {
+std::optional<std::string> RequestReader::ParseRequestId(
+    const HttpRequest& http) {
   const auto given = FindHeader(http.headers_, "x-request-id");
   if (given.empty()) {
     return std::nullopt;
--- a/packages/daemon/src/daemon/request_runner.cpp
+++ b/packages/daemon/src/daemon/request_runner.cpp
@@ -64,8 +64,8 @@
   return candidates.empty() ? saturated : candidates;
 }
 
-RequestRunner::RequestRunner(RequestDependencies services, HttpExchangePtr exchange,
-                             AdmittedRequest request,
+RequestRunner::RequestRunner(RequestDependencies services,
+                             HttpExchangePtr exchange, AdmittedRequest request,
                              std::function<void(routing::Outcome)> on_done)
     : services_(services),
       exchange_(std::move(exchange)),
@@ -122,7 +122,8 @@
                ? std::optional(request_.ticket_->endpoint_)
                : std::nullopt;
   }
-  auto candidates = AvailableCandidates(roster, request_.role_, now, tried_endpoints_);
+  auto candidates =
+      AvailableCandidates(roster, request_.role_, now, tried_endpoints_);
   if (same_weights && !events_forwarded_) {
     return std::nullopt;
   }
@@ -370,7 +371,7 @@
   if (is_answered) {
     SendResponse();
   } else {
-    SendProblem(finish);
+    ReportFailure(finish);
   }
   services_.tracer_.End(span_, is_answered);
   services_.metrics_.Count(
@@ -395,7 +396,7 @@
                      std::move(buffered_));
 }
 
-void RequestRunner::SendProblem(const routing::FinishRequest& finish) {
+void RequestRunner::ReportFailure(const routing::FinishRequest& finish) {
   Problem problem{.status_ = kServiceUnavailable,
                   .title_ = std::string(routing::ToString(finish.outcome_)),
                   .detail_ = last_failure_,
--- a/packages/daemon/src/daemon/request_runner.hpp
+++ b/packages/daemon/src/daemon/request_runner.hpp
@@ -90,7 +90,7 @@
                   const std::string& reason);
   void Finish(const routing::FinishRequest& finish);
   void SendResponse();
-  void SendProblem(const routing::FinishRequest& finish);
+  void ReportFailure(const routing::FinishRequest& finish);
   void StartStreaming();
   void ForwardEvents(routing::AttemptNumber attempt, std::string_view bytes);
   [[nodiscard]] HttpHeaders ResponseHeaders() const;
--- a/packages/daemon/src/daemon/run_handler.cpp
+++ b/packages/daemon/src/daemon/run_handler.cpp
@@ -251,7 +251,8 @@
                                   std::to_string(message.resume_from_));
   }
   HttpCallbacks callbacks;
-  callbacks.on_headers_ = [this, attempt](int status, const HttpHeaders& headers) {
+  callbacks.on_headers_ = [this, attempt](int status,
+                                          const HttpHeaders& headers) {
     OnResponseHead(attempt, status, headers);
   };
   callbacks.on_data_ = [this, attempt](std::string_view bytes) {
--- a/packages/daemon/src/daemon/swarm_links.cpp
+++ b/packages/daemon/src/daemon/swarm_links.cpp
@@ -36,8 +36,9 @@
   for (const auto& instance : neighbours) {
     auto existing = neighbours_.extract(instance.id_);
     auto& neighbour = next[instance.id_];
-    const bool retained = !existing.empty() &&
-                          existing.mapped().instance_.peer_address_ == instance.peer_address_;
+    const bool retained =
+        !existing.empty() &&
+        existing.mapped().instance_.peer_address_ == instance.peer_address_;
     if (retained) {
       neighbour = std::move(existing.mapped());
     } else {
--- a/packages/daemon/src/daemon/tracer.hpp
+++ b/packages/daemon/src/daemon/tracer.hpp
@@ -58,7 +58,9 @@
   /// @param ok status of the span: ok or error.
   void End(const Span& span, bool ok);
   /// @brief Whether spans are exported.
-  [[nodiscard]] bool exporting() const noexcept { return collector_.has_value(); }
+  [[nodiscard]] bool exporting() const noexcept {
+    return collector_.has_value();
+  }
 
  private:
   struct FinishedSpan {
--- a/tests/config/accepted_documents_test.cpp
+++ b/tests/config/accepted_documents_test.cpp
@@ -82,7 +82,8 @@
   CHECK(documents.Apply({kTrustKey, 1, trust}).verdict_ == Verdict::kAccepted);
   CHECK(documents.Apply(BundleOf(1, "w", kNext)).verdict_ ==
         Verdict::kAccepted);
-  CHECK(documents.Apply(BundleOf(2, "w")).verdict_ == Verdict::kUntrustedSigningKey);
+  CHECK(documents.Apply(BundleOf(2, "w")).verdict_ ==
+        Verdict::kUntrustedSigningKey);
   CHECK(documents.NewerThan({}).front().key_ == kTrustKey);
 }
 
--- a/tests/failure/config_test.cpp
+++ b/tests/failure/config_test.cpp
@@ -133,8 +133,8 @@
   fleet.Publish(key, text);
   const auto& entry = *fleet.Entries().front();
   const auto is_refused = [&] {
-    return Get(entry.admin_address_, "/metrics").body_.find("document-refused") !=
-           std::string::npos;
+    return Get(entry.admin_address_, "/metrics")
+               .body_.find("document-refused") != std::string::npos;
   };
   CHECK(Fleet::WaitFor(is_refused, 10s));
   CHECK(ActiveVersion(entry) == 1);
@@ -198,11 +198,12 @@
   const daemon::HttpHeaders once{
       key, {"idempotency-key", text}, {"x-request-id", "order-1"}};
   const auto first = Post(entry.caller_address_, "/records/orders", "{}", once);
-  const auto second = Post(entry.caller_address_, "/records/orders", "{}", once);
+  const auto second =
+      Post(entry.caller_address_, "/records/orders", "{}", once);
   CHECK(first.status_ == 200);
   CHECK(second.body_ == first.body_);
-  const auto record =
-      GetJson(scenario.fleet().Services().front()->backend_address_, "/control/record");
+  const auto record = GetJson(
+      scenario.fleet().Services().front()->backend_address_, "/control/record");
   CHECK(record["executed"]["order-1"] == 1);
 }
 
--- a/tests/failure/end_to_end_test.cpp
+++ b/tests/failure/end_to_end_test.cpp
@@ -31,7 +31,8 @@
   CHECK(response.body_.ends_with("data: [DONE]\n\n"));
   const auto weights =
       daemon::FindHeader(response.headers_, "x-chalkwell-weights");
-  const auto engine = GetJson(fleet.Engines().front()->backend_address_, "/v1/state");
+  const auto engine =
+      GetJson(fleet.Engines().front()->backend_address_, "/v1/state");
   CHECK(engine.value("manifest", "") == weights);
 }
 
--- a/tests/fleet/fleet.cpp
+++ b/tests/fleet/fleet.cpp
@@ -86,7 +86,8 @@
                       .to_ = ""});
     for (auto& node : nodes_) {
       if (node.domain_ == domain) {
-        node.peer_address_ = DomainIp(i) + node.peer_address_.substr(node.peer_address_.find(':'));
+        node.peer_address_ = DomainIp(i) + node.peer_address_.substr(
+                                               node.peer_address_.find(':'));
         node.listed_peer_ = NewAddress();
         routes.push_back({.listen_ = node.listed_peer_,
                           .target_ = node.peer_address_,
@@ -122,7 +123,8 @@
     node.admin_address_ = NewAddress();
     node.peer_address_ = NewAddress();
     node.listed_peer_ = node.peer_address_;
-    (node.is_entry_ ? node.caller_address_ : node.backend_address_) = NewAddress();
+    (node.is_entry_ ? node.caller_address_ : node.backend_address_) =
+        NewAddress();
     node.settings_path_ = spec_.folder_ + "/" + node.id_ + ".ini";
     node.log_path_ = LogPath(node.id_);
     nodes_.push_back(std::move(node));
@@ -402,8 +404,9 @@
 }
 
 bool Fleet::WaitEntriesReady(std::chrono::milliseconds limit) {
-  const auto expected = std::ranges::count_if(
-      nodes_, [](const Node& node) { return !node.is_entry_ && node.published_; });
+  const auto expected = std::ranges::count_if(nodes_, [](const Node& node) {
+    return !node.is_entry_ && node.published_;
+  });
   return WaitFor(
       [&] {
         return std::ranges::all_of(Entries(), [&](Node* entry) {
--- a/tests/fleet/relay.cpp
+++ b/tests/fleet/relay.cpp
@@ -124,9 +124,9 @@
   held_.clear();
 }
 
-void Relay::Hold(const std::string& listen, Way way) {
+void Relay::Hold(const std::string& listen, Direction direction) {
   const std::lock_guard lock(mutex_);
-  held_[listen] = way;
+  held_[listen] = direction;
 }
 
 void Relay::Release(const std::string& listen) {
@@ -145,8 +145,8 @@
   if (found == held_.end()) {
     return false;
   }
-  const auto held = side == 0 ? Way::kToTarget : Way::kFromTarget;
-  return found->second == Way::kBoth || found->second == held;
+  const auto held = side == 0 ? Direction::kToTarget : Direction::kFromTarget;
+  return found->second == Direction::kBoth || found->second == held;
 }
 
 void Relay::MarkResets() {
--- a/tests/fleet/relay.hpp
+++ b/tests/fleet/relay.hpp
@@ -45,7 +45,7 @@
   void Isolate(const std::string& domain);
   /// @brief Holds the data of one route from now on.
   /// @param listen listening address of the route.
-  void Hold(const std::string& listen, Way way);
+  void Hold(const std::string& listen, Direction direction);
   /// @brief Delivers the held data of one route, except for connections that a
   /// side has reset: its operating system would not send their data any more.
   void Release(const std::string& listen);
@@ -72,7 +72,7 @@
   /// Guarded by `mutex_`.
   std::set<std::string> isolated_;
   /// Held direction by listening address. Guarded by `mutex_`.
-  std::map<std::string, Way> held_;
+  std::map<std::string, Direction> held_;
   /// Listening addresses of routes to reset. Guarded by `mutex_`.
   std::set<std::string> resets_;
   std::atomic<bool> stopping_ = false;
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -4,8 +4,8 @@
 #include <catch2/catch.hpp>
 
 #include "chalkwell/membership/graceful_shutdown.hpp"
-#include "chalkwell/membership/role_assignment.hpp"
 #include "chalkwell/membership/listed_endpoints.hpp"
+#include "chalkwell/membership/role_assignment.hpp"
 
 namespace chalkwell::membership {
 namespace {
@@ -158,7 +158,8 @@
 
 TEST_CASE("consecutive failures open the circuit breaker for a while",
           "[membership]") {
-  ListedEndpoints roster({.lease_ = 1h, .breaker_failures_ = 2, .breaker_time_ = 2s});
+  ListedEndpoints roster(
+      {.lease_ = 1h, .breaker_failures_ = 2, .breaker_time_ = 2s});
   roster.SetInstances({Listed(false)});
   roster.OnConnected(kId, kStart);
   REQUIRE(roster.OnReport(kId, {.ready_ = true}, kStart));
--- a/tests/platform/leaving_test.cpp
+++ b/tests/platform/leaving_test.cpp
@@ -52,7 +52,7 @@
     }
     return deployment.second_.runs() == runs;
   }));
-  relay.Hold(advertised, fleet::Way::kBoth);
+  relay.Hold(advertised, fleet::Direction::kBoth);
   REQUIRE(Eventually([&] {
     (void)SendRequest(entry, RequestText(path));
     const auto log = deployment.Log("e1");
--- a/tests/platform/standins.hpp
+++ b/tests/platform/standins.hpp
@@ -69,7 +69,9 @@
   /// @brief While true, every call gets 503.
   void SetBusy(bool busy) { busy_ = busy; }
   /// @brief Sets how many of 1000 calls get 503, chosen at random.
-  void SetRejectedPerMille(unsigned per_mille) { rejected_per_mille_ = per_mille; }
+  void SetRejectedPerMille(unsigned per_mille) {
+    rejected_per_mille_ = per_mille;
+  }
   /// @brief Delays the responses of reads; watches are not delayed.
   void SetDelay(std::chrono::milliseconds delay) { delay_ = delay; }
   /// @brief The next watch gets 410, as after a compaction of the history.
@@ -164,13 +166,19 @@
   /// @brief Sets the start time of the incarnation that its row and reports
   /// state.
   /// @param start_time_ms since the Unix epoch; 0 to leave it out.
-  void SetStartTime(std::uint64_t start_time_ms) { start_time_ms_ = start_time_ms; }
+  void SetStartTime(std::uint64_t start_time_ms) {
+    start_time_ms_ = start_time_ms;
+  }
   /// @brief Sets the address that its row states, for an endpoint behind a
   /// relay.
-  void SetAdvertisedAddress(const std::string& address) { advertised_address_ = address; }
+  void SetAdvertisedAddress(const std::string& address) {
+    advertised_address_ = address;
+  }
   /// @brief Sets the time from the arrival of a request to its run and
   /// response.
-  void SetRunDelay(std::chrono::milliseconds run_delay) { run_delay_ = run_delay; }
+  void SetRunDelay(std::chrono::milliseconds run_delay) {
+    run_delay_ = run_delay;
+  }
   /// @brief Sets a handler that is called on the loop, with the attempt id,
   /// when a request arrives that expects this instance id and weights version.
   void OnArrival(std::function<void(const std::string& request)> handler);
--- a/tests/soak/fault_injector.cpp
+++ b/tests/soak/fault_injector.cpp
@@ -58,10 +58,12 @@
       {"freeze-domain", [this] { FreezeDomain(); }},
       {"kill", [this] { RestartEntry(SIGKILL); }},
       {"stop", [this] { RestartEntry(SIGTERM); }},
-      {"store-held", [this] { HoldStorePath(fleet::Way::kBoth); }},
-      {"store-held-back", [this] { HoldStorePath(fleet::Way::kFromTarget); }},
-      {"path-held", [this] { HoldEndpointPath(fleet::Way::kBoth); }},
-      {"path-held-back", [this] { HoldEndpointPath(fleet::Way::kFromTarget); }},
+      {"store-held", [this] { HoldStorePath(fleet::Direction::kBoth); }},
+      {"store-held-back",
+       [this] { HoldStorePath(fleet::Direction::kFromTarget); }},
+      {"path-held", [this] { HoldEndpointPath(fleet::Direction::kBoth); }},
+      {"path-held-back",
+       [this] { HoldEndpointPath(fleet::Direction::kFromTarget); }},
       {"path-reset", [this] { ResetEndpointConnections(); }},
       {"store-fails-some",
        [this] { RejectStoreCalls(150, DrawBetween(2000, 8000)); }},
@@ -176,7 +178,7 @@
   }
   // Keeps other departures from choosing it before it departs.
   busy_[host] = true;
-  HoldPath(*host, fleet::Way::kBoth, DrawBetween(2000, 2800));
+  HoldPath(*host, fleet::Direction::kBoth, DrawBetween(2000, 2800));
   Schedule(DrawBetween(0, 300), [this, host] { Depart(*host, true, false); });
 }
 
@@ -288,36 +290,37 @@
   });
 }
 
-void FaultInjector::HoldStorePath(fleet::Way way) {
+void FaultInjector::HoldStorePath(fleet::Direction direction) {
   auto* entry = PickRunningEntry();
   if (entry == nullptr) {
     return;
   }
   checker_.OnDisturbed(entry->name_);
-  deployment_.relay().Hold(entry->store_address_, way);
+  deployment_.relay().Hold(entry->store_address_, direction);
   Schedule(DrawBetween(300, 4000), [this, entry] {
     deployment_.relay().Release(entry->store_address_);
     checker_.OnDisturbed(entry->name_);
   });
 }
 
-void FaultInjector::HoldEndpointPath(fleet::Way way) {
+void FaultInjector::HoldEndpointPath(fleet::Direction direction) {
   std::vector<EndpointHost*> relayed;
   for (auto& host : deployment_.hosts()) {
     if (host.relayed_) {
       relayed.push_back(&host);
     }
   }
-  HoldPath(*relayed[random_() % relayed.size()], way, DrawBetween(500, 2800));
+  HoldPath(*relayed[random_() % relayed.size()], direction,
+           DrawBetween(500, 2800));
 }
 
 // On a real path, the sender's operating system gives up a hold of more than
 // 3 s; the relay cannot reproduce that, so holds are shorter.
-void FaultInjector::HoldPath(EndpointHost& host, fleet::Way way,
+void FaultInjector::HoldPath(EndpointHost& host, fleet::Direction direction,
                              milliseconds duration) {
   const auto id = host.endpoint_->id();
   checker_.OnPathHeld(id);
-  deployment_.relay().Hold(host.address_, way);
+  deployment_.relay().Hold(host.address_, direction);
   Schedule(duration, [this, &host, id] {
     deployment_.relay().Release(host.address_);
     checker_.OnPathReleased(id);
--- a/tests/soak/fault_injector.hpp
+++ b/tests/soak/fault_injector.hpp
@@ -1,6 +1,6 @@
 // Injects faults into a soak deployment, chosen at random from a seed:
-// endpoints leave and return in every way, while processes, network paths and
-// the configuration store are disturbed.
+// endpoints leave and return in every way, while processes, network paths
+// and the configuration store are disturbed.
 #pragma once
 
 #include <chrono>
@@ -93,9 +93,10 @@
   void FreezeDomain();
   /// @param signal SIGKILL, or SIGTERM for a planned stop.
   void RestartEntry(int signal);
-  void HoldStorePath(fleet::Way way);
-  void HoldEndpointPath(fleet::Way way);
-  void HoldPath(EndpointHost& host, fleet::Way way, milliseconds duration);
+  void HoldStorePath(fleet::Direction direction);
+  void HoldEndpointPath(fleet::Direction direction);
+  void HoldPath(EndpointHost& host, fleet::Direction direction,
+                milliseconds duration);
   void ResetEndpointConnections();
   /// @param per_mille share of the store's calls that get 503.
   void RejectStoreCalls(unsigned per_mille, milliseconds duration);
--- a/tests/standins/load.cpp
+++ b/tests/standins/load.cpp
@@ -152,7 +152,8 @@
     request.headers_.emplace_back("idempotency-key", call->idempotency_key_);
   }
   daemon::HttpCallbacks callbacks;
-  callbacks.on_headers_ = [call](int status, const daemon::HttpHeaders& headers) {
+  callbacks.on_headers_ = [call](int status,
+                                 const daemon::HttpHeaders& headers) {
     call->status_ = status;
     call->headers_ = headers;
   };
